--- a/include/fuchsiagw/detail/engine_steps.hpp
+++ b/include/fuchsiagw/detail/engine_steps.hpp
@@ -116,15 +116,15 @@
 /// @return the place of this daemon among those that look after a service; it only changes with the
 /// daemons that take part
 [[nodiscard]] std::size_t rankOf(const engine &state, service_state &service);
-void followSilence(engine &state, core::time_point now);
+void detectSilentMembers(engine &state, core::time_point now);
 /// @return the members of a service that may be promoted
 [[nodiscard]] std::set<std::string> electableMembers(const engine &state,
                                                      const service_state &service);
 /// @return replicas whose log may hold the only second copy of an acknowledged commit
 [[nodiscard]] std::set<std::string> witnessesOf(const engine &state, const service_state &service);
 /// @return why the service needs a promotion now, if it does
-[[nodiscard]] std::optional<promotion_cause> causeNow(engine &state, service_state &service,
-                                                      core::time_point now);
+[[nodiscard]] std::optional<promotion_cause>
+findPromotionCause(engine &state, service_state &service, core::time_point now);
 void stepPromotions(engine &state, core::time_point now);
 /// @brief Asks replicas whether they receive, so that none stays paused by an attempt that ended.
 void checkReplicas(engine &state, core::time_point now);
@@ -146,36 +146,36 @@
                                  core::time_point now);
 /// @brief Writes a line if the part of a workspace's limit that this daemon holds has changed.
 /// @param other the daemon that lent or borrowed it, if any
-void notePart(engine &state, workspace_quota &quota, const std::string &workspace,
-              std::string_view reason, const std::string &other, core::time_point now);
+void logPartChange(engine &state, workspace_quota &quota, const std::string &workspace,
+                   std::string_view reason, const std::string &other, core::time_point now);
 /// @brief A home asks soon for the parts of a workspace that is in use.
-void useParts(engine &state, workspace_quota &quota, core::time_point now);
+void markPartsInUse(engine &state, workspace_quota &quota, core::time_point now);
 /// @brief Asks the daemons of the zone for the parts of the workspaces whose home this daemon is.
 void requestParts(engine &state, core::time_point now);
 void answerPartRequest(engine &state, const peer_message &message, core::time_point now);
-void takeParts(engine &state, const peer_message &message, core::time_point now);
+void acceptParts(engine &state, const peer_message &message, core::time_point now);
 /// @brief Asks the daemons of the zone whether they use parts that an earlier process has lent.
 void startRecall(engine &state, core::time_point now);
 void stepRecall(engine &state, core::time_point now);
 void answerRecall(engine &state, const peer_message &message, core::time_point now);
-void takeRecallAnswer(engine &state, const peer_message &message, core::time_point now);
+void acceptRecallAnswer(engine &state, const peer_message &message, core::time_point now);
 /// @brief Judges the own claim by a new list of daemons.
 void reviseClaim(engine &state, const std::vector<peer_state> &list, core::time_point now);
 /// @brief Writes a claim that is due.
-void stepClaim(engine &state, core::time_point now);
+void writeDueClaim(engine &state, core::time_point now);
 /// @brief Gives tokens to the daemons of the zone that wait for them.
-void serveLoans(engine &state, workspace_quota &quota, const std::string &workspace,
-                core::time_point now);
+void serveWaitingLoans(engine &state, workspace_quota &quota, const std::string &workspace,
+                       core::time_point now);
 /// @brief Admits operations that wait for a token.
-void serveTokenWaiters(engine &state, const std::string &workspace, core::time_point now);
+void admitWaitingOperations(engine &state, const std::string &workspace, core::time_point now);
 void stepQuotas(engine &state, core::time_point now);
 /// @brief Gives lent tokens back that were not needed.
 void returnUnusedTokens(engine &state, core::time_point now);
 /// @brief Another daemon gave tokens back.
-void takeBack(engine &state, const peer_message &message, core::time_point now);
+void acceptReturnedTokens(engine &state, const peer_message &message, core::time_point now);
 void answerLoanRequest(engine &state, const peer_message &message, core::time_point now);
-void takeLoan(engine &state, const peer_message &message, core::time_point now);
-void reshapeQuotas(engine &state, core::time_point now);
+void acceptLoan(engine &state, const peer_message &message, core::time_point now);
+void updateQuotas(engine &state, core::time_point now);
 void tellLeader(engine &state, const service_state &service);
 /// @return a message with the fields that every kind has
 [[nodiscard]] peer_message makeMessage(const engine &state, peer_message_kind kind);
--- a/include/fuchsiagw/proxy/limit_part.hpp
+++ b/include/fuchsiagw/proxy/limit_part.hpp
@@ -18,7 +18,7 @@
 inline constexpr limit_part wholeLimit = 1'000'000;
 
 /// A home may use a borrowed part this long after its question.
-inline constexpr std::chrono::milliseconds partLease{ 800 };
+inline constexpr std::chrono::milliseconds partLeaseDuration{ 800 };
 /// The lender waits this much longer, counted from its answer, so that clocks may drift apart.
 inline constexpr std::chrono::milliseconds partLeaseMargin{ 50 };
 
--- a/include/fuchsiagw/proxy/position_book.hpp
+++ b/include/fuchsiagw/proxy/position_history.hpp
@@ -20,22 +20,22 @@
 };
 
 /// Invariant: samples are ordered by time, and no two are closer than sampleSpacing.
-struct position_book
+struct position_history
 {
     std::deque<position_sample> samples;
 };
 
 /// @brief Adds what a member that provably led at @p sample.since reported.
 /// @complexity linear in the number of samples, which is bounded
-void record(position_book &book, const position_sample &sample);
+void record(position_history &book, const position_sample &sample);
 
 /// @brief Finds the lowest position that holds every commit acknowledged before @p oldest.
 /// @return none if no sample is that fresh
 /// @complexity linear in the number of samples
-[[nodiscard]] std::optional<core::log_position> positionSince(const position_book &book,
+[[nodiscard]] std::optional<core::log_position> positionSince(const position_history &book,
                                                               core::time_point oldest);
 
 /// @return the newest sample, if there is one
-[[nodiscard]] std::optional<position_sample> newestOf(const position_book &book);
+[[nodiscard]] std::optional<position_sample> newestSample(const position_history &book);
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/promotion.hpp
+++ b/include/fuchsiagw/proxy/promotion.hpp
@@ -63,7 +63,7 @@
     promotion_phase phase = promotion_phase::None;
     promotion_cause cause = promotion_cause::PrimarySilent;
     core::time_point startedAt{};
-    core::time_point phaseUntil = core::noDeadline; ///< given up or tried again then
+    core::time_point phaseDeadline = core::noDeadline; ///< given up or tried again then
     core::time_point notBefore{}; ///< no new attempt before it
     std::uint64_t token = 0; ///< fencing token of this attempt
     core::term_number fenceTerm = 0; ///< above every term seen
--- a/include/fuchsiagw/proxy/quota.hpp
+++ b/include/fuchsiagw/proxy/quota.hpp
@@ -51,8 +51,8 @@
     std::vector<std::string> otherHomes; ///< the home in each other zone
     bool isFirstHome = false; ///< this daemon is the first of homes
     limit_part ownPart = 0;
-    core::time_point
-            ownFrom{}; ///< ownPart is not used before: it may be lent by an earlier process
+    core::time_point ownPartUsableFrom{}; ///< ownPart is not used before: it may be lent by an
+                                          ///< earlier process
     std::string lentTo; ///< home that borrowed ownPart last
     core::time_point lentUntil{};
     std::map<std::string, borrowed_part> borrowed; ///< by the daemon that lent it
@@ -91,10 +91,10 @@
 /// @brief Applies a manifest's limits, the daemons and this daemon's part of each limit.
 /// A new bucket starts empty: the predecessor of this process may just have used its tokens.
 /// @param self must be one of @p nodes
-/// @param ownFrom when the own part of a workspace that was unknown may be used
+/// @param ownPartUsableFrom when the own part of a workspace that was unknown may be used
 /// @complexity workspaces times nodes
 void reshape(quota_table &table, const manifest &from, const std::vector<quota_node> &nodes,
-             const quota_node &self, limit_part ownPart, core::time_point ownFrom,
+             const quota_node &self, limit_part ownPart, core::time_point ownPartUsableFrom,
              core::time_point now);
 
 /// @return the quota of a workspace that has a limit, else nullptr
--- a/include/fuchsiagw/proxy/service_state.hpp
+++ b/include/fuchsiagw/proxy/service_state.hpp
@@ -5,7 +5,7 @@
 
 #include <fuchsiagw/core/log_position.hpp>
 #include <fuchsiagw/core/time.hpp>
-#include <fuchsiagw/proxy/position_book.hpp>
+#include <fuchsiagw/proxy/position_history.hpp>
 #include <fuchsiagw/proxy/promotion.hpp>
 #include <fuchsiagw/proxy/session.hpp>
 
@@ -27,7 +27,7 @@
     core::time_point leaderlessSince = core::noDeadline;
     /// Members that said that they do not lead, with the version of their role at that time.
     std::map<std::string, std::uint64_t> disproved;
-    position_book positions;
+    position_history positions;
     std::deque<session_id> queue; ///< sessions whose request waits, in order of arrival
     promotion_state promotion;
     core::time_point nextReplicaCheck{}; ///< replicas are asked whether they receive
--- a/src/proxy/engine_control.cpp
+++ b/src/proxy/engine_control.cpp
@@ -145,7 +145,7 @@
     return instanceRank(state, "manifest") < watchingDaemons;
 }
 
-void reshapeQuotas(engine &state, core::time_point now)
+void updateQuotas(engine &state, core::time_point now)
 {
     if (!state.config)
         return;
@@ -155,10 +155,11 @@
         nodes.push_back({ peer.node, peer.zone });
     // A workspace that comes again may be one whose part was lent a moment ago.
     const bool free = state.recall.done && state.quota.workspaces.empty();
-    const core::time_point ownFrom = free ? now : now + partLease + partLeaseMargin;
-    reshape(state.quota, *state.config, nodes, self, state.claim.granted, ownFrom, now);
+    const core::time_point ownPartUsableFrom =
+            free ? now : now + partLeaseDuration + partLeaseMargin;
+    reshape(state.quota, *state.config, nodes, self, state.claim.granted, ownPartUsableFrom, now);
     for (auto &[name, quota] : state.quota.workspaces)
-        notePart(state, quota, name, "claim_or_manifest_changed", {}, now);
+        logPartChange(state, quota, name, "claim_or_manifest_changed", {}, now);
     state.waitingLoans = 0;
     for (const auto &[name, quota] : state.quota.workspaces)
         state.waitingLoans += quota.loans.size();
@@ -179,7 +180,7 @@
     line.kind = note_kind::ManifestApplied;
     state.out.emplace_back(std::move(line));
     state.config = std::move(next);
-    reshapeQuotas(state, now);
+    updateQuotas(state, now);
     for (const auto &[name, entry] : state.config->services)
         serviceFor(state, name);
 }
@@ -225,7 +226,7 @@
     state.instances = count;
     reviseClaim(state, list, now);
     startRecall(state, now);
-    reshapeQuotas(state, now);
+    updateQuotas(state, now);
 }
 
 void learnLeader(engine &state, service_state &service, const std::string &member,
--- a/src/proxy/engine_parts.cpp
+++ b/src/proxy/engine_parts.cpp
@@ -80,8 +80,8 @@
     return state.settings.node;
 }
 
-void notePart(engine &state, workspace_quota &quota, const std::string &workspace,
-              std::string_view reason, const std::string &other, core::time_point now)
+void logPartChange(engine &state, workspace_quota &quota, const std::string &workspace,
+                   std::string_view reason, const std::string &other, core::time_point now)
 {
     if (!quota.limited || quota.noted == quota.held)
         return;
@@ -97,7 +97,7 @@
     state.out.emplace_back(std::move(line));
 }
 
-void useParts(engine &state, workspace_quota &quota, core::time_point now)
+void markPartsInUse(engine &state, workspace_quota &quota, core::time_point now)
 {
     if (quota.usedUntil <= now)
         state.nextPartRequest = std::min(state.nextPartRequest, now + leastRequestInterval);
@@ -138,13 +138,13 @@
             continue;
         grant->workspace = workspace;
         answer.parts.push_back(std::move(*grant));
-        notePart(state, *quota, workspace, "lent_to_home", message.from, now);
+        logPartChange(state, *quota, workspace, "lent_to_home", message.from, now);
     }
     if (!answer.parts.empty())
         state.out.emplace_back(send_to_peer{ message.from, std::move(answer) });
 }
 
-void takeParts(engine &state, const peer_message &message, core::time_point now)
+void acceptParts(engine &state, const peer_message &message, core::time_point now)
 {
     const core::time_point asked{ core::duration(message.askedAtUs) };
     const auto lender = state.peers.find(message.from);
@@ -156,10 +156,10 @@
         if (quota == nullptr)
             continue;
         takePart(*quota, message.from, each, asked, now);
-        notePart(state, *quota, each.workspace, "borrowed", message.from, now);
-        serveTokenWaiters(state, each.workspace, now);
+        logPartChange(state, *quota, each.workspace, "borrowed", message.from, now);
+        admitWaitingOperations(state, each.workspace, now);
         // A waiter that goes on can end its session, but does not change the limits.
-        serveLoans(state, *quota, each.workspace, now);
+        serveWaitingLoans(state, *quota, each.workspace, now);
     }
 }
 
@@ -167,7 +167,7 @@
 {
     if (std::exchange(state.recall.started, true))
         return;
-    state.recall.until = now + partLease + partLeaseMargin;
+    state.recall.until = now + partLeaseDuration + partLeaseMargin;
     state.recall.next = now;
     stepRecall(state, now);
 }
@@ -187,7 +187,7 @@
         recall.next = core::noDeadline;
         for (auto &[name, quota] : state.quota.workspaces) {
             releaseOwnPart(quota, now);
-            notePart(state, quota, name, "recalled", {}, now);
+            logPartChange(state, quota, name, "recalled", {}, now);
         }
         return;
     }
@@ -206,14 +206,14 @@
     lender->second.recalledAt = now;
     for (auto &[name, quota] : state.quota.workspaces) {
         dropPart(quota, message.from, now);
-        notePart(state, quota, name, "recalled_by_lender", message.from, now);
+        logPartChange(state, quota, name, "recalled_by_lender", message.from, now);
     }
     peer_message answer = makeMessage(state, peer_message_kind::PartRecallAnswer);
     answer.recall = message.recall;
     state.out.emplace_back(send_to_peer{ message.from, std::move(answer) });
 }
 
-void takeRecallAnswer(engine &state, const peer_message &message, core::time_point now)
+void acceptRecallAnswer(engine &state, const peer_message &message, core::time_point now)
 {
     if (state.recall.done || message.recall != state.incarnation)
         return;
@@ -232,7 +232,7 @@
         state.out.emplace_back(claim_part{ *part });
 }
 
-void stepClaim(engine &state, core::time_point now)
+void writeDueClaim(engine &state, core::time_point now)
 {
     if (const auto part = dueClaim(state.claim, now))
         state.out.emplace_back(claim_part{ *part });
--- a/src/proxy/engine_peers.cpp
+++ b/src/proxy/engine_peers.cpp
@@ -64,7 +64,7 @@
         each.member = service.leader;
         each.term = service.term;
         each.ageUs = -1;
-        if (const auto newest = newestOf(service.positions)) {
+        if (const auto newest = newestSample(service.positions)) {
             each.position = newest->position;
             each.ageUs = (now - newest->since).count();
         }
@@ -203,7 +203,7 @@
         answerLoanRequest(state, message, now);
         break;
     case peer_message_kind::LoanGrant:
-        takeLoan(state, message, now);
+        acceptLoan(state, message, now);
         break;
     case peer_message_kind::LeaderNews:
         for (const leader_report &each : message.leaders)
@@ -216,19 +216,19 @@
         hearReach(state, message);
         break;
     case peer_message_kind::LoanReturn:
-        takeBack(state, message, now);
+        acceptReturnedTokens(state, message, now);
         break;
     case peer_message_kind::PartRequest:
         answerPartRequest(state, message, now);
         break;
     case peer_message_kind::PartGrant:
-        takeParts(state, message, now);
+        acceptParts(state, message, now);
         break;
     case peer_message_kind::PartRecall:
         answerRecall(state, message, now);
         break;
     case peer_message_kind::PartRecallAnswer:
-        takeRecallAnswer(state, message, now);
+        acceptRecallAnswer(state, message, now);
         break;
     }
 }
--- a/src/proxy/engine_placement.cpp
+++ b/src/proxy/engine_placement.cpp
@@ -139,7 +139,7 @@
     ++(toLeader ? state.counters.placedOnPrimary : state.counters.placedOnReplica);
     const service_state &service = state.services.at(what.via.service);
     core::duration age{};
-    if (const auto newest = newestOf(service.positions))
+    if (const auto newest = newestSample(service.positions))
         age = now - newest->since;
     noteRequest(state, note_kind::StatementPlaced, who, member.entry.id,
                 toLeader ? "needs_primary" : "least_cost", age, what.tries);
--- a/src/proxy/engine_promotion.cpp
+++ b/src/proxy/engine_promotion.cpp
@@ -63,7 +63,7 @@
 void enter(promotion_state &run, promotion_phase phase, core::time_point until)
 {
     run.phase = phase;
-    run.phaseUntil = until;
+    run.phaseDeadline = until;
 }
 
 void drawToken(engine &state, service_state &service, core::time_point now)
@@ -148,7 +148,7 @@
     run.phase = promotion_phase::None;
     run.notBefore = now + retryPause + drawn(state, retryPause);
     run.nextProbe = core::noDeadline;
-    run.phaseUntil = core::noDeadline;
+    run.phaseDeadline = core::noDeadline;
 }
 
 void fence(engine &state, service_state &service, core::time_point now)
@@ -259,7 +259,7 @@
     evaluate(state, service, now);
     if (run.phase != promotion_phase::Fencing)
         return;
-    if (now >= run.phaseUntil) {
+    if (now >= run.phaseDeadline) {
         giveUp(state, service, "members_missing", now);
         return;
     }
@@ -285,7 +285,7 @@
     resumeFenced(service, now);
     run.phase = promotion_phase::None;
     run.nextProbe = core::noDeadline;
-    run.phaseUntil = core::noDeadline;
+    run.phaseDeadline = core::noDeadline;
     run.notBefore = now + retryPause;
 }
 
@@ -296,12 +296,12 @@
     case promotion_phase::None: {
         if (now < run.notBefore)
             return;
-        if (const auto cause = causeNow(state, service, now))
+        if (const auto cause = findPromotionCause(state, service, now))
             begin(state, service, *cause, now);
         return;
     }
     case promotion_phase::Asking:
-        if (now < run.phaseUntil)
+        if (now < run.phaseDeadline)
             return;
         if (run.peersReaching.size() > run.peersNotReaching.size()) {
             giveUp(state, service, "peers_reach_it", now);
@@ -310,20 +310,20 @@
         drawToken(state, service, now);
         return;
     case promotion_phase::DrawingToken:
-        if (now >= run.phaseUntil)
+        if (now >= run.phaseDeadline)
             giveUp(state, service, "no_token", now);
         return;
     case promotion_phase::Fencing:
         stepFencing(state, service, now);
         return;
     case promotion_phase::Ordering:
-        if (now >= run.phaseUntil) {
+        if (now >= run.phaseDeadline) {
             enter(run, promotion_phase::Settling, now + orderTime * 2);
             run.nextProbe = now;
         }
         return;
     case promotion_phase::Settling:
-        if (now >= run.phaseUntil) {
+        if (now >= run.phaseDeadline) {
             run.nextProbe = core::noDeadline;
             enter(run, promotion_phase::Ordering, now + orderTime);
             state.out.emplace_back(order_promotion{ service.name, run.chosen, run.token });
@@ -350,7 +350,7 @@
 {
     core::time_point due = core::noDeadline;
     for (const auto &[name, service] : state.services)
-        due = std::min({ due, service.promotion.phaseUntil, service.promotion.nextProbe,
+        due = std::min({ due, service.promotion.phaseDeadline, service.promotion.nextProbe,
                          service.promotion.nextResume });
     return due;
 }
--- a/src/proxy/engine_quota.cpp
+++ b/src/proxy/engine_quota.cpp
@@ -95,7 +95,7 @@
     const auto amount = wanted(quota, now);
     if (!amount)
         return;
-    useParts(state, quota, now);
+    markPartsInUse(state, quota, now);
     if (home == state.settings.node) {
         askOtherHomes(state, quota, workspace, *amount, now);
         return;
@@ -115,8 +115,8 @@
 
 } // namespace
 
-void serveLoans(engine &state, workspace_quota &quota, const std::string &workspace,
-                core::time_point now)
+void serveWaitingLoans(engine &state, workspace_quota &quota, const std::string &workspace,
+                       core::time_point now)
 {
     while (!quota.loans.empty()) {
         const waiting_loan &next = quota.loans.front();
@@ -159,7 +159,7 @@
     return false;
 }
 
-void serveTokenWaiters(engine &state, const std::string &workspace, core::time_point now)
+void admitWaitingOperations(engine &state, const std::string &workspace, core::time_point now)
 {
     workspace_quota *quota = limitedQuota(state.quota, workspace);
     while (quota != nullptr && !quota->waiters.empty()) {
@@ -183,8 +183,8 @@
         if (quota.waiters.empty() && quota.loans.empty())
             continue;
         askFor(state, quota, name, now);
-        serveTokenWaiters(state, name, now);
-        serveLoans(state, quota, name, now);
+        admitWaitingOperations(state, name, now);
+        serveWaitingLoans(state, quota, name, now);
     }
 }
 
@@ -201,18 +201,18 @@
         else if (unused > 0)
             returnTokens(state, home, name, unused);
         settle(quota, now);
-        notePart(state, quota, name, "lease_ended", {}, now);
+        logPartChange(state, quota, name, "lease_ended", {}, now);
     }
 }
 
-void takeBack(engine &state, const peer_message &message, core::time_point now)
+void acceptReturnedTokens(engine &state, const peer_message &message, core::time_point now)
 {
     workspace_quota *quota = limitedQuota(state.quota, message.subject);
     if (quota == nullptr)
         return;
     receive(*quota, message.amount, now);
-    serveTokenWaiters(state, message.subject, now);
-    serveLoans(state, *quota, message.subject, now);
+    admitWaitingOperations(state, message.subject, now);
+    serveWaitingLoans(state, *quota, message.subject, now);
 }
 
 void answerLoanRequest(engine &state, const peer_message &message, core::time_point now)
@@ -221,7 +221,7 @@
     if (quota == nullptr)
         return;
     quota->homeUntil = now + homeLife;
-    useParts(state, *quota, now);
+    markPartsInUse(state, *quota, now);
     if (message.betweenHomes) {
         const core::token_amount given = lend(*quota, message.amount, now);
         if (given == 0)
@@ -236,7 +236,7 @@
         quota->loans.push_back({ message.from, message.amount, message.askedAtUs, now + loanWait });
         ++state.waitingLoans;
     }
-    serveLoans(state, *quota, message.subject, now);
+    serveWaitingLoans(state, *quota, message.subject, now);
     askFor(state, *quota, message.subject, now);
 }
 
@@ -248,18 +248,18 @@
                     core::time_point now)
 {
     core::token_amount left = receiveHanded(quota, message.amount, now);
-    serveTokenWaiters(state, message.subject, now);
-    serveLoans(state, quota, message.subject, now);
+    admitWaitingOperations(state, message.subject, now);
+    serveWaitingLoans(state, quota, message.subject, now);
     // What was taken out meanwhile has made room.
     left = receive(quota, left, now);
-    serveTokenWaiters(state, message.subject, now);
+    admitWaitingOperations(state, message.subject, now);
     if (left > 0)
         returnTokens(state, message.from, message.subject, left);
 }
 
 } // namespace
 
-void takeLoan(engine &state, const peer_message &message, core::time_point now)
+void acceptLoan(engine &state, const peer_message &message, core::time_point now)
 {
     workspace_quota *quota = limitedQuota(state.quota, message.subject);
     if (quota == nullptr)
@@ -274,8 +274,8 @@
     const core::time_point asked{ core::duration(message.askedAtUs) };
     if (now - asked <= grantLife)
         receiveHanded(*quota, message.amount, now);
-    serveTokenWaiters(state, message.subject, now);
-    serveLoans(state, *quota, message.subject, now);
+    admitWaitingOperations(state, message.subject, now);
+    serveWaitingLoans(state, *quota, message.subject, now);
 }
 
 } // namespace fuchsiagw::proxy
--- a/src/proxy/engine_time.cpp
+++ b/src/proxy/engine_time.cpp
@@ -186,10 +186,10 @@
         checkLinks(state, now);
         trimLinks(state, now);
         forgetMissing(state, now);
-        followSilence(state, now);
+        detectSilentMembers(state, now);
         checkReplicas(state, now);
         returnUnusedTokens(state, now);
-        stepClaim(state, now);
+        writeDueClaim(state, now);
     }
     if (state.stopping)
         closeRestingSessions(state, now);
--- a/src/proxy/engine_watch.cpp
+++ b/src/proxy/engine_watch.cpp
@@ -66,7 +66,7 @@
     return service.rank;
 }
 
-void followSilence(engine &state, core::time_point now)
+void detectSilentMembers(engine &state, core::time_point now)
 {
     std::set<member_state *> suspected;
     std::vector<member_state *> probed;
--- a/src/proxy/limit_claim.cpp
+++ b/src/proxy/limit_claim.cpp
@@ -53,7 +53,7 @@
     if (isTooHigh(own->part, fair)) {
         claim.target = fair;
         claim.granted = std::min(claim.granted, fair);
-        claim.lowerAt = std::min(claim.lowerAt, now + partLease + partLeaseMargin);
+        claim.lowerAt = std::min(claim.lowerAt, now + partLeaseDuration + partLeaseMargin);
         return std::nullopt;
     }
     claim.lowerAt = core::noDeadline;
--- a/src/proxy/position_book.cpp
+++ b/src/proxy/position_history.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Bounded list of the primary's positions.
 
-#include <fuchsiagw/proxy/position_book.hpp>
+#include <fuchsiagw/proxy/position_history.hpp>
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void record(position_book &book, const position_sample &sample)
+void record(position_history &book, const position_sample &sample)
 {
     auto &samples = book.samples;
     const auto later = std::upper_bound(
@@ -39,7 +39,8 @@
         samples.pop_front();
 }
 
-std::optional<core::log_position> positionSince(const position_book &book, core::time_point oldest)
+std::optional<core::log_position> positionSince(const position_history &book,
+                                                core::time_point oldest)
 {
     std::optional<core::log_position> lowest;
     for (const position_sample &each : book.samples) {
@@ -49,7 +50,7 @@
     return lowest;
 }
 
-std::optional<position_sample> newestOf(const position_book &book)
+std::optional<position_sample> newestSample(const position_history &book)
 {
     if (book.samples.empty())
         return std::nullopt;
--- a/src/proxy/promotion_choice.cpp
+++ b/src/proxy/promotion_choice.cpp
@@ -88,7 +88,8 @@
     return result;
 }
 
-std::optional<promotion_cause> causeNow(engine &state, service_state &service, core::time_point now)
+std::optional<promotion_cause> findPromotionCause(engine &state, service_state &service,
+                                                  core::time_point now)
 {
     if (!state.directoryKnown || state.stopping || !state.config
         || !state.config->services.contains(service.name) || service.members.empty())
--- a/src/proxy/quota.cpp
+++ b/src/proxy/quota.cpp
@@ -63,7 +63,7 @@
 /// The parts that this daemon may use at a moment.
 limit_part heldAt(const workspace_quota &quota, core::time_point when)
 {
-    const bool ownCounts = quota.ownFrom <= when && quota.lentUntil <= when;
+    const bool ownCounts = quota.ownPartUsableFrom <= when && quota.lentUntil <= when;
     limit_part sum = ownCounts ? quota.ownPart : 0;
     for (const auto &[lender, each] : quota.borrowed)
         sum += each.until > when ? each.part : 0;
@@ -77,7 +77,7 @@
         if (each > when)
             next = std::min(next, each);
     };
-    consider(quota.ownFrom);
+    consider(quota.ownPartUsableFrom);
     consider(quota.lentUntil);
     for (const auto &[lender, each] : quota.borrowed)
         consider(each.until);
@@ -120,7 +120,7 @@
 } // namespace
 
 void reshape(quota_table &table, const manifest &from, const std::vector<quota_node> &nodes,
-             const quota_node &self, limit_part ownPart, core::time_point ownFrom,
+             const quota_node &self, limit_part ownPart, core::time_point ownPartUsableFrom,
              core::time_point now)
 {
     std::set<std::string> zones;
@@ -129,7 +129,7 @@
     std::map<std::string, workspace_quota, std::less<>> next;
     for (const workspace_entry &each : from.workspaces) {
         workspace_quota quota;
-        quota.ownFrom = ownFrom;
+        quota.ownPartUsableFrom = ownPartUsableFrom;
         const auto known = table.workspaces.find(each.name);
         if (known != table.workspaces.end())
             quota = known->second;
@@ -175,13 +175,14 @@
 {
     settle(quota, now);
     const bool lentToOther = quota.lentUntil > now && quota.lentTo != home;
-    if (lentToOther || !quota.borrowed.empty() || quota.ownFrom > now || quota.ownPart == 0)
+    if (lentToOther || !quota.borrowed.empty() || quota.ownPartUsableFrom > now
+        || quota.ownPart == 0)
         return std::nullopt;
     part_grant grant;
     grant.part = quota.ownPart;
     grant.tokens = takeUpTo(quota.bucket, quota.bucket.level, now);
     quota.lentTo = home;
-    quota.lentUntil = now + partLease + partLeaseMargin;
+    quota.lentUntil = now + partLeaseDuration + partLeaseMargin;
     shapeBucket(quota, now);
     return grant;
 }
@@ -190,7 +191,7 @@
               core::time_point askedAt, core::time_point now)
 {
     settle(quota, now);
-    const core::time_point until = askedAt + partLease;
+    const core::time_point until = askedAt + partLeaseDuration;
     if (until <= now || askedAt > now)
         return;
     borrowed_part &part = quota.borrowed[lender];
@@ -211,7 +212,7 @@
 void releaseOwnPart(workspace_quota &quota, core::time_point now)
 {
     settle(quota, now);
-    quota.ownFrom = std::min(quota.ownFrom, now);
+    quota.ownPartUsableFrom = std::min(quota.ownPartUsableFrom, now);
     shapeBucket(quota, now);
 }
 
--- a/tests/unit-session-engine.cpp
+++ b/tests/unit-session-engine.cpp
@@ -141,7 +141,7 @@
     STRCMP_EQUAL("m2", service.leader.c_str());
     CHECK(service.positions.samples.empty());
     world.provePrimary({ 1, 159 });
-    CHECK(newestOf(service.positions)->position == (log_position{ 1, 159 }));
+    CHECK(newestSample(service.positions)->position == (log_position{ 1, 159 }));
     LONGS_EQUAL(2, service.term);
 }
 
@@ -403,7 +403,7 @@
     service.promotion.phase = promotion_phase::DrawingToken;
     service.promotion.startedAt = world.now;
     service.promotion.leaseUntil = world.now + milliseconds(2700);
-    service.promotion.phaseUntil = world.now + milliseconds(1500);
+    service.promotion.phaseDeadline = world.now + milliseconds(1500);
 }
 
 /// Lets every member answer its oldest order.
