--- a/include/fuchsiagw/proxy/promotion.hpp
+++ b/include/fuchsiagw/proxy/promotion.hpp
@@ -76,7 +76,7 @@
     std::set<std::string> peersNotReaching; ///< peers that can't reach the old primary
     bool orderSent = false; ///< a promotion was ordered and may still take effect
     bool stepDownSent = false; ///< the old primary was ordered to step down
-    core::time_point leaseUntil{}; ///< no other daemon can hold a fencing token before
+    core::time_point leaseUntil{}; ///< no other daemon gets a fencing token before
     std::set<std::string> replicasToResume; ///< replicas that have not confirmed that they resumed
     core::time_point nextResumeAt = core::noDeadline;
     core::time_point nextProbeAt =
--- a/include/fuchsiagw/proxy/quota.hpp
+++ b/include/fuchsiagw/proxy/quota.hpp
@@ -58,8 +58,7 @@
     std::vector<std::string> otherHomes; ///< preferred home in each other zone
     bool isFirstHome = false; ///< this daemon is homes.front()
     limit_part ownPart = 0;
-    core::time_point ownPartUsableFrom{}; ///< an earlier process may have lent ownPart until
-                                          ///< then
+    core::time_point ownPartUsableFrom{}; ///< until then, an earlier process may have lent it
     std::string lentTo; ///< home that last borrowed ownPart
     core::time_point lentUntil{};
     std::map<std::string, borrowed_part> borrowed; ///< by lender
@@ -71,7 +70,7 @@
     core::token_amount minOverflowTokens = 0; ///< minimum since the last return: unused
     core::time_point overflowExpiresAt{}; ///< overflowTokens are discarded then
     core::time_point nextReturnAt{};
-    core::time_point actsAsHomeUntil{}; ///< other daemons treat this one as the home
+    core::time_point actsAsHomeUntil{}; ///< requests from other daemons extend it
     core::time_point inUseUntil{}; ///< operations have requested tokens recently
     double demandPerSecond = 0; ///< smoothed rate of operations requested here
     core::time_point demandIntervalStart{}; ///< start of the current interval
--- a/src/proxy/engine_parts.cpp
+++ b/src/proxy/engine_parts.cpp
@@ -88,15 +88,15 @@
     if (!quota.limited || quota.lastLoggedPart == quota.held)
         return;
     quota.lastLoggedPart = quota.held;
-    decision_note line;
-    line.kind = note_kind::QuotaPartChanged;
-    line.workspace = workspace;
-    line.member = other;
-    line.reason = reason;
+    decision_note note;
+    note.kind = note_kind::QuotaPartChanged;
+    note.workspace = workspace;
+    note.member = other;
+    note.reason = reason;
     if (const auto peer = state.peers.find(other); peer != state.peers.end())
-        line.age = now - peer->second.lastHeard;
-    line.number = quota.held;
-    state.out.emplace_back(std::move(line));
+        note.age = now - peer->second.lastHeard;
+    note.number = quota.held;
+    state.out.emplace_back(std::move(note));
 }
 
 void markPartsInUse(engine &state, workspace_quota &quota, core::time_point now)
@@ -110,17 +110,17 @@
 {
     if (now < state.nextPartRequest)
         return;
-    const std::vector<std::string> all = workspacesAtHome(state, now);
+    const std::vector<std::string> homeWorkspaces = workspacesAtHome(state, now);
     const bool inUse =
             std::any_of(state.quota.workspaces.begin(), state.quota.workspaces.end(),
                         [now](const auto &each) { return now < each.second.inUseUntil; });
     state.nextPartRequest = inUse ? now + partRenewInterval : core::noDeadline;
-    for (std::size_t first = 0; first < all.size(); first += maxWorkspacesPerMessage) {
+    for (std::size_t first = 0; first < homeWorkspaces.size(); first += maxWorkspacesPerMessage) {
         peer_message message = makeMessage(state, peer_message_kind::PartRequest);
         message.askedAtUs = now.time_since_epoch().count();
-        const std::size_t last = std::min(all.size(), first + maxWorkspacesPerMessage);
-        message.workspaces.assign(all.begin() + static_cast<std::ptrdiff_t>(first),
-                                  all.begin() + static_cast<std::ptrdiff_t>(last));
+        const std::size_t last = std::min(homeWorkspaces.size(), first + maxWorkspacesPerMessage);
+        message.workspaces.assign(homeWorkspaces.begin() + static_cast<std::ptrdiff_t>(first),
+                                  homeWorkspaces.begin() + static_cast<std::ptrdiff_t>(last));
         sendToZone(state, message);
     }
 }
--- a/src/proxy/engine_promotion.cpp
+++ b/src/proxy/engine_promotion.cpp
@@ -15,13 +15,11 @@
 constexpr milliseconds tokenTimeout{ 1'500 };
 /// Shorter than the lease, so that no other daemon acts before this one has ended its attempt.
 constexpr milliseconds fencingTimeout{ 2'000 };
-constexpr milliseconds usableLeaseDuration{
-    2'700
-}; // lease of 3 s in the store, less the latency of its answer
+/// The lease in the store lasts 3 s; the difference allows for the latency of the store's answer.
+constexpr milliseconds usableLeaseDuration{ 2'700 };
 constexpr milliseconds resumeInterval{ 150 };
-constexpr milliseconds stepDownDelay{
-    400
-}; // of the old primary during fencing, if a witness does not answer
+/// If a witness does not answer, the old primary is ordered to step down after this time.
+constexpr milliseconds stepDownDelay{ 400 };
 constexpr milliseconds probeInterval{ 40 };
 constexpr milliseconds orderTimeout{ 700 };
 constexpr milliseconds leaderProbeInterval{ 60 };
@@ -29,7 +27,7 @@
 /// Retry interval while the operator has switched promotions off.
 constexpr milliseconds switchedOffRetryInterval{ 5'000 };
 /// Daemons that detect the same failure start one after the other, in an order that differs by
-/// service, so that the first one can finish before the others request a token from the store.
+/// service, so that the first one acts before the others request a token from the store.
 constexpr milliseconds startJitter{ 60 };
 constexpr milliseconds startStagger{ 90 };
 /// Daemons of a higher rank start together with the daemon of this rank.
@@ -51,17 +49,17 @@
                   std::string_view reason, core::time_point now)
 {
     const promotion_state &attempt = service.promotion;
-    decision_note line;
-    line.kind = kind;
-    line.service = service.name;
-    line.member = attempt.chosen.empty() ? attempt.oldPrimary : attempt.chosen;
-    line.reason = reason;
-    line.number = static_cast<std::int64_t>(attempt.token);
-    line.age = now - attempt.startedAt;
+    decision_note note;
+    note.kind = kind;
+    note.service = service.name;
+    note.member = attempt.chosen.empty() ? attempt.oldPrimary : attempt.chosen;
+    note.reason = reason;
+    note.number = static_cast<std::int64_t>(attempt.token);
+    note.age = now - attempt.startedAt;
     const auto report = attempt.reports.find(attempt.chosen);
     if (report != attempt.reports.end())
-        line.position = report->second.received;
-    state.out.emplace_back(std::move(line));
+        note.position = report->second.received;
+    state.out.emplace_back(std::move(note));
 }
 
 void enterPhase(promotion_state &attempt, promotion_phase phase, core::time_point until)
@@ -85,8 +83,8 @@
     promotion_state &attempt = service.promotion;
     const core::time_point earliestStartAt = attempt.earliestStartAt;
     if (earliestStartAt == core::time_point{} || now - earliestStartAt > std::chrono::seconds(2)) {
-        // First detection: wait for a delay by rank with jitter, so that one daemon acts before the
-        // others start.
+        // On the first detection, the attempt is delayed by rank and jitter, so that one daemon
+        // acts before the others start.
         attempt.earliestStartAt = now + startDelay(state, service);
         return;
     }
@@ -103,17 +101,17 @@
         return;
     }
     enterPhase(attempt, promotion_phase::QueryingPeers, now + peerQueryTimeout);
-    peer_message question;
-    question.kind = peer_message_kind::ReachQuestion;
-    question.from = state.settings.node;
-    question.incarnation = state.incarnation;
-    question.subject = service.name;
-    question.member = attempt.oldPrimary;
-    std::size_t asked = 0;
+    peer_message query;
+    query.kind = peer_message_kind::ReachQuestion;
+    query.from = state.settings.node;
+    query.incarnation = state.incarnation;
+    query.subject = service.name;
+    query.member = attempt.oldPrimary;
+    std::size_t peersAsked = 0;
     constexpr std::size_t maxPeersAsked = 16;
     for (const auto &[name, peer] : state.peers) {
-        if (asked++ < maxPeersAsked)
-            state.out.emplace_back(send_to_peer{ name, question });
+        if (peersAsked++ < maxPeersAsked)
+            state.out.emplace_back(send_to_peer{ name, query });
     }
 }
 
@@ -163,9 +161,9 @@
 {
     promotion_state &attempt = service.promotion;
     attempt.nextProbeAt = now + probeInterval;
-    const bool leaderServes = attempt.cause == promotion_cause::PrimaryDraining;
+    const bool isPrimaryDraining = attempt.cause == promotion_cause::PrimaryDraining;
     const std::set<std::string> electable = electableMembers(state, service);
-    if (leaderServes && attempt.chosen.empty()) {
+    if (isPrimaryDraining && attempt.chosen.empty()) {
         // Pausing all other replicas makes every further commit depend on the chosen one.
         core::time_point newest{};
         for (const std::string &id : electable) {
@@ -182,7 +180,7 @@
         if (id == attempt.oldPrimary || !member.listed)
             continue;
         const auto report = attempt.reports.find(id);
-        if (leaderServes && id == attempt.chosen) {
+        if (isPrimaryDraining && id == attempt.chosen) {
             orderMember(state, id, command_kind::Status, 0, now);
         } else if (report == attempt.reports.end() || report->second.pausedTerm == 0) {
             attempt.fenced.insert(id);
--- a/src/proxy/engine_quota.cpp
+++ b/src/proxy/engine_quota.cpp
@@ -63,12 +63,12 @@
 void logLoan(engine &state, const std::string &workspace, std::string_view reason,
              core::token_amount amount)
 {
-    decision_note line;
-    line.kind = note_kind::QuotaLent;
-    line.workspace = workspace;
-    line.reason = reason;
-    line.number = amount / core::oneToken;
-    state.out.emplace_back(std::move(line));
+    decision_note note;
+    note.kind = note_kind::QuotaLent;
+    note.workspace = workspace;
+    note.reason = reason;
+    note.number = amount / core::oneToken;
+    state.out.emplace_back(std::move(note));
 }
 
 void requestFromOtherHomes(engine &state, workspace_quota &quota, const std::string &workspace,
@@ -88,9 +88,9 @@
 {
     if (quota.loanRequestedAt != core::noDeadline
         && now - quota.loanRequestedAt > homeReplyTimeout) {
-        const auto silent = state.peers.find(homeOf(state, quota, now));
-        if (silent != state.peers.end())
-            silent->second.homeSilentUntil = now + silentHomeBackoff;
+        const auto silentHome = state.peers.find(homeOf(state, quota, now));
+        if (silentHome != state.peers.end())
+            silentHome->second.homeSilentUntil = now + silentHomeBackoff;
         quota.loanRequestedAt = core::noDeadline;
     }
     const std::string home = homeOf(state, quota, now);
@@ -154,9 +154,9 @@
         finishRefused(state, who, refusal_reason::RateExceeded, now, timeUntilToken(*quota, now));
         return false;
     }
-    const auto via = state.config->routes.find(who.database);
+    const auto routeEntry = state.config->routes.find(who.database);
     what.awaitsToken = true;
-    what.waitUntil = now + via->second.latencyObjective / tokenWaitDivisor;
+    what.waitUntil = now + routeEntry->second.latencyObjective / tokenWaitDivisor;
     quota->waitingSessions.push_back(who.id);
     return false;
 }
@@ -166,11 +166,11 @@
     workspace_quota *quota = findLimitedQuota(state.quota, workspace);
     while (quota != nullptr && !quota->waitingSessions.empty()) {
         session *who = findSession(state, quota->waitingSessions.front());
-        const bool waits = who != nullptr && who->current && who->current->awaitsToken;
-        if (waits && !admit(*quota, now))
+        const bool isWaiting = who != nullptr && who->current && who->current->awaitsToken;
+        if (isWaiting && !admit(*quota, now))
             return;
         quota->waitingSessions.pop_front();
-        if (!waits)
+        if (!isWaiting)
             continue;
         who->current->awaitsToken = false;
         who->current->admitted = true;
@@ -250,14 +250,14 @@
 void acceptLoanFromOtherZone(engine &state, workspace_quota &quota, const peer_message &message,
                              core::time_point now)
 {
-    core::token_amount left = addTokensWithOverflow(quota, message.amount, now);
+    core::token_amount excess = addTokensWithOverflow(quota, message.amount, now);
     admitWaitingOperations(state, message.subject, now);
     serveWaitingLoans(state, quota, message.subject, now);
     // The tokens just handed out have made room in the bucket.
-    left = addTokens(quota, left, now);
+    excess = addTokens(quota, excess, now);
     admitWaitingOperations(state, message.subject, now);
-    if (left > 0)
-        sendLoanReturn(state, message.from, message.subject, left);
+    if (excess > 0)
+        sendLoanReturn(state, message.from, message.subject, excess);
 }
 
 } // namespace
--- a/src/proxy/quota.cpp
+++ b/src/proxy/quota.cpp
@@ -262,8 +262,8 @@
     const auto waiting =
             static_cast<token_amount>(quota.waitingSessions.size() + quota.loans.size());
     const token_amount room = std::max(quota.bucket.capacity, overflowCapacity(quota));
-    const token_amount asked = std::min(std::max(2 * reserve, oneToken), room);
-    return std::max(minLoan, std::max({ asked, oneToken, waiting * oneToken }) - level);
+    const token_amount requested = std::min(std::max(2 * reserve, oneToken), room);
+    return std::max(minLoan, std::max({ requested, oneToken, waiting * oneToken }) - level);
 }
 
 token_amount takeForZonePeer(workspace_quota &quota, token_amount amount, core::time_point now)
@@ -316,15 +316,15 @@
 token_amount addTokensWithOverflow(workspace_quota &quota, token_amount amount,
                                    core::time_point now)
 {
-    const token_amount left = addTokens(quota, amount, now);
+    const token_amount excess = addTokens(quota, amount, now);
     const token_amount room =
             std::max<token_amount>(0, overflowCapacity(quota) - quota.overflowTokens);
     if (quota.overflowTokens == 0) {
         quota.minOverflowTokens = 0;
         quota.overflowExpiresAt = now + 2 * returnInterval;
     }
-    quota.overflowTokens += std::min(left, room);
-    return std::max<token_amount>(0, left - room);
+    quota.overflowTokens += std::min(excess, room);
+    return std::max<token_amount>(0, excess - room);
 }
 
 } // namespace fuchsiagw::proxy
--- a/tests/quota-cluster.hpp
+++ b/tests/quota-cluster.hpp
@@ -100,20 +100,23 @@
     }
 
     std::uint64_t randomBelow(std::uint64_t count) { return random() % count; }
-    bool randomChance(double share) { return std::generate_canonical<double, 30>(random) < share; }
+    bool withProbability(double probability)
+    {
+        return std::generate_canonical<double, 30>(random) < probability;
+    }
 
     void setLimit(double rate, double burstSize)
     {
         manifest next;
         next.version = manifests.size() + 1;
-        route entry;
-        entry.database = "own";
-        entry.service = "books";
-        entry.kind = consistency::ReadYourWrites;
-        entry.statementTimeout = milliseconds(800);
-        entry.latencyObjective = milliseconds(200);
-        entry.maxStaleness = milliseconds(1'500);
-        next.routes.emplace(entry.database, entry);
+        route routeEntry;
+        routeEntry.database = "own";
+        routeEntry.service = "books";
+        routeEntry.kind = consistency::ReadYourWrites;
+        routeEntry.statementTimeout = milliseconds(800);
+        routeEntry.latencyObjective = milliseconds(200);
+        routeEntry.maxStaleness = milliseconds(1'500);
+        next.routes.emplace(routeEntry.database, routeEntry);
         service_entry service;
         service.name = "books";
         service.maxConnections = 100'000;
@@ -219,7 +222,7 @@
     void sendDatagram(const cluster_daemon &from, const send_to_peer &order)
     {
         const auto to = daemons.find(order.peer);
-        if (to == daemons.end() || !canReach(from, to->second) || randomChance(0.001))
+        if (to == daemons.end() || !canReach(from, to->second) || withProbability(0.001))
             return;
         const milliseconds delay{ from.zone == to->second.zone ? 1 : 3 + randomBelow(2) };
         network.push_back({ order.peer, order.message, now + delay });
@@ -243,7 +246,7 @@
         daemon.nextReadAt = now + milliseconds(part == 0 ? 800 : 10);
         if (daemon.isolated || daemon.storeUnreachable)
             return;
-        const milliseconds delay{ randomChance(0.1) ? 2'000 + randomBelow(4'000) : 8 };
+        const milliseconds delay{ withProbability(0.1) ? 2'000 + randomBelow(4'000) : 8 };
         writes.push_back({ daemon.name,
                            { daemon.zone, daemon.state->incarnation, part, 0 },
                            daemon.ownVersion,
@@ -338,14 +341,14 @@
         }
         for (auto &[name, daemon] : daemons) {
             const double each = offeredPerSecond / static_cast<double>(daemons.size()) / 1'000;
-            if (randomChance(each) && isRunning(daemon))
+            if (withProbability(each) && isRunning(daemon))
                 submitOperation(daemon);
         }
     }
 
-    void advance(milliseconds duration)
+    void advance(milliseconds timespan)
     {
-        for (const core::time_point end = now + duration; now < end;)
+        for (const core::time_point end = now + timespan; now < end;)
             step();
     }
 
@@ -393,8 +396,7 @@
                               [&](core::time_point at) { return at >= from && at < to; }));
     }
 
-    /// Bound in a window that the acceptance criteria set: rate and burst plus 10 %, plus 20
-    /// operations.
+    /// Accepted number of operations in a window: 10 % more than rate and burst allow, plus 20.
     static std::size_t maxAllowedInWindow(double rate, double burstSize)
     {
         constexpr double overage = 1.1;
--- a/tests/unit-quota-cluster.cpp
+++ b/tests/unit-quota-cluster.cpp
@@ -185,7 +185,7 @@
             cluster.advance(milliseconds(500 + cluster.randomBelow(2'500)));
             injectFault(cluster, isolated);
             cluster.advance(milliseconds(1'000 + cluster.randomBelow(5'000)));
-            if (cluster.randomChance(0.6))
+            if (cluster.withProbability(0.6))
                 clearFaults(cluster, isolated);
         }
         checkLimit(cluster, seed);
