--- a/include/fuchsiagw/proxy/promotion.hpp
+++ b/include/fuchsiagw/proxy/promotion.hpp
@@ -27,7 +27,7 @@
     None,
     QueryingPeers, ///< peers are asked whether they can reach the primary
     DrawingToken, ///< waiting for the fencing token from the store
-    Fencing, ///< replicas are paused or the primary stepped down
+    Fencing, ///< members are paused or stepped down, and report positions
     Ordering, ///< waiting for the platform to accept the promotion
     AwaitingLeader, ///< waiting until the new primary reports that it leads
 };
@@ -76,11 +76,10 @@
     std::set<std::string> peersNotReaching; ///< peers that can't reach the old primary
     bool orderSent = false; ///< a promotion was ordered and may still take effect
     bool stepDownSent = false; ///< the old primary was ordered to step down
-    core::time_point leaseUntil{}; ///< no other daemon gets a fencing token before
+    core::time_point leaseUntil{}; ///< no other daemon gets a fencing token before then
     std::set<std::string> replicasToResume; ///< replicas that have not confirmed that they resumed
     core::time_point nextResumeAt = core::noDeadline;
-    core::time_point nextProbeAt =
-            core::noDeadline; ///< next status or fencing order to the members
+    core::time_point nextProbeAt = core::noDeadline; ///< next repetition of orders to members
 };
 
 /// Result of the choice of a new primary.
--- a/tests/quota-cluster.hpp
+++ b/tests/quota-cluster.hpp
@@ -361,7 +361,7 @@
     }
 
     /// Selects daemons at random, reproducibly for a seed.
-    std::vector<std::string> drawDaemons(std::size_t count)
+    std::vector<std::string> selectDaemons(std::size_t count)
     {
         std::vector<std::string> all = names();
         std::shuffle(all.begin(), all.end(), random);
@@ -369,10 +369,10 @@
         return all;
     }
 
-    void setIsolated(const std::vector<std::string> &which, bool cut)
+    void setIsolated(const std::vector<std::string> &selected, bool isolated)
     {
-        for (const std::string &name : which)
-            daemons.at(name).isolated = cut;
+        for (const std::string &name : selected)
+            daemons.at(name).isolated = isolated;
     }
 
     /// @return the maximum number of operations that were admitted in any window after @p from
--- a/tests/unit-quota-cluster.cpp
+++ b/tests/unit-quota-cluster.cpp
@@ -42,7 +42,7 @@
 /// end within a few seconds.
 void injectFault(quota_cluster &cluster, std::vector<std::string> &isolated)
 {
-    const std::vector<std::string> selected = cluster.drawDaemons(1 + cluster.randomBelow(4));
+    const std::vector<std::string> selected = cluster.selectDaemons(1 + cluster.randomBelow(4));
     switch (cluster.randomBelow(7)) {
     case 0:
     case 1:
@@ -92,7 +92,7 @@
 TEST(quota_cluster, isolatedDaemonsStayWithinLimit)
 {
     checkLimitAfterFault([](quota_cluster &cluster) {
-        const std::vector<std::string> isolated = cluster.drawDaemons(3);
+        const std::vector<std::string> isolated = cluster.selectDaemons(3);
         cluster.setIsolated(isolated, true);
         cluster.advance(milliseconds(9'000));
         cluster.setIsolated(isolated, false);
@@ -105,7 +105,7 @@
 TEST(quota_cluster, slowDaemonsStayWithinLimit)
 {
     checkLimitAfterFault([](quota_cluster &cluster) {
-        for (const std::string &name : cluster.drawDaemons(4))
+        for (const std::string &name : cluster.selectDaemons(4))
             cluster.daemons.at(name).slowUntil = cluster.now + milliseconds(8'000);
         cluster.advance(milliseconds(14'000));
     });
@@ -117,7 +117,7 @@
 {
     checkLimitAfterFault([](quota_cluster &cluster) {
         for (int i = 0; i < 3; ++i) {
-            for (const std::string &name : cluster.drawDaemons(4))
+            for (const std::string &name : cluster.selectDaemons(4))
                 cluster.daemons.at(name).suspendedUntil = cluster.now + milliseconds(2'500);
             cluster.advance(milliseconds(4'000));
         }
@@ -130,7 +130,7 @@
 TEST(quota_cluster, daemonsWithDifferentListsStayWithinLimit)
 {
     checkLimitAfterFault([](quota_cluster &cluster) {
-        for (const std::string &name : cluster.drawDaemons(4))
+        for (const std::string &name : cluster.selectDaemons(4))
             cluster.daemons.at(name).storeUnreachable = true;
         for (int i = 0; i < 9; ++i)
             cluster.addDaemon("new" + std::to_string(i), "z" + std::to_string(i / 3));
@@ -144,7 +144,7 @@
 {
     checkLimitAfterFault([](quota_cluster &cluster) {
         for (int i = 0; i < 4; ++i) {
-            for (const std::string &name : cluster.drawDaemons(5))
+            for (const std::string &name : cluster.selectDaemons(5))
                 cluster.kill(name, milliseconds(300));
             cluster.advance(milliseconds(2'500));
         }
@@ -163,7 +163,7 @@
         cluster.setLimit(lowered, lowered);
         cluster.advance(milliseconds(3'500));
         const core::time_point inForce = cluster.now;
-        const std::vector<std::string> isolated = cluster.drawDaemons(3);
+        const std::vector<std::string> isolated = cluster.selectDaemons(3);
         cluster.setIsolated(isolated, true);
         cluster.advance(milliseconds(12'000));
         cluster.setIsolated(isolated, false);
