--- a/tests/unit-quota.cpp
+++ b/tests/unit-quota.cpp
@@ -80,8 +80,8 @@
         return tryToAdmit(node, now, zonesConnected);
     }
 
-    /// Requests an operation that waits for a token as on a route with a latency objective of 200
-    /// ms.
+    /// Requests an operation that waits for a token, as on a route with a latency objective of
+    /// 200 ms.
     bool runOperationWithRetries(const std::string &node, core::time_point now)
     {
         countDemand(quotaOf(node), 1, now);
@@ -156,16 +156,16 @@
 {
     quota_simulation simulation(4, 20, 20, 20);
     std::mt19937 random(3);
-    int asked = 0;
+    int requested = 0;
     int admitted = 0;
     for (int time = 2000; time < 22'000; time += 62) {
-        ++asked;
+        ++requested;
         admitted += simulation.runOperation(
                             simulation.nodes[random() % simulation.nodes.size()].node, at(time))
                             ? 1
                             : 0;
     }
-    CHECK_TRUE(admitted >= 0.97 * asked);
+    CHECK_TRUE(admitted >= 0.97 * requested);
 }
 
 // Guards against a zone that stops serving when it is cut off from the others: it keeps its part of
