--- a/src/proxy/engine_parts.cpp
+++ b/src/proxy/engine_parts.cpp
@@ -25,7 +25,7 @@
 bool answersLoanRequests(const engine &state, const std::string &home, core::time_point now)
 {
     const auto peer = state.peers.find(home);
-    return peer != state.peers.end() && peer->second.homeSilentUntil <= now;
+    return peer != state.peers.end() && peer->second.homeAvoidedUntil <= now;
 }
 
 /// @return whether this daemon or a reachable one is preferred over @p home
--- a/src/proxy/engine_promotion.cpp
+++ b/src/proxy/engine_promotion.cpp
@@ -74,7 +74,7 @@
     enterPhase(attempt, promotion_phase::DrawingToken, now + tokenTimeout);
     // Counted from the request; the lease in the store starts later, when the store answers.
     attempt.leaseUntil = now + usableLeaseDuration;
-    state.out.emplace_back(draw_token{ service.name });
+    state.out.emplace_back(acquire_fencing_token{ service.name });
 }
 
 void beginAttempt(engine &state, service_state &service, promotion_cause cause,
@@ -102,7 +102,7 @@
     }
     enterPhase(attempt, promotion_phase::QueryingPeers, now + peerQueryTimeout);
     peer_message query;
-    query.kind = peer_message_kind::ReachQuestion;
+    query.kind = peer_message_kind::ReachabilityRequest;
     query.from = state.settings.node;
     query.incarnation = state.incarnation;
     query.subject = service.name;
@@ -137,7 +137,7 @@
         return;
     }
     for (const std::string &each : attempt.replicasToResume)
-        orderMember(state, each, command_kind::ResumeReceiving, 0, now);
+        sendControlCommand(state, each, command_kind::ResumeReceiving, 0, now);
 }
 
 /// @brief Ends an attempt and resumes the replicas that it paused, unless an ordered promotion may
@@ -168,10 +168,10 @@
         core::time_point newest{};
         for (const std::string &id : electable) {
             const member_state &member = state.members.at(id);
-            const bool better = attempt.chosen.empty() || member.lastAnswer > newest;
+            const bool better = attempt.chosen.empty() || member.lastAnswerAt > newest;
             if (member.silentSince == core::noDeadline && better) {
                 attempt.chosen = id;
-                newest = member.lastAnswer;
+                newest = member.lastAnswerAt;
             }
         }
     }
@@ -181,10 +181,10 @@
             continue;
         const auto report = attempt.reports.find(id);
         if (isPrimaryDraining && id == attempt.chosen) {
-            orderMember(state, id, command_kind::Status, 0, now);
+            sendControlCommand(state, id, command_kind::Status, 0, now);
         } else if (report == attempt.reports.end() || report->second.pausedTerm == 0) {
             attempt.fenced.insert(id);
-            orderMember(state, id, command_kind::PauseReceiving, attempt.fenceTerm, now);
+            sendControlCommand(state, id, command_kind::PauseReceiving, attempt.fenceTerm, now);
         }
     }
 }
@@ -202,9 +202,9 @@
     // the old primary's answer does.
     attempt.reports.clear();
     for (const std::string &each : attempt.fenced)
-        orderMember(state, each, command_kind::ResumeReceiving, 0, now);
+        sendControlCommand(state, each, command_kind::ResumeReceiving, 0, now);
     // A resume order that gets lost is repeated at the end of the attempt.
-    orderMember(state, attempt.oldPrimary, command_kind::StepDown, attempt.fenceTerm, now);
+    sendControlCommand(state, attempt.oldPrimary, command_kind::StepDown, attempt.fenceTerm, now);
 }
 
 /// @return whether the attempt has not ordered a promotion yet and assumes that no member leads
@@ -279,10 +279,10 @@
         if (attempt.stepDownSent) {
             attempt.nextProbeAt = now + probeInterval;
             for (const std::string &each : electableMembers(state, service))
-                orderMember(state, each, command_kind::Status, 0, now);
+                sendControlCommand(state, each, command_kind::Status, 0, now);
             if (!attempt.reports.contains(attempt.oldPrimary))
-                orderMember(state, attempt.oldPrimary, command_kind::StepDown, attempt.fenceTerm,
-                            now);
+                sendControlCommand(state, attempt.oldPrimary, command_kind::StepDown,
+                                   attempt.fenceTerm, now);
         } else {
             fenceReplicas(state, service, now);
         }
@@ -342,7 +342,7 @@
         }
         if (now >= attempt.nextProbeAt) {
             attempt.nextProbeAt = now + leaderProbeInterval;
-            orderMember(state, attempt.chosen, command_kind::Status, 0, now);
+            sendControlCommand(state, attempt.chosen, command_kind::Status, 0, now);
         }
     }
 }
@@ -366,8 +366,8 @@
     return due;
 }
 
-void onTokenDrawn(engine &state, const std::string &serviceName, std::uint64_t token,
-                  core::time_point now)
+void onTokenAcquired(engine &state, const std::string &serviceName, std::uint64_t token,
+                     core::time_point now)
 {
     service_state *service = findService(state, serviceName);
     if (service == nullptr || service->promotion.phase != promotion_phase::DrawingToken)
@@ -402,8 +402,8 @@
     fenceReplicas(state, *service, now);
 }
 
-void onTokenHeld(engine &state, const std::string &serviceName, core::time_point until,
-                 core::time_point now)
+void onTokenHeldElsewhere(engine &state, const std::string &serviceName, core::time_point until,
+                          core::time_point now)
 {
     service_state *service = findService(state, serviceName);
     if (service == nullptr || service->promotion.phase != promotion_phase::DrawingToken)
@@ -412,7 +412,7 @@
     service->promotion.earliestStartAt = until + startDelay(state, *service);
 }
 
-void onPromotionsOff(engine &state, const std::string &serviceName, core::time_point now)
+void onPromotionsDisabled(engine &state, const std::string &serviceName, core::time_point now)
 {
     service_state *service = findService(state, serviceName);
     if (service == nullptr || service->promotion.phase != promotion_phase::DrawingToken)
@@ -464,7 +464,7 @@
     } else if (attempt.phase == promotion_phase::None
                && !attempt.replicasToResume.contains(memberId)) {
         service->pausedSince.try_emplace(memberId, now);
-        suspectReplicas(*service, now);
+        scheduleReplicaCheck(*service, now);
     }
     if (attempt.phase == promotion_phase::None)
         return;
--- a/src/proxy/engine_quota.cpp
+++ b/src/proxy/engine_quota.cpp
@@ -90,7 +90,7 @@
         && now - quota.loanRequestedAt > homeReplyTimeout) {
         const auto silentHome = state.peers.find(homeOf(state, quota, now));
         if (silentHome != state.peers.end())
-            silentHome->second.homeSilentUntil = now + silentHomeBackoff;
+            silentHome->second.homeAvoidedUntil = now + silentHomeBackoff;
         quota.loanRequestedAt = core::noDeadline;
     }
     const std::string home = homeOf(state, quota, now);
@@ -151,7 +151,7 @@
         return true;
     }
     if (now < quota->homeEmptyUntil) {
-        finishRefused(state, who, refusal_reason::RateExceeded, now, timeUntilToken(*quota, now));
+        refuseRequest(state, who, refusal_reason::RateExceeded, now, timeUntilToken(*quota, now));
         return false;
     }
     const auto routeEntry = state.config->routes.find(who.database);
--- a/src/proxy/promotion_choice.cpp
+++ b/src/proxy/promotion_choice.cpp
@@ -79,7 +79,7 @@
         // The log of this removed replica is lost. Commits up to a position that the primary
         // reached after the removal are stored elsewhere: a member that has received this position
         // has everything that the removed replica held.
-        const auto after = positionSince(service.positions, member.goneAt);
+        const auto after = positionSince(service.positions, member.removedAt);
         const bool covered =
                 after
                 && std::any_of(service.promotion.reports.begin(), service.promotion.reports.end(),
@@ -93,7 +93,7 @@
 std::optional<promotion_cause> findPromotionCause(engine &state, service_state &service,
                                                   core::time_point now)
 {
-    if (!state.directoryKnown || state.stopping || !state.config
+    if (!state.memberListLoaded || state.stopping || !state.config
         || !state.config->services.contains(service.name) || service.members.empty())
         return std::nullopt;
     const member_state *leader = findMember(state, service.leader);
