--- a/include/fuchsiagw/daemon/relay_server.hpp
+++ b/include/fuchsiagw/daemon/relay_server.hpp
@@ -64,7 +64,7 @@
     void open(const std::string &memberId, const std::string &workspace);
     void lend(proxy::borrower_id borrowerId, proxy::pooled_id pooledId);
     void clean(proxy::pooled_id id);
-    void closePooled(proxy::pooled_id id, bool politely);
+    void closePooled(proxy::pooled_id id, bool graceful);
     /// @param code ConnectionLimit: none is free; Misrouted: this daemon does not lend now
     void refuse(proxy::borrower_id id, proxy::reply_code code);
     void advance(const std::string &memberId);
--- a/include/fuchsiagw/daemon/session_gateway.hpp
+++ b/include/fuchsiagw/daemon/session_gateway.hpp
@@ -59,7 +59,7 @@
     void onDatagram(std::string_view bytes);
     void onInstances(const std::vector<listed_instance> &list);
 
-    /// @brief Carries out what the engine asked for, and plans the next call of onTime().
+    /// @brief Carries out what the engine asked for, and plans the next call of onTimer().
     void perform();
     void perform(const proxy::send_to_caller &order);
     void perform(const proxy::close_caller &order);
@@ -68,7 +68,7 @@
     void perform(const proxy::close_link &order);
     void perform(const proxy::refresh_directory &order);
     void perform(const proxy::refresh_manifest &order);
-    void perform(const proxy::draw_token &order);
+    void perform(const proxy::acquire_fencing_token &order);
     void perform(const proxy::order_promotion &order);
     void perform(const proxy::send_to_peer &order);
     void perform(const proxy::claim_part &order);
--- a/include/fuchsiagw/detail/engine_steps.hpp
+++ b/include/fuchsiagw/detail/engine_steps.hpp
@@ -64,7 +64,7 @@
 /// @brief Ends the current request with an answer and starts the next statement that waits.
 void finish(engine &state, session &who, reply answer, core::time_point now);
 /// @brief Ends the current request with a refusal of the proxy's own.
-void finishRefused(engine &state, session &who, refusal_reason reason, core::time_point now,
+void refuseRequest(engine &state, session &who, refusal_reason reason, core::time_point now,
                    core::duration comeBackAfter = {});
 
 /// @brief Puts the current request into its service's queue, or keeps it there.
@@ -85,11 +85,12 @@
 link_id openLink(engine &state, member_state &member, const std::string &workspace, bool direct,
                  core::time_point now);
 /// @return the daemon that keeps the connections of a member for all others; may be this one
-[[nodiscard]] std::string keeperOf(const engine &state, member_state &member, core::time_point now);
+[[nodiscard]] std::string relayNodeFor(const engine &state, member_state &member,
+                                       core::time_point now);
 void sendRequest(engine &state, upstream_link &link, session &who, core::time_point now);
 /// @brief Sends the first statement of a transaction that the member has begun.
 void sendAfterBegin(engine &state, upstream_link &link, const session &who, core::time_point now);
-void closeLink(engine &state, link_id id, bool politely, core::time_point now);
+void closeLink(engine &state, link_id id, bool graceful, core::time_point now);
 /// @brief Makes a link that owes no answer available again.
 void releaseLink(engine &state, upstream_link &link, core::time_point now);
 /// @brief Ends the transaction on a link whose session no longer wants it.
@@ -111,8 +112,8 @@
 void adoptClaimedLeader(engine &state, service_state &service, core::time_point now);
 
 /// @brief Sends an order of the proxy's own over the member's control connection.
-void orderMember(engine &state, const std::string &member, command_kind kind,
-                 core::term_number term, core::time_point now);
+void sendControlCommand(engine &state, const std::string &member, command_kind kind,
+                        core::term_number term, core::time_point now);
 /// @return the place of this daemon among those that look after a service; it only changes with the
 /// daemons that take part
 [[nodiscard]] std::size_t rankOf(const engine &state, service_state &service);
@@ -129,7 +130,7 @@
 /// @brief Asks replicas whether they receive, so that none stays paused by an attempt that ended.
 void checkReplicas(engine &state, core::time_point now);
 /// @brief Writes are not acknowledged: the replicas are asked soon.
-void suspectReplicas(service_state &service, core::time_point now);
+void scheduleReplicaCheck(service_state &service, core::time_point now);
 /// @brief An answer to an order of the proxy's own.
 void onControlAnswer(engine &state, const std::string &member, const reply &answer,
                      core::time_point sentAt, core::time_point now);
--- a/include/fuchsiagw/proxy/action.hpp
+++ b/include/fuchsiagw/proxy/action.hpp
@@ -46,7 +46,7 @@
 struct close_link
 {
     link_id link = 0;
-    bool politely = false; ///< tells the member first
+    bool graceful = false; ///< tells the member first
 };
 
 /// The list of members may be out of date.
@@ -57,8 +57,8 @@
 struct refresh_manifest
 { };
 
-/// A compare-and-set on the service's promotion row; answered with onTokenDrawn().
-struct draw_token
+/// A compare-and-set on the service's promotion row; answered with onTokenAcquired().
+struct acquire_fencing_token
 {
     std::string service;
 };
@@ -85,7 +85,7 @@
 };
 
 using action = std::variant<send_to_caller, close_caller, open_link, send_to_member, close_link,
-                            refresh_directory, refresh_manifest, draw_token, order_promotion,
-                            send_to_peer, claim_part, decision_note>;
+                            refresh_directory, refresh_manifest, acquire_fencing_token,
+                            order_promotion, send_to_peer, claim_part, decision_note>;
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/engine.hpp
+++ b/include/fuchsiagw/proxy/engine.hpp
@@ -45,10 +45,10 @@
     std::string node;
     std::string zone;
     core::time_point lastHeard{};
-    core::time_point homeSilentUntil{}; ///< as home of limits it did not answer
+    core::time_point homeAvoidedUntil{}; ///< as home of limits it did not answer
     /// It lent no connections. Kept apart: a daemon that stops lending goes on as a home, and a
     /// second home beside it would exceed the limits.
-    core::time_point keeperSilentUntil{};
+    core::time_point relayAvoidedUntil{};
     std::uint64_t manifestVersion = 0;
     core::time_point recalledAt{}; ///< no part is taken that was asked for before
     /// @name The row in the store
@@ -102,13 +102,13 @@
     std::uint64_t peersVersion = 1; ///< grows with each change of `peers`
     link_id lastLink = 0;
     std::uint64_t lastSerial = 0;
-    bool directoryKnown = false; ///< the list of members was read once
+    bool memberListLoaded = false; ///< the list of members was read once
     bool stopping = false;
-    core::time_point stopAt = core::noDeadline; ///< end of the grace period
-    core::time_point transactionsUntil = core::noDeadline; ///< half of the grace period
+    core::time_point stopDeadline = core::noDeadline; ///< end of the grace period
+    core::time_point transactionDrainDeadline = core::noDeadline; ///< half of the grace period
     core::time_point nextClosing = core::noDeadline; ///< sessions that rest are closed then
     std::size_t sessionsAtStop = 0;
-    core::time_point lastTime{}; ///< newest call of onTime()
+    core::time_point lastTime{}; ///< newest call of onTimer()
     core::time_point nextExchange{};
     core::time_point nextMaintenance{};
     limit_claim claim; ///< part of every limit that this daemon owns
@@ -129,7 +129,7 @@
     std::uint64_t version = 0; ///< of the store's row
 };
 /// @brief The list of members was read.
-void onDirectory(engine &state, const std::vector<listed_member> &list, core::time_point now);
+void onMemberList(engine &state, const std::vector<listed_member> &list, core::time_point now);
 
 /// @brief The daemons that take part were read, this one included if its row is there.
 void onInstances(engine &state, const std::vector<peer_state> &list, core::time_point now);
@@ -144,7 +144,7 @@
 void onCallerStatement(engine &state, session_id id, caller_statement statement,
                        core::time_point now);
 /// @brief The caller's connection ended.
-void onCallerGone(engine &state, session_id id, core::time_point now);
+void onCallerDisconnected(engine &state, session_id id, core::time_point now);
 
 /// @brief A member answered the oldest outstanding command of a link.
 void onMemberAnswer(engine &state, link_id id, reply answer, core::time_point now);
@@ -155,16 +155,16 @@
 
 /// @brief The store gave this daemon a fencing token, or refused.
 /// @param token 0: another daemon acts, or the store can't be reached
-void onTokenDrawn(engine &state, const std::string &service, std::uint64_t token,
-                  core::time_point now);
+void onTokenAcquired(engine &state, const std::string &service, std::uint64_t token,
+                     core::time_point now);
 
 /// @brief Another daemon has the token and acts alone.
 /// @param until no other daemon can draw a token before
-void onTokenHeld(engine &state, const std::string &service, core::time_point until,
-                 core::time_point now);
+void onTokenHeldElsewhere(engine &state, const std::string &service, core::time_point until,
+                          core::time_point now);
 
 /// @brief The operator has switched promotions off; the attempt ends without having begun anything.
-void onPromotionsOff(engine &state, const std::string &service, core::time_point now);
+void onPromotionsDisabled(engine &state, const std::string &service, core::time_point now);
 
 enum class promote_outcome : std::uint8_t {
     Ordered,
@@ -181,13 +181,13 @@
 /// @return whether this daemon is one of the few that ask the store for news at short intervals;
 /// the others hear of a newer manifest from them, also when their own feed has fallen silent
 /// @complexity linear in the daemons
-[[nodiscard]] bool watchesStore(const engine &state);
+[[nodiscard]] bool pollsStore(const engine &state);
 
 /// @brief Does what is due.
-void onTime(engine &state, core::time_point now);
+void onTimer(engine &state, core::time_point now);
 
-/// @return when onTime() is to be called next
+/// @return when onTimer() is to be called next
 /// @complexity linear in the number of active sessions and links
-[[nodiscard]] core::time_point nextDue(const engine &state);
+[[nodiscard]] core::time_point nextTimerAt(const engine &state);
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/member_state.hpp
+++ b/include/fuchsiagw/proxy/member_state.hpp
@@ -20,7 +20,7 @@
     upstream_entry entry;
     std::uint64_t roleVersion = 0; ///< version of the store's row in which its role last changed
     bool listed = true; ///< false: its entry is gone; it gets no new work
-    core::time_point goneAt{}; ///< while not listed
+    core::time_point removedAt{}; ///< while not listed
     core::time_point missingSince = core::noDeadline; ///< its entry is missing, but may come back
     std::set<link_id> links;
     std::vector<std::string> keepers; ///< daemons that lend its connections, in order
@@ -36,7 +36,7 @@
     core::time_point busyUntil{}; ///< it refused a statement for its queue
     core::time_point silentSince = core::noDeadline; ///< first sign that it does not answer
     core::time_point nextProbe{}; ///< while it is silent
-    core::time_point lastAnswer{}; ///< newest sign of life
+    core::time_point lastAnswerAt{}; ///< newest sign of life
     int failures = 0; ///< in a row
     double failedShare = 0; ///< smoothed part of its statements that failed
     core::time_point failedAt{}; ///< newest one
--- a/include/fuchsiagw/proxy/peer_message.hpp
+++ b/include/fuchsiagw/proxy/peer_message.hpp
@@ -18,9 +18,9 @@
     ExchangeAnswer,
     LoanRequest,
     LoanGrant,
-    LeaderNews, ///< a primary was promoted or proven a moment ago
-    ReachQuestion, ///< does the peer reach this primary?
-    ReachAnswer,
+    LeaderAnnouncement, ///< a primary was promoted or proven a moment ago
+    ReachabilityRequest, ///< does the peer reach this primary?
+    ReachabilityAnswer,
     LoanReturn, ///< tokens that were lent and not needed
     PartRequest, ///< a home asks for the parts of its zone's daemons
     PartGrant,
--- a/include/fuchsiagw/proxy/upstream_entry.hpp
+++ b/include/fuchsiagw/proxy/upstream_entry.hpp
@@ -17,7 +17,7 @@
     std::uint32_t slots = 0;
     bool draining = false;
     bool claimsPrimary = false; ///< its own view; may be out of date
-    std::uint64_t bornAtMs = 0; ///< Unix time of its start; another value means an empty memory
+    std::uint64_t startedAtMs = 0; ///< Unix time of its start; another value means an empty memory
 };
 
 } // namespace fuchsiagw::proxy
--- a/src/daemon/relay_server.cpp
+++ b/src/daemon/relay_server.cpp
@@ -305,7 +305,7 @@
     closePooled(id, false);
 }
 
-void relay_server::closePooled(proxy::pooled_id id, bool politely)
+void relay_server::closePooled(proxy::pooled_id id, bool graceful)
 {
     const auto found = pooled_.find(id);
     if (found == pooled_.end())
@@ -315,7 +315,7 @@
     const auto connection = found->second->connection;
     pooled_.erase(found);
     pools_[member].connections.erase(id);
-    if (politely) {
+    if (graceful) {
         connection->send(std::string(adapter::farewell()));
         connection->closeGently();
     } else {
@@ -390,7 +390,7 @@
         const auto known = engine_.members.find(member);
         const bool unwanted =
                 stopping_ || known == engine_.members.end() || !known->second.listed
-                || proxy::keeperOf(engine_, known->second, now) != engine_.settings.node;
+                || proxy::relayNodeFor(engine_, known->second, now) != engine_.settings.node;
         for (const auto &[id, each] : pool.connections) {
             const core::duration age = now - each.since;
             const bool stuck = each.state == proxy::pooled_state::Opening && age > openLimit;
--- a/src/daemon/session_gateway.cpp
+++ b/src/daemon/session_gateway.cpp
@@ -80,21 +80,21 @@
                   perform();
               },
                [this](const std::vector<proxy::listed_member> &list) {
-                   proxy::onDirectory(engine_, list, net::currentBootTime());
+                   proxy::onMemberList(engine_, list, net::currentBootTime());
                    perform();
                },
                [this](const std::vector<listed_instance> &list) { onInstances(list); },
                [this](const std::string &service, std::uint64_t token) {
-                   proxy::onTokenDrawn(engine_, service, token, net::currentBootTime());
+                   proxy::onTokenAcquired(engine_, service, token, net::currentBootTime());
                    perform();
                },
                [this](const std::string &service, std::chrono::milliseconds left) {
                    const core::time_point now = net::currentBootTime();
-                   proxy::onTokenHeld(engine_, service, now + left, now);
+                   proxy::onTokenHeldElsewhere(engine_, service, now + left, now);
                    perform();
                },
                [this](const std::string &service) {
-                   proxy::onPromotionsOff(engine_, service, net::currentBootTime());
+                   proxy::onPromotionsDisabled(engine_, service, net::currentBootTime());
                    perform();
                },
                [this](const std::string &service, proxy::promote_outcome outcome) {
@@ -179,7 +179,7 @@
                 [this, id](std::string_view line) { onCallerLine(id, line); },
                 [this, id] {
                     callers_.erase(id);
-                    proxy::onCallerGone(engine_, id, net::currentBootTime());
+                    proxy::onCallerDisconnected(engine_, id, net::currentBootTime());
                     perform();
                 });
         const auto connection = entry->connection;
@@ -210,7 +210,7 @@
     if (statement == nullptr || !who.opened) {
         // The end of the session, or bytes that are not of the protocol.
         perform(proxy::close_caller{ id });
-        proxy::onCallerGone(engine_, id, now);
+        proxy::onCallerDisconnected(engine_, id, now);
         perform();
         return;
     }
@@ -276,7 +276,7 @@
         peers.push_back(std::move(peer));
     }
     proxy::onInstances(engine_, peers, net::currentBootTime());
-    store_.setWatching(proxy::watchesStore(engine_));
+    store_.setWatching(proxy::pollsStore(engine_));
     perform();
 }
 
@@ -313,7 +313,7 @@
         who.connection->close();
         const proxy::session_id id = order.session;
         callers_.erase(found);
-        proxy::onCallerGone(engine_, id, net::currentBootTime());
+        proxy::onCallerDisconnected(engine_, id, net::currentBootTime());
     }
 }
 
@@ -398,7 +398,7 @@
     if (found == upstreams_.end())
         return;
     const auto connection = found->second->connection;
-    if (order.politely) {
+    if (order.graceful) {
         connection->send(std::string(adapter::farewell()));
         connection->closeGently();
     } else {
@@ -417,7 +417,7 @@
     store_.refreshManifest();
 }
 
-void session_gateway::perform(const proxy::draw_token &order)
+void session_gateway::perform(const proxy::acquire_fencing_token &order)
 {
     store_.drawToken(order.service);
 }
@@ -452,7 +452,7 @@
 
 void session_gateway::plan()
 {
-    const core::time_point due = proxy::nextDue(engine_);
+    const core::time_point due = proxy::nextTimerAt(engine_);
     if (due >= planned_ && planned_ != core::noDeadline)
         return;
     planned_ = due;
@@ -462,7 +462,7 @@
         if (error)
             return;
         planned_ = core::noDeadline;
-        proxy::onTime(engine_, net::currentBootTime());
+        proxy::onTimer(engine_, net::currentBootTime());
         perform();
     });
 }
@@ -481,9 +481,10 @@
         return;
     constexpr std::chrono::milliseconds lastMoment{ 400 };
     const core::time_point now = net::currentBootTime();
-    const bool idle = engine_.sessions.empty() && !relay_.isBusy()
-                      && now >= engine_.transactionsUntil; // the balancer still sends callers here
-    if (!idle && now < engine_.stopAt - lastMoment)
+    const bool idle =
+            engine_.sessions.empty() && !relay_.isBusy()
+            && now >= engine_.transactionDrainDeadline; // the balancer still sends callers here
+    if (!idle && now < engine_.stopDeadline - lastMoment)
         return;
     const auto done = std::exchange(stopped_, nullptr);
     store_.stop();
--- a/src/proxy/engine_answers.cpp
+++ b/src/proxy/engine_answers.cpp
@@ -49,7 +49,7 @@
 
 void noteAlive(member_state &member, core::time_point now)
 {
-    member.lastAnswer = now;
+    member.lastAnswerAt = now;
     member.silentSince = core::noDeadline;
     member.failures = 0;
 }
@@ -285,7 +285,7 @@
     if (answer.code != reply_code::ConnectionLimit && !link.via.empty()) {
         // It is stopping, or does not know the member yet; the next one in order is asked.
         if (keeper != state.peers.end())
-            keeper->second.keeperSilentUntil = now + keeperLeaves;
+            keeper->second.relayAvoidedUntil = now + keeperLeaves;
         return;
     }
     if (member == nullptr)
@@ -328,7 +328,7 @@
         return;
     }
     if (who->state == transaction_state::Idle) {
-        finishRefused(state, *who, refusal_reason::AnswerLost, now);
+        refuseRequest(state, *who, refusal_reason::AnswerLost, now);
         return;
     }
     const bool commits = what->statement.kind == statement_kind::Commit;
@@ -337,7 +337,7 @@
         who->transaction.reset();
     else
         who->transaction->link = 0;
-    finishRefused(state, *who,
+    refuseRequest(state, *who,
                   commits ? refusal_reason::AnswerLost : refusal_reason::TransactionLost, now);
 }
 
@@ -417,7 +417,7 @@
             avoid(state, *member, "no_connection", now);
         const auto keeper = state.peers.find(link.via);
         if (opening && !link.tainted && keeper != state.peers.end())
-            keeper->second.keeperSilentUntil = now + keeperPause;
+            keeper->second.relayAvoidedUntil = now + keeperPause;
     }
     if (link.pinnedTo != 0) {
         session *who = findSession(state, link.pinnedTo);
--- a/src/proxy/engine_callers.cpp
+++ b/src/proxy/engine_callers.cpp
@@ -47,7 +47,7 @@
 void begin(engine &state, session &who, bool readOnly, core::time_point now)
 {
     if (who.state != transaction_state::Idle) {
-        finishRefused(state, who, refusal_reason::OutOfPlace, now);
+        refuseRequest(state, who, refusal_reason::OutOfPlace, now);
         return;
     }
     if (!admitOperation(state, who, now))
@@ -83,7 +83,7 @@
         who.transaction.reset();
     else
         who.transaction->lost = false;
-    finishRefused(state, who, reason, now);
+    refuseRequest(state, who, reason, now);
     return true;
 }
 
@@ -93,7 +93,7 @@
     if (what.statement.kind == statement_kind::Execute) {
         const auto prepared = who.prepared.find(what.statement.name);
         if (prepared == who.prepared.end()) {
-            finishRefused(state, who, refusal_reason::PreparedUnknown, now);
+            refuseRequest(state, who, refusal_reason::PreparedUnknown, now);
             return;
         }
         what.statement.prepared = prepared->second;
@@ -119,12 +119,12 @@
 void commit(engine &state, session &who, core::time_point now)
 {
     if (who.state == transaction_state::Idle) {
-        finishRefused(state, who, refusal_reason::OutOfPlace, now);
+        refuseRequest(state, who, refusal_reason::OutOfPlace, now);
         return;
     }
     if (who.state == transaction_state::Failed) {
         endWithoutCommit(state, who, now);
-        finishRefused(state, who, refusal_reason::TransactionLost, now);
+        refuseRequest(state, who, refusal_reason::TransactionLost, now);
         return;
     }
     run(state, who, now);
@@ -133,7 +133,7 @@
 void rollback(engine &state, session &who, core::time_point now)
 {
     if (who.state == transaction_state::Idle) {
-        finishRefused(state, who, refusal_reason::OutOfPlace, now);
+        refuseRequest(state, who, refusal_reason::OutOfPlace, now);
         return;
     }
     endWithoutCommit(state, who, now);
@@ -148,7 +148,7 @@
     else if (statement.kind == statement_kind::Prepare)
         who.prepared[statement.name] = statement.prepared;
     else if (who.prepared.erase(statement.name) == 0) {
-        finishRefused(state, who, refusal_reason::PreparedUnknown, now);
+        refuseRequest(state, who, refusal_reason::PreparedUnknown, now);
         return;
     }
     finish(state, who, ownSuccess(who.state), now);
@@ -165,7 +165,7 @@
         return;
     const bool ends = kind == statement_kind::Commit;
     if (kind == statement_kind::Malformed || (who.state == transaction_state::Failed && !ends)) {
-        finishRefused(state, who, refusal_reason::OutOfPlace, now);
+        refuseRequest(state, who, refusal_reason::OutOfPlace, now);
         return;
     }
     switch (kind) {
@@ -198,15 +198,15 @@
     if (who.transaction)
         who.transaction->idleUntil = core::noDeadline;
     if (who.state == transaction_state::Idle && state.stopping
-        && now >= state.stopAt - lastOperation) {
+        && now >= state.stopDeadline - lastOperation) {
         who.closing = true;
-        finishRefused(state, who, refusal_reason::Stopping, now);
+        refuseRequest(state, who, refusal_reason::Stopping, now);
         return;
     }
     if (who.state == transaction_state::Idle) {
         if (const auto refused = checkAccess(state, who)) {
             who.closing = *refused != refusal_reason::NotConfigured;
-            finishRefused(state, who, *refused, now);
+            refuseRequest(state, who, *refused, now);
             return;
         }
     }
@@ -224,7 +224,8 @@
     auto refused = checkAccess(state, who);
     if (!refused && state.sessions.size() >= state.settings.maxSessions)
         refused = refusal_reason::TooManySessions;
-    if (state.stopping && now >= state.stopAt - state.settings.gracePeriod + idleSessionsUntil)
+    if (state.stopping
+        && now >= state.stopDeadline - state.settings.gracePeriod + idleSessionsUntil)
         refused = refusal_reason::Stopping;
     if (refused) {
         ++state.counters.refused.at(static_cast<std::size_t>(*refused));
@@ -262,10 +263,10 @@
         return;
     }
     state.out.emplace_back(close_caller{ id });
-    onCallerGone(state, id, now);
+    onCallerDisconnected(state, id, now);
 }
 
-void onCallerGone(engine &state, session_id id, core::time_point now)
+void onCallerDisconnected(engine &state, session_id id, core::time_point now)
 {
     session *who = findSession(state, id);
     if (who == nullptr)
@@ -302,7 +303,7 @@
     const session_id id = who.id;
     if (who.closing) {
         state.out.emplace_back(close_caller{ id });
-        onCallerGone(state, id, now);
+        onCallerDisconnected(state, id, now);
         return;
     }
     if (who.waiting.empty())
@@ -312,7 +313,7 @@
     start(state, who, std::move(next), now);
 }
 
-void finishRefused(engine &state, session &who, refusal_reason reason, core::time_point now,
+void refuseRequest(engine &state, session &who, refusal_reason reason, core::time_point now,
                    core::duration comeBackAfter)
 {
     ++state.counters.refused.at(static_cast<std::size_t>(reason));
--- a/src/proxy/engine_control.cpp
+++ b/src/proxy/engine_control.cpp
@@ -53,7 +53,7 @@
 {
     const auto [place, isNew] = state.members.try_emplace(from.entry.id);
     member_state &member = place->second;
-    const bool reborn = !isNew && member.entry.bornAtMs != from.entry.bornAtMs;
+    const bool reborn = !isNew && member.entry.startedAtMs != from.entry.startedAtMs;
     const bool moved = !isNew && member.entry.address != from.entry.address;
     const bool returned = !isNew && !member.listed;
     const bool roleChanged = isNew || member.entry.claimsPrimary != from.entry.claimsPrimary;
@@ -96,12 +96,12 @@
         if (member.listed && member.missingSince != core::noDeadline
             && now - member.missingSince >= returnTime) {
             member.listed = false;
-            member.goneAt = member.missingSince;
+            member.removedAt = member.missingSince;
             noteMember(state, note_kind::MemberGone, member, "not_listed");
             closeIdleLinks(state, member, now);
             adoptClaimedLeader(state, state.services.at(member.entry.service), now);
         }
-        if (!member.listed && member.links.empty() && now - member.goneAt > goneMemory)
+        if (!member.listed && member.links.empty() && now - member.removedAt > goneMemory)
             gone.push_back(id);
     }
     for (const std::string &id : gone) {
@@ -139,7 +139,7 @@
     return rank;
 }
 
-bool watchesStore(const engine &state)
+bool pollsStore(const engine &state)
 {
     constexpr std::size_t watchingDaemons = 3;
     return instanceRank(state, "manifest") < watchingDaemons;
@@ -184,9 +184,9 @@
         serviceFor(state, name);
 }
 
-void onDirectory(engine &state, const std::vector<listed_member> &list, core::time_point now)
+void onMemberList(engine &state, const std::vector<listed_member> &list, core::time_point now)
 {
-    state.directoryKnown = true;
+    state.memberListLoaded = true;
     std::set<std::string> present;
     for (const listed_member &each : list) {
         present.insert(each.entry.id);
--- a/src/proxy/engine_links.cpp
+++ b/src/proxy/engine_links.cpp
@@ -222,7 +222,7 @@
 
 } // namespace
 
-std::string keeperOf(const engine &state, member_state &member, core::time_point now)
+std::string relayNodeFor(const engine &state, member_state &member, core::time_point now)
 {
     if (member.keepersVersion != state.peersVersion) {
         member.keepers = rankKeepers(state, member);
@@ -231,7 +231,7 @@
     for (const std::string &node : member.keepers) {
         const auto peer = state.peers.find(node);
         if (node == state.settings.node
-            || (peer != state.peers.end() && peer->second.keeperSilentUntil <= now))
+            || (peer != state.peers.end() && peer->second.relayAvoidedUntil <= now))
             return node;
     }
     return state.settings.node;
@@ -242,7 +242,7 @@
 {
     upstream_link link;
     if (!direct)
-        link.via = keeperOf(state, member, now);
+        link.via = relayNodeFor(state, member, now);
     link.id = ++state.lastLink;
     link.member = member.entry.id;
     link.workspace = workspace;
@@ -304,9 +304,9 @@
     state.out.emplace_back(send_to_member{ link.id, std::move(batch) });
 }
 
-void closeLink(engine &state, link_id id, bool politely, core::time_point now)
+void closeLink(engine &state, link_id id, bool graceful, core::time_point now)
 {
-    state.out.emplace_back(close_link{ id, politely });
+    state.out.emplace_back(close_link{ id, graceful });
     onLinkClosed(state, id, now);
 }
 
--- a/src/proxy/engine_parts.cpp
+++ b/src/proxy/engine_parts.cpp
@@ -24,7 +24,7 @@
 bool answers(const engine &state, const std::string &home, core::time_point now)
 {
     const auto peer = state.peers.find(home);
-    return peer != state.peers.end() && peer->second.homeSilentUntil <= now;
+    return peer != state.peers.end() && peer->second.homeAvoidedUntil <= now;
 }
 
 /// @return whether a daemon that comes before another one in the order of the homes is there
--- a/src/proxy/engine_peers.cpp
+++ b/src/proxy/engine_peers.cpp
@@ -119,14 +119,14 @@
 void answerReach(engine &state, const peer_message &message, core::time_point now)
 {
     constexpr milliseconds freshSign{ 600 };
-    peer_message answer = makeMessage(state, peer_message_kind::ReachAnswer);
+    peer_message answer = makeMessage(state, peer_message_kind::ReachabilityAnswer);
     answer.subject = message.subject;
     answer.member = message.member;
     answer.amount = -1;
     if (const member_state *member = findMember(state, message.member)) {
         if (member->silentSince != core::noDeadline)
             answer.amount = 0;
-        else if (now - member->lastAnswer < freshSign)
+        else if (now - member->lastAnswerAt < freshSign)
             answer.amount = 1;
     }
     state.out.emplace_back(send_to_peer{ message.from, std::move(answer) });
@@ -169,7 +169,7 @@
 
 void tellLeader(engine &state, const service_state &service)
 {
-    peer_message message = makeMessage(state, peer_message_kind::LeaderNews);
+    peer_message message = makeMessage(state, peer_message_kind::LeaderAnnouncement);
     leader_report report;
     report.service = service.name;
     report.member = service.leader;
@@ -205,14 +205,14 @@
     case peer_message_kind::LoanGrant:
         takeLoan(state, message, now);
         break;
-    case peer_message_kind::LeaderNews:
+    case peer_message_kind::LeaderAnnouncement:
         for (const leader_report &each : message.leaders)
             hearLeader(state, each, now);
         break;
-    case peer_message_kind::ReachQuestion:
+    case peer_message_kind::ReachabilityRequest:
         answerReach(state, message, now);
         break;
-    case peer_message_kind::ReachAnswer:
+    case peer_message_kind::ReachabilityAnswer:
         hearReach(state, message);
         break;
     case peer_message_kind::LoanReturn:
--- a/src/proxy/engine_placement.cpp
+++ b/src/proxy/engine_placement.cpp
@@ -206,11 +206,11 @@
     }
     service_state *service = findService(state, what.via.service);
     if (service == nullptr) {
-        finishRefused(state, who, refusal_reason::NoMember, now);
+        refuseRequest(state, who, refusal_reason::NoMember, now);
         return;
     }
     if (what.tries >= maxTries) {
-        finishRefused(state, who, refusal_reason::MembersBusy, now, milliseconds(100));
+        refuseRequest(state, who, refusal_reason::MembersBusy, now, milliseconds(100));
         return;
     }
     if (what.notBefore > now) {
--- a/src/proxy/engine_promotion.cpp
+++ b/src/proxy/engine_promotion.cpp
@@ -72,7 +72,7 @@
     enter(run, promotion_phase::DrawingToken, now + tokenTime);
     // Counted from the question: the store's lease starts when it answers.
     run.leaseUntil = now + leaseTime;
-    state.out.emplace_back(draw_token{ service.name });
+    state.out.emplace_back(acquire_fencing_token{ service.name });
 }
 
 void begin(engine &state, service_state &service, promotion_cause cause, core::time_point now)
@@ -98,7 +98,7 @@
     }
     enter(run, promotion_phase::Asking, now + askingTime);
     peer_message question;
-    question.kind = peer_message_kind::ReachQuestion;
+    question.kind = peer_message_kind::ReachabilityRequest;
     question.from = state.settings.node;
     question.incarnation = state.incarnation;
     question.subject = service.name;
@@ -133,7 +133,7 @@
         return;
     }
     for (const std::string &each : run.toResume)
-        orderMember(state, each, command_kind::ResumeReceiving, 0, now);
+        sendControlCommand(state, each, command_kind::ResumeReceiving, 0, now);
 }
 
 /// Ends an attempt. Replicas that were paused for it receive again, unless an order may still come.
@@ -162,10 +162,10 @@
         core::time_point newest{};
         for (const std::string &id : electable) {
             const member_state &member = state.members.at(id);
-            const bool better = run.chosen.empty() || member.lastAnswer > newest;
+            const bool better = run.chosen.empty() || member.lastAnswerAt > newest;
             if (member.silentSince == core::noDeadline && better) {
                 run.chosen = id;
-                newest = member.lastAnswer;
+                newest = member.lastAnswerAt;
             }
         }
     }
@@ -175,10 +175,10 @@
             continue;
         const auto report = run.reports.find(id);
         if (leaderServes && id == run.chosen) {
-            orderMember(state, id, command_kind::Status, 0, now);
+            sendControlCommand(state, id, command_kind::Status, 0, now);
         } else if (report == run.reports.end() || report->second.pausedTerm == 0) {
             run.fenced.insert(id);
-            orderMember(state, id, command_kind::PauseReceiving, run.fenceTerm, now);
+            sendControlCommand(state, id, command_kind::PauseReceiving, run.fenceTerm, now);
         }
     }
 }
@@ -195,9 +195,9 @@
     // old primary's answer does.
     run.reports.clear();
     for (const std::string &each : run.fenced)
-        orderMember(state, each, command_kind::ResumeReceiving, 0, now);
+        sendControlCommand(state, each, command_kind::ResumeReceiving, 0, now);
     // They are told again at the end of the attempt if this does not reach them.
-    orderMember(state, run.oldPrimary, command_kind::StepDown, run.fenceTerm, now);
+    sendControlCommand(state, run.oldPrimary, command_kind::StepDown, run.fenceTerm, now);
 }
 
 /// Whether the attempt rests on the belief that no member leads.
@@ -269,9 +269,10 @@
         if (run.steppedDown) {
             run.nextProbe = now + probeInterval;
             for (const std::string &each : electableMembers(state, service))
-                orderMember(state, each, command_kind::Status, 0, now);
+                sendControlCommand(state, each, command_kind::Status, 0, now);
             if (!run.reports.contains(run.oldPrimary))
-                orderMember(state, run.oldPrimary, command_kind::StepDown, run.fenceTerm, now);
+                sendControlCommand(state, run.oldPrimary, command_kind::StepDown, run.fenceTerm,
+                                   now);
         } else {
             fence(state, service, now);
         }
@@ -331,7 +332,7 @@
         }
         if (now >= run.nextProbe) {
             run.nextProbe = now + settleProbe;
-            orderMember(state, run.chosen, command_kind::Status, 0, now);
+            sendControlCommand(state, run.chosen, command_kind::Status, 0, now);
         }
     }
 }
@@ -355,8 +356,8 @@
     return due;
 }
 
-void onTokenDrawn(engine &state, const std::string &serviceName, std::uint64_t token,
-                  core::time_point now)
+void onTokenAcquired(engine &state, const std::string &serviceName, std::uint64_t token,
+                     core::time_point now)
 {
     service_state *service = findService(state, serviceName);
     if (service == nullptr || service->promotion.phase != promotion_phase::DrawingToken)
@@ -390,8 +391,8 @@
     fence(state, *service, now);
 }
 
-void onTokenHeld(engine &state, const std::string &serviceName, core::time_point until,
-                 core::time_point now)
+void onTokenHeldElsewhere(engine &state, const std::string &serviceName, core::time_point until,
+                          core::time_point now)
 {
     service_state *service = findService(state, serviceName);
     if (service == nullptr || service->promotion.phase != promotion_phase::DrawingToken)
@@ -400,7 +401,7 @@
     service->promotion.notBefore = until + startDelay(state, *service);
 }
 
-void onPromotionsOff(engine &state, const std::string &serviceName, core::time_point now)
+void onPromotionsDisabled(engine &state, const std::string &serviceName, core::time_point now)
 {
     service_state *service = findService(state, serviceName);
     if (service == nullptr || service->promotion.phase != promotion_phase::DrawingToken)
@@ -451,7 +452,7 @@
         service->pausedSince.erase(memberId);
     } else if (run.phase == promotion_phase::None && !run.toResume.contains(memberId)) {
         service->pausedSince.try_emplace(memberId, now);
-        suspectReplicas(*service, now);
+        scheduleReplicaCheck(*service, now);
     }
     if (run.phase == promotion_phase::None)
         return;
--- a/src/proxy/engine_quota.cpp
+++ b/src/proxy/engine_quota.cpp
@@ -88,7 +88,7 @@
     if (quota.askedAt != core::noDeadline && now - quota.askedAt > askLimit) {
         const auto silent = state.peers.find(homeOf(state, quota, now));
         if (silent != state.peers.end())
-            silent->second.homeSilentUntil = now + silentHome;
+            silent->second.homeAvoidedUntil = now + silentHome;
         quota.askedAt = core::noDeadline;
     }
     const std::string home = homeOf(state, quota, now);
@@ -149,7 +149,7 @@
         return true;
     }
     if (now < quota->dryUntil) {
-        finishRefused(state, who, refusal_reason::RateExceeded, now, untilToken(*quota, now));
+        refuseRequest(state, who, refusal_reason::RateExceeded, now, untilToken(*quota, now));
         return false;
     }
     const auto via = state.config->routes.find(who.database);
--- a/src/proxy/engine_time.cpp
+++ b/src/proxy/engine_time.cpp
@@ -35,17 +35,17 @@
 {
     request &what = *who.current;
     if (!what.everSent) {
-        finishRefused(state, who, what.waitsFor, now, milliseconds(200));
+        refuseRequest(state, who, what.waitsFor, now, milliseconds(200));
         return;
     }
     if (what.sentOn.empty()) {
         // Every member that got it said that it did not run it.
-        finishRefused(state, who, refusal_reason::MembersBusy, now, milliseconds(200));
+        refuseRequest(state, who, refusal_reason::MembersBusy, now, milliseconds(200));
         return;
     }
     const bool mayWait = what.writes || what.statement.kind == statement_kind::Commit;
     if (service_state *service = findService(state, what.via.service); service && mayWait)
-        suspectReplicas(*service, now);
+        scheduleReplicaCheck(*service, now);
     if (who.transaction) {
         const link_id held = who.transaction->link;
         const bool commits = what.statement.kind == statement_kind::Commit;
@@ -54,12 +54,12 @@
             who.transaction.reset();
         else
             who.transaction->link = 0;
-        finishRefused(state, who, refusal_reason::NoAnswerInTime, now);
+        refuseRequest(state, who, refusal_reason::NoAnswerInTime, now);
         if (held != 0 && findLink(state, held) != nullptr)
             closeLink(state, held, false, now);
         return;
     }
-    finishRefused(state, who, refusal_reason::NoAnswerInTime, now);
+    refuseRequest(state, who, refusal_reason::NoAnswerInTime, now);
 }
 
 /// Asks a second member for a read whose answer is overdue.
@@ -83,7 +83,7 @@
         return;
     if (!who->current) {
         if (who->transaction && !who->transaction->lost) {
-            const bool overStop = state.stopping && now >= state.transactionsUntil;
+            const bool overStop = state.stopping && now >= state.transactionDrainDeadline;
             if (overStop)
                 endTransaction(state, *who, refusal_reason::Stopping, now);
             else if (who->transaction->idleUntil <= now)
@@ -94,7 +94,7 @@
     request &what = *who->current;
     if (what.awaitsToken) {
         if (what.waitUntil <= now)
-            finishRefused(state, *who, refusal_reason::RateExceeded, now, milliseconds(100));
+            refuseRequest(state, *who, refusal_reason::RateExceeded, now, milliseconds(100));
         return;
     }
     if (what.deadline <= now) {
@@ -102,7 +102,7 @@
         return;
     }
     if (what.queued && what.waitUntil <= now && what.sentOn.empty()) {
-        finishRefused(state, *who, what.waitsFor, now, milliseconds(100));
+        refuseRequest(state, *who, what.waitsFor, now, milliseconds(100));
         return;
     }
     if (!what.queued && what.hedgeAt <= now)
@@ -131,7 +131,8 @@
     std::vector<session_id> resting;
     for (const auto &[id, who] : state.sessions) {
         if (!who.current && who.waiting.empty()
-            && (who.state == transaction_state::Idle || now >= state.stopAt - reserveBeforeKill))
+            && (who.state == transaction_state::Idle
+                || now >= state.stopDeadline - reserveBeforeKill))
             resting.push_back(id);
     }
     // All are closed in closingTime, however many they are.
@@ -140,7 +141,7 @@
     resting.resize(std::min(resting.size(), share));
     for (const session_id id : resting) {
         state.out.emplace_back(close_caller{ id });
-        onCallerGone(state, id, now);
+        onCallerDisconnected(state, id, now);
     }
 }
 
@@ -148,7 +149,7 @@
 
 bool isReady(const engine &state)
 {
-    return state.config && state.directoryKnown && !state.stopping;
+    return state.config && state.memberListLoaded && !state.stopping;
 }
 
 void onStop(engine &state, core::time_point now)
@@ -156,8 +157,8 @@
     if (state.stopping)
         return;
     state.stopping = true;
-    state.stopAt = now + state.settings.gracePeriod;
-    state.transactionsUntil = now + state.settings.gracePeriod / 2;
+    state.stopDeadline = now + state.settings.gracePeriod;
+    state.transactionDrainDeadline = now + state.settings.gracePeriod / 2;
     state.nextClosing = now + idleSessionsUntil;
     state.sessionsAtStop = state.sessions.size();
     decision_note line;
@@ -166,7 +167,7 @@
     state.out.emplace_back(std::move(line));
 }
 
-void onTime(engine &state, core::time_point now)
+void onTimer(engine &state, core::time_point now)
 {
     state.lastTime = now;
     const std::vector<session_id> active(state.active.begin(), state.active.end());
@@ -196,7 +197,7 @@
     exchangeWithPeers(state, now);
 }
 
-core::time_point nextDue(const engine &state)
+core::time_point nextTimerAt(const engine &state)
 {
     core::time_point due = std::min(state.nextMaintenance, state.nextExchange);
     due = std::min({ due, state.nextPartRequest, state.recall.next });
--- a/src/proxy/engine_watch.cpp
+++ b/src/proxy/engine_watch.cpp
@@ -25,8 +25,8 @@
 
 } // namespace
 
-void orderMember(engine &state, const std::string &memberId, command_kind kind,
-                 core::term_number term, core::time_point now)
+void sendControlCommand(engine &state, const std::string &memberId, command_kind kind,
+                        core::term_number term, core::time_point now)
 {
     member_state *member = findMember(state, memberId);
     if (member == nullptr)
@@ -73,7 +73,7 @@
     for (auto &[id, member] : state.members) {
         for (const link_id each : member.links) {
             const upstream_link &link = state.links.at(each);
-            if (link.expected.empty() || link.lastSent <= member.lastAnswer)
+            if (link.expected.empty() || link.lastSent <= member.lastAnswerAt)
                 continue;
             const bool connecting = link.expected.front().role == answer_role::Startup;
             const core::duration limit = connecting ? connectSilence : answerSilence;
@@ -84,7 +84,7 @@
                 suspected.insert(&member);
                 const auto keeper = state.peers.find(link.via);
                 if (connecting && keeper != state.peers.end())
-                    keeper->second.keeperSilentUntil = now + keeperSilence;
+                    keeper->second.relayAvoidedUntil = now + keeperSilence;
             } else {
                 member.silentSince = std::min(member.silentSince, link.lastSent);
             }
@@ -102,7 +102,7 @@
     // one opens.
     for (member_state *member : probed) {
         member->nextProbe = now + silentProbeInterval;
-        orderMember(state, member->entry.id, command_kind::Status, 0, now);
+        sendControlCommand(state, member->entry.id, command_kind::Status, 0, now);
     }
 }
 
@@ -121,12 +121,12 @@
         for (const std::string &id : service.members) {
             const member_state &member = state.members.at(id);
             if (member.listed && id != service.leader)
-                orderMember(state, id, command_kind::Status, 0, now);
+                sendControlCommand(state, id, command_kind::Status, 0, now);
         }
     }
 }
 
-void suspectReplicas(service_state &service, core::time_point now)
+void scheduleReplicaCheck(service_state &service, core::time_point now)
 {
     const core::time_point soon = now + suspectedCheckInterval;
     if (service.nextReplicaCheck == core::time_point{} || service.nextReplicaCheck > soon)
--- a/src/proxy/promotion_choice.cpp
+++ b/src/proxy/promotion_choice.cpp
@@ -77,7 +77,7 @@
         }
         // Its copy is gone with it. A position that the primary reached after that was stored
         // without it; a member that holds this position lacks nothing that it held.
-        const auto after = positionSince(service.positions, member.goneAt);
+        const auto after = positionSince(service.positions, member.removedAt);
         const bool covered =
                 after
                 && std::any_of(service.promotion.reports.begin(), service.promotion.reports.end(),
@@ -90,7 +90,7 @@
 
 std::optional<promotion_cause> causeNow(engine &state, service_state &service, core::time_point now)
 {
-    if (!state.directoryKnown || state.stopping || !state.config
+    if (!state.memberListLoaded || state.stopping || !state.config
         || !state.config->services.contains(service.name) || service.members.empty())
         return std::nullopt;
     const member_state *leader = findMember(state, service.leader);
--- a/tests/proxy-fixture.hpp
+++ b/tests/proxy-fixture.hpp
@@ -77,7 +77,7 @@
         entry.zone = "north";
         entry.slots = 2;
         entry.claimsPrimary = leads;
-        entry.bornAtMs = 1;
+        entry.startedAtMs = 1;
         return entry;
     }
 
@@ -92,7 +92,7 @@
         std::uint64_t version = 100;
         for (const upstream_entry &each : entries)
             members.push_back({ each, ++version });
-        onDirectory(state, members, now);
+        onMemberList(state, members, now);
     }
 
     /// Takes the engine's actions out, and returns those of this call.
@@ -120,7 +120,7 @@
         const core::time_point end = now + lapse;
         while (now < end) {
             now = std::min(end, now + milliseconds(10));
-            onTime(state, now);
+            onTimer(state, now);
         }
     }
 
@@ -205,7 +205,7 @@
         answer(link, success(position, transaction_state::Open));
         answer(link, success(position, transaction_state::Open));
         answer(link, success(position));
-        onCallerGone(state, id, now);
+        onCallerDisconnected(state, id, now);
         take();
     }
 
--- a/tests/quota-cluster.hpp
+++ b/tests/quota-cluster.hpp
@@ -155,8 +155,8 @@
         entry.zone = daemon.zone;
         entry.slots = 10'000;
         entry.claimsPrimary = true;
-        entry.bornAtMs = 1;
-        onDirectory(state, { { entry, 100 } }, now);
+        entry.startedAtMs = 1;
+        onMemberList(state, { { entry, 100 } }, now);
         carryOut(daemon);
     }
 
@@ -187,7 +187,7 @@
                     writeClaim(daemon, claim->part);
                 const auto *reply = std::get_if<send_to_caller>(&each);
                 if (reply != nullptr && !reply->opens)
-                    onCallerGone(state, reply->session, now);
+                    onCallerDisconnected(state, reply->session, now);
             }
         }
     }
@@ -294,7 +294,7 @@
         engine &state = *daemon.state;
         const session_id id = ++lastSession;
         if (!onSessionOpened(state, id, "own", "key", now)) {
-            onCallerGone(state, id, now);
+            onCallerDisconnected(state, id, now);
             return;
         }
         caller_statement statement;
@@ -329,8 +329,8 @@
                 onPeerMessage(*daemon.state, daemon.inbox.front(), now);
             carryOut(daemon);
             readStore(daemon);
-            if (nextDue(*daemon.state) <= now)
-                onTime(*daemon.state, now);
+            if (nextTimerAt(*daemon.state) <= now)
+                onTimer(*daemon.state, now);
             carryOut(daemon);
             beSlow(daemon);
         }
--- a/tests/unit-session-engine.cpp
+++ b/tests/unit-session-engine.cpp
@@ -130,7 +130,7 @@
     world.provePrimary({ 1, 159 });
     service_state &service = world.state.services.at(proxy_fixture::service);
     peer_message news;
-    news.kind = peer_message_kind::LeaderNews;
+    news.kind = peer_message_kind::LeaderAnnouncement;
     news.from = "node-2";
     leader_report report;
     report.service = proxy_fixture::service;
@@ -431,7 +431,7 @@
 TEST(session_engine, reportsOfMembersThatReceiveDoNotDecideAPromotion)
 {
     startFencing(world);
-    onTokenDrawn(world.state, proxy_fixture::service, 7, world.now);
+    onTokenAcquired(world.state, proxy_fixture::service, 7, world.now);
     reportAll(world, 0);
     world.pass(milliseconds(100));
     reportAll(world, 0);
@@ -453,7 +453,7 @@
     onInstances(world.state, { other, third }, world.now);
     const std::string home = world.state.quota.workspaces.at("house").homes.front();
     for (auto &[name, peer] : world.state.peers)
-        peer.keeperSilentUntil = world.now + std::chrono::seconds(3);
+        peer.relayAvoidedUntil = world.now + std::chrono::seconds(3);
     world.take();
     world.write(world.open("own"));
     const auto asked = proxy_fixture::pick<send_to_peer>(world.take());
@@ -558,7 +558,7 @@
     peer_message request = makeMessage(world.state, peer_message_kind::PartRequest);
     request.from = "node-2";
     request.workspaces = { "house", "unknown" };
-    world.state.peers.at("node-2").homeSilentUntil = world.now + milliseconds(100);
+    world.state.peers.at("node-2").homeAvoidedUntil = world.now + milliseconds(100);
     world.take();
     onPeerMessage(world.state, request, world.now);
     LONGS_EQUAL(wholeLimit / 2, quota.held);
@@ -588,13 +588,13 @@
     std::set<std::string> seen;
     while (!peers.empty()) {
         onInstances(world.state, peers, world.now);
-        const std::string keeper = keeperOf(world.state, member, world.now);
+        const std::string keeper = relayNodeFor(world.state, member, world.now);
         CHECK(keeper == "node-1" || world.state.peers.contains(keeper));
         CHECK(seen.insert(keeper).second);
         if (keeper == "node-1")
             break;
-        world.state.peers.at(keeper).keeperSilentUntil = world.now + milliseconds(500);
-        CHECK(keeperOf(world.state, member, world.now) != keeper);
+        world.state.peers.at(keeper).relayAvoidedUntil = world.now + milliseconds(500);
+        CHECK(relayNodeFor(world.state, member, world.now) != keeper);
         std::erase_if(peers, [&](const auto &each) { return each.node == keeper; });
     }
 }
@@ -604,12 +604,13 @@
 TEST(session_engine, tokenOfAnotherDaemonIsAwaited)
 {
     startFencing(world);
-    onTokenHeld(world.state, proxy_fixture::service, world.now + milliseconds(2'500), world.now);
+    onTokenHeldElsewhere(world.state, proxy_fixture::service, world.now + milliseconds(2'500),
+                         world.now);
     world.take();
     world.pass(milliseconds(2'490));
-    CHECK(proxy_fixture::pick<draw_token>(world.take()).empty());
+    CHECK(proxy_fixture::pick<acquire_fencing_token>(world.take()).empty());
     world.pass(milliseconds(2'000));
-    CHECK_FALSE(proxy_fixture::pick<draw_token>(world.take()).empty());
+    CHECK_FALSE(proxy_fixture::pick<acquire_fencing_token>(world.take()).empty());
 }
 
 // Guards against traffic between zones that grows with the number of daemons elsewhere.
@@ -655,7 +656,7 @@
         const bool fails = member == "m2" && i % 2 == 0;
         world.answer(link, fails ? proxy_fixture::failure(reply_code::Failed)
                                  : proxy_fixture::success({ 1, 5 }));
-        onCallerGone(world.state, id, world.now);
+        onCallerDisconnected(world.state, id, world.now);
         world.pass(milliseconds(20));
     }
     CHECK(placed["m3"] > placed["m2"]);
@@ -710,7 +711,7 @@
 TEST(session_engine, promotionEndsWhenAMemberLeads)
 {
     startFencing(world);
-    onTokenDrawn(world.state, proxy_fixture::service, 7, world.now);
+    onTokenAcquired(world.state, proxy_fixture::service, 7, world.now);
     reportAll(world, 0, true);
     service_state &service = world.state.services.at(proxy_fixture::service);
     CHECK(service.promotion.phase == promotion_phase::None);
@@ -750,7 +751,7 @@
             peers.push_back(peer);
         }
         onInstances(each.state, peers, each.now);
-        watching += watchesStore(each.state) ? 1 : 0;
+        watching += pollsStore(each.state) ? 1 : 0;
     }
     CHECK_EQUAL(3, watching);
 }
@@ -761,10 +762,10 @@
 {
     startFencing(world);
     world.take();
-    onPromotionsOff(world.state, proxy_fixture::service, world.now);
+    onPromotionsDisabled(world.state, proxy_fixture::service, world.now);
     world.pass(milliseconds(4'900));
     const std::vector<action> done = world.take();
-    CHECK(proxy_fixture::pick<draw_token>(done).empty());
+    CHECK(proxy_fixture::pick<acquire_fencing_token>(done).empty());
     CHECK(proxy_fixture::pick<order_promotion>(done).empty());
     for (const send_to_member &each : proxy_fixture::pick<send_to_member>(done)) {
         for (const upstream_command &command : each.commands)
@@ -773,7 +774,7 @@
     }
     // Asks again later, so that the switch works without a restart.
     world.pass(milliseconds(2'000));
-    CHECK_FALSE(proxy_fixture::pick<draw_token>(world.take()).empty());
+    CHECK_FALSE(proxy_fixture::pick<acquire_fencing_token>(world.take()).empty());
 }
 
 // Guards against acting under a lease of the store that has run out on the way of its answer.
@@ -781,7 +782,7 @@
 {
     startFencing(world);
     world.now += milliseconds(2800);
-    onTokenDrawn(world.state, proxy_fixture::service, 7, world.now);
+    onTokenAcquired(world.state, proxy_fixture::service, 7, world.now);
     CHECK(world.state.services.at(proxy_fixture::service).promotion.phase == promotion_phase::None);
 }
 
--- a/tests/unit-store-codec.cpp
+++ b/tests/unit-store-codec.cpp
@@ -36,7 +36,7 @@
     STRCMP_EQUAL("i-1", entry->id.c_str());
     STRCMP_EQUAL("books", entry->service.c_str());
     LONGS_EQUAL(2, entry->slots);
-    LONGS_EQUAL(17, entry->bornAtMs);
+    LONGS_EQUAL(17, entry->startedAtMs);
     CHECK_FALSE(entry->draining);
     CHECK_FALSE(entry->claimsPrimary);
 }
