--- a/include/fuchsiagw/detail/engine_steps.hpp
+++ b/include/fuchsiagw/detail/engine_steps.hpp
@@ -14,17 +14,17 @@
 
 /// Sessions that rest are closed this long after the order to stop: the balancer has by then
 /// noticed that this daemon is not ready, so that a caller who returns meets another one.
-inline constexpr std::chrono::milliseconds idleSessionsUntil{ 2'300 };
+inline constexpr std::chrono::milliseconds idleSessionCloseDelay{ 2'300 };
 /// An operation that starts later than this before the end of the grace period may not end in it.
-inline constexpr std::chrono::milliseconds lastOperation{ 2'000 };
+inline constexpr std::chrono::milliseconds lastOperationMargin{ 2'000 };
 
 /// A member that is gone is remembered this long: its log may hold the only second copy of a
 /// commit.
-inline constexpr std::chrono::seconds goneMemory{ 60 };
+inline constexpr std::chrono::seconds removedMemberRetention{ 60 };
 /// After the platform's store was away, the entries of living members are back within two seconds.
-inline constexpr std::chrono::milliseconds returnTime{ 2'600 };
+inline constexpr std::chrono::milliseconds missingMemberTimeout{ 2'600 };
 /// A member's own report of its role may be this much behind what it proved in an answer.
-inline constexpr std::chrono::milliseconds claimDelay{ 2'500 };
+inline constexpr std::chrono::milliseconds maxRoleReportLag{ 2'500 };
 
 [[nodiscard]] inline service_state *findService(engine &state, const std::string &name)
 {
@@ -52,34 +52,34 @@
 [[nodiscard]] std::size_t instanceRank(const engine &state, const std::string &subject);
 
 /// @brief Takes members out whose entries were missing for too long.
-void forgetMissing(engine &state, core::time_point now);
+void expireMissingMembers(engine &state, core::time_point now);
 
 /// @brief Whether a member may get a statement that is not part of a running transaction.
-[[nodiscard]] bool takesNewWork(const member_state &member, core::time_point now);
+[[nodiscard]] bool acceptsNewWork(const member_state &member, core::time_point now);
 
 /// @brief Writes a note about a session's current request.
-void noteRequest(engine &state, note_kind kind, const session &who, const std::string &member,
+void noteRequest(engine &state, note_kind kind, const session &caller, const std::string &member,
                  std::string_view reason, core::duration age = {}, std::int64_t number = 0);
 
 /// @brief Ends the current request with an answer and starts the next statement that waits.
-void finish(engine &state, session &who, reply answer, core::time_point now);
+void finishRequest(engine &state, session &caller, reply answer, core::time_point now);
 /// @brief Ends the current request with a refusal of the proxy's own.
-void refuseRequest(engine &state, session &who, refusal_reason reason, core::time_point now,
-                   core::duration comeBackAfter = {});
+void refuseRequest(engine &state, session &caller, refusal_reason reason, core::time_point now,
+                   core::duration retryAfter = {});
 
 /// @brief Puts the current request into its service's queue, or keeps it there.
-void enqueue(engine &state, session &who, refusal_reason waitsFor);
+void enqueueRequest(engine &state, session &caller, refusal_reason queuedReason);
 /// @brief Sends the current request to a member if one can take it now; else queues or refuses it.
-void place(engine &state, session &who, core::time_point now);
+void placeRequest(engine &state, session &caller, core::time_point now);
 /// @brief Tries the requests that wait for a service.
-void pump(engine &state, service_state &service, core::time_point now);
+void serveQueue(engine &state, service_state &service, core::time_point now);
 /// @brief Decides where a statement has to run when it starts an operation.
-void decidePlacement(engine &state, const session &who, request &what);
+void decidePlacement(engine &state, const session &caller, request &pending);
 
 /// @brief Finds an idle link, or opens one.
 /// @param opening set to the link that is being opened
 /// @return nullptr if none is idle
-upstream_link *acquireLink(engine &state, member_state &member, const session &who,
+upstream_link *acquireLink(engine &state, member_state &member, const session &caller,
                            link_id &opening, core::time_point now);
 /// @param direct not through the daemon that keeps the member's connections
 link_id openLink(engine &state, member_state &member, const std::string &workspace, bool direct,
@@ -87,9 +87,10 @@
 /// @return the daemon that keeps the connections of a member for all others; may be this one
 [[nodiscard]] std::string relayNodeFor(const engine &state, member_state &member,
                                        core::time_point now);
-void sendRequest(engine &state, upstream_link &link, session &who, core::time_point now);
+void sendRequest(engine &state, upstream_link &link, session &caller, core::time_point now);
 /// @brief Sends the first statement of a transaction that the member has begun.
-void sendAfterBegin(engine &state, upstream_link &link, const session &who, core::time_point now);
+void sendFirstStatement(engine &state, upstream_link &link, const session &caller,
+                        core::time_point now);
 void closeLink(engine &state, link_id id, bool graceful, core::time_point now);
 /// @brief Makes a link that owes no answer available again.
 void releaseLink(engine &state, upstream_link &link, core::time_point now);
@@ -98,7 +99,7 @@
 /// @brief Closes links that are idle beyond what this daemon may keep.
 void trimLinks(engine &state, core::time_point now);
 /// @return the connections to one member that this daemon may keep open while they are idle
-[[nodiscard]] std::uint32_t keptLinks(const engine &state, const member_state &member);
+[[nodiscard]] std::uint32_t maxIdleLinks(const engine &state, const member_state &member);
 
 /// @brief A member provably led at @p since.
 /// @param term in which it led, as far as is known; a position may be of an earlier term
@@ -139,9 +140,9 @@
 void exchangeWithPeers(engine &state, core::time_point now);
 /// @brief Takes the operation's token, waits for one, or refuses the statement.
 /// @return whether the statement may go on now
-bool admitOperation(engine &state, session &who, core::time_point now);
+bool admitOperation(engine &state, session &caller, core::time_point now);
 /// @brief Goes on with a statement that waited for a token.
-void resume(engine &state, session &who, core::time_point now);
+void resume(engine &state, session &caller, core::time_point now);
 /// @return the daemon of the zone that collects a workspace's parts and tokens; may be this one
 [[nodiscard]] std::string homeOf(const engine &state, const workspace_quota &quota,
                                  core::time_point now);
@@ -177,7 +178,7 @@
 void answerLoanRequest(engine &state, const peer_message &message, core::time_point now);
 void takeLoan(engine &state, const peer_message &message, core::time_point now);
 void reshapeQuotas(engine &state, core::time_point now);
-void tellLeader(engine &state, const service_state &service);
+void announceLeader(engine &state, const service_state &service);
 /// @return a message with the fields that every kind has
 [[nodiscard]] peer_message makeMessage(const engine &state, peer_message_kind kind);
 
--- a/include/fuchsiagw/proxy/engine.hpp
+++ b/include/fuchsiagw/proxy/engine.hpp
@@ -106,11 +106,11 @@
     bool stopping = false;
     core::time_point stopDeadline = core::noDeadline; ///< end of the grace period
     core::time_point transactionDrainDeadline = core::noDeadline; ///< half of the grace period
-    core::time_point nextClosing = core::noDeadline; ///< sessions that rest are closed then
+    core::time_point nextSessionCloseAt = core::noDeadline; ///< sessions that rest are closed then
     std::size_t sessionsAtStop = 0;
-    core::time_point lastTime{}; ///< newest call of onTimer()
-    core::time_point nextExchange{};
-    core::time_point nextMaintenance{};
+    core::time_point lastTimerAt{}; ///< newest call of onTimer()
+    core::time_point nextExchangeAt{};
+    core::time_point nextMaintenanceAt{};
     limit_claim claim; ///< part of every limit that this daemon owns
     core::time_point nextPartRequest = core::noDeadline; ///< parts of the zone are borrowed then
     part_recall recall;
--- a/include/fuchsiagw/proxy/refusal.hpp
+++ b/include/fuchsiagw/proxy/refusal.hpp
@@ -72,6 +72,6 @@
 /// @brief Builds the answer for a refusal.
 /// @param comeBackAfter when another try may succeed; 0: unknown, and then not said
 [[nodiscard]] reply refuse(refusal_reason reason, transaction_state state,
-                           core::duration comeBackAfter = {});
+                           core::duration retryAfter = {});
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/reply.hpp
+++ b/include/fuchsiagw/proxy/reply.hpp
@@ -46,7 +46,7 @@
 }
 
 /// Whether a code says that the statement did not run at the member that sent it.
-[[nodiscard]] constexpr bool saysNotRun(reply_code code)
+[[nodiscard]] constexpr bool meansNotExecuted(reply_code code)
 {
     return code == reply_code::Busy || code == reply_code::Lagging || code == reply_code::ReadOnly
            || code == reply_code::Misrouted || code == reply_code::ConnectionLimit
--- a/include/fuchsiagw/proxy/service_state.hpp
+++ b/include/fuchsiagw/proxy/service_state.hpp
@@ -23,14 +23,14 @@
     std::set<std::string> members; ///< ids, those that are gone included while links last
     std::string leader; ///< believed primary; empty: not known
     core::term_number term = 0; ///< highest term seen
-    core::time_point provenAt{}; ///< the leader provably led then
+    core::time_point leaderProvenAt{}; ///< the leader provably led then
     core::time_point leaderlessSince = core::noDeadline;
     /// Members that said that they do not lead, with the version of their role at that time.
-    std::map<std::string, std::uint64_t> disproved;
+    std::map<std::string, std::uint64_t> leadershipDenials;
     position_book positions;
     std::deque<session_id> queue; ///< sessions whose request waits, in order of arrival
     promotion_state promotion;
-    core::time_point nextReplicaCheck{}; ///< replicas are asked whether they receive
+    core::time_point nextReplicaCheckAt{}; ///< replicas are asked whether they receive
     std::size_t rank = 0; ///< of this daemon among those that look after the service
     std::uint64_t rankVersion = 0; ///< engine::peersVersion for which it was computed
     std::map<std::string, core::time_point> pausedSince; ///< replicas that do not receive
--- a/include/fuchsiagw/proxy/session.hpp
+++ b/include/fuchsiagw/proxy/session.hpp
@@ -28,8 +28,8 @@
 struct placement
 {
     bool needsPrimary = false; ///< a write, a plain transaction, or a read that must be current
-    bool wrapsRead = false; ///< a single read inside a transaction of the proxy's own
-    std::optional<core::log_position> atLeast; ///< for a replica
+    bool wrapsInTransaction = false; ///< a single read inside a transaction of the proxy's own
+    std::optional<core::log_position> minPosition; ///< for a replica
 };
 
 /// The statement that the session waits for.
@@ -37,36 +37,36 @@
 {
     std::uint64_t serial = 0; ///< tells an answer to an earlier request from one to this
     caller_statement statement;
-    route via; ///< as it stood when the operation started
+    route effectiveRoute; ///< as it stood when the operation started
     bool admitted = false; ///< its operation has its token of the workspace's rate
     bool awaitsToken = false;
     bool writes = false;
-    bool starts = false; ///< first statement of its operation that goes to a member
+    bool startsOperation = false; ///< first statement of its operation that goes to a member
     placement where;
     core::time_point arrived{};
     core::time_point deadline{}; ///< the route's timeout
     core::time_point waitUntil{}; ///< refused then, unless it was sent before
     core::time_point hedgeAt = core::noDeadline; ///< a second member is asked then
-    core::time_point notBefore{}; ///< pause before the next try
+    core::time_point retryAt{}; ///< pause before the next try
     bool queued = false; ///< waits for a connection or for a primary
-    refusal_reason waitsFor = refusal_reason::NoConnection; ///< while queued
-    link_id opening = 0; ///< connection that was opened for it
-    std::vector<link_id> sentOn; ///< connections that still owe an answer to it
-    bool everSent = false;
+    refusal_reason queuedReason = refusal_reason::NoConnection; ///< while queued
+    link_id openingLink = 0; ///< connection that was opened for it
+    std::vector<link_id> outstandingLinks; ///< connections that still owe an answer to it
+    bool wasSent = false;
     int tries = 0;
-    std::vector<std::string> refusedBy; ///< members that refused it in this round
+    std::vector<std::string> excludedMembers; ///< members that refused it in this round
 };
 
 /// Invariant: link != 0 exactly while the transaction runs at a member.
 struct open_transaction
 {
     bool readOnly = false;
-    route via;
+    route effectiveRoute;
     link_id link = 0;
     bool wrote = false;
     bool lost = false; ///< its connection ended; nothing of it is kept
     refusal_reason lostReason = refusal_reason::TransactionLost;
-    core::time_point idleUntil = core::noDeadline; ///< ended then if no statement comes
+    core::time_point idleDeadline = core::noDeadline; ///< ended then if no statement comes
 };
 
 struct session
--- a/include/fuchsiagw/proxy/upstream_link.hpp
+++ b/include/fuchsiagw/proxy/upstream_link.hpp
@@ -52,7 +52,7 @@
     session_values values;
     std::set<prepared_shape> prepared;
     session_id pinnedTo = 0; ///< session whose transaction runs here
-    bool plainBegin = false; ///< the newest begin proves that the member leads
+    bool beginProvesLeader = false; ///< the newest begin proves that the member leads
     bool beginFailed = false; ///< the transaction's begin of the current batch was refused
     reply_code beginCode = reply_code::Success;
     bool refused = false; ///< the opening was refused, and with it what was sent behind it
@@ -60,7 +60,7 @@
     core::time_point lastSent{};
     core::time_point idleSince{};
     core::time_point openedAt{};
-    core::time_point abandonAt = core::noDeadline; ///< closed then if answers are outstanding
+    core::time_point answerDeadline = core::noDeadline; ///< closed then if answers are outstanding
 };
 
 } // namespace fuchsiagw::proxy
--- a/src/proxy/engine_answers.cpp
+++ b/src/proxy/engine_answers.cpp
@@ -12,17 +12,17 @@
 constexpr double smoothing = 0.2; // weight of the newest sample
 constexpr double failureSmoothing = 0.08; // weight of the newest statement
 /// An answer that nobody waits for any more is waited for this long after its link was opened.
-constexpr milliseconds orphanLimit{ 4'000 };
-constexpr milliseconds laggingPause{ 120 };
+constexpr milliseconds orphanedAnswerTimeout{ 4'000 };
+constexpr milliseconds laggingBackoff{ 120 };
 /// Another daemon keeps the connections while the one that does is not reached.
-constexpr milliseconds keeperPause{ 1'000 };
-constexpr milliseconds keeperLeaves{ 3'000 };
-constexpr milliseconds busyPause{ 15 };
-constexpr milliseconds limitPause{ 20 };
+constexpr milliseconds unreachableRelayBackoff{ 1'000 };
+constexpr milliseconds refusingRelayBackoff{ 3'000 };
+constexpr milliseconds busyBackoff{ 15 };
+constexpr milliseconds connectionLimitBackoff{ 20 };
 constexpr int maxBusyDoublings = 4;
-constexpr int mostBusyPauses = 6;
-constexpr int maxLimitDoublings = 4;
-constexpr milliseconds failurePause{ 100 }; // doubled with each failure in a row
+constexpr int maxBusyBackoffFactor = 6;
+constexpr int maxConnectionLimitDoublings = 4;
+constexpr milliseconds failureBackoff{ 100 }; // doubled with each failure in a row
 constexpr int maxFailureDoublings = 4;
 
 void smooth(double &value, core::duration sample)
@@ -31,34 +31,34 @@
     value = value > 0 ? value + smoothing * (micros - value) : micros;
 }
 
-core::duration spread(engine &state, core::duration pause)
+core::duration withJitter(engine &state, core::duration base)
 {
-    const auto whole = static_cast<std::uint64_t>(pause.count());
+    const auto whole = static_cast<std::uint64_t>(base.count());
     return core::duration(
             static_cast<std::int64_t>(whole / 2 + core::drawBelow(state.random, whole)));
 }
 
 /// A member may fail part of what it runs while it answers well otherwise.
-void noteResult(member_state &member, reply_code code, core::time_point now)
+void recordResult(member_state &member, reply_code code, core::time_point now)
 {
     const bool failed = code == reply_code::Failed || code == reply_code::TimedOut;
-    member.failedShare += failureSmoothing * ((failed ? 1 : 0) - member.failedShare);
+    member.failureRate += failureSmoothing * ((failed ? 1 : 0) - member.failureRate);
     if (failed)
-        member.failedAt = now;
+        member.lastFailureAt = now;
 }
 
-void noteAlive(member_state &member, core::time_point now)
+void recordAlive(member_state &member, core::time_point now)
 {
     member.lastAnswerAt = now;
     member.silentSince = core::noDeadline;
-    member.failures = 0;
+    member.consecutiveFailures = 0;
 }
 
-void avoid(engine &state, member_state &member, std::string_view reason, core::time_point now)
+void avoidMember(engine &state, member_state &member, std::string_view reason, core::time_point now)
 {
-    const int doublings = std::min(member.failures, maxFailureDoublings);
-    ++member.failures;
-    member.avoidUntil = now + spread(state, failurePause * (1 << doublings));
+    const int doublings = std::min(member.consecutiveFailures, maxFailureDoublings);
+    ++member.consecutiveFailures;
+    member.avoidUntil = now + withJitter(state, failureBackoff * (1 << doublings));
     if (member.silentSince == core::noDeadline)
         member.silentSince = now;
     decision_note line;
@@ -66,187 +66,190 @@
     line.service = member.entry.service;
     line.member = member.entry.id;
     line.reason = reason;
-    line.number = member.failures;
+    line.number = member.consecutiveFailures;
     state.out.emplace_back(std::move(line));
 }
 
-request *liveRequest(engine &state, const expected_answer &expected, session *&who)
+request *findPendingRequest(engine &state, const expected_answer &expected, session *&caller)
 {
-    who = findSession(state, expected.session);
-    if (who == nullptr || !who->current || who->current->serial != expected.serial)
+    caller = findSession(state, expected.session);
+    if (caller == nullptr || !caller->current || caller->current->serial != expected.serial)
         return nullptr;
-    return &*who->current;
+    return &*caller->current;
 }
 
-void forget(request &what, link_id link)
+void removeOutstanding(request &pending, link_id link)
 {
-    std::erase(what.sentOn, link);
+    std::erase(pending.outstandingLinks, link);
 }
 
 /// Detaches a transaction that never got to run its first statement at the member.
-void unbind(session &who, upstream_link *link)
+void unpinTransaction(session &caller, upstream_link *link)
 {
-    if (who.transaction)
-        who.transaction->link = 0;
+    if (caller.transaction)
+        caller.transaction->link = 0;
     if (link != nullptr)
         link->pinnedTo = 0;
 }
 
-void tryAgain(engine &state, session &who, const std::string &member, reply_code code,
-              core::time_point now)
+void retryRequest(engine &state, session &caller, const std::string &member, reply_code code,
+                  core::time_point now)
 {
-    request &what = *who.current;
-    if (!what.sentOn.empty())
+    request &pending = *caller.current;
+    if (!pending.outstandingLinks.empty())
         return; // another member still works on it
-    noteRequest(state, note_kind::StatementRetried, who, member, toString(code), now - what.arrived,
-                what.tries);
+    noteRequest(state, note_kind::StatementRetried, caller, member, toString(code),
+                now - pending.arrived, pending.tries);
     ++state.counters.retried;
     if (code == reply_code::Lagging || code == reply_code::Failed)
-        what.refusedBy.push_back(member);
+        pending.excludedMembers.push_back(member);
     if (code == reply_code::Busy) {
-        what.refusedBy.push_back(member);
-        what.notBefore = now + spread(state, busyPause * std::min(what.tries, mostBusyPauses));
+        pending.excludedMembers.push_back(member);
+        pending.retryAt =
+                now
+                + withJitter(state, busyBackoff * std::min(pending.tries, maxBusyBackoffFactor));
     }
-    place(state, who, now);
+    placeRequest(state, caller, now);
 }
 
 /// A position that even the leader lacks was rolled back by a promotion.
-void dropLostPosition(engine &state, session &who, const std::string &member)
+void dropRolledBackPosition(engine &state, session &caller, const std::string &member)
 {
-    request &what = *who.current;
-    const service_state &service = state.services.at(what.via.service);
-    if (service.leader != member || !what.where.atLeast)
+    request &pending = *caller.current;
+    const service_state &service = state.services.at(pending.effectiveRoute.service);
+    if (service.leader != member || !pending.where.minPosition)
         return;
-    who.ownPosition.reset();
-    what.where.atLeast.reset();
-    what.where.needsPrimary = true;
-    what.where.wrapsRead = who.state == transaction_state::Idle;
+    caller.ownPosition.reset();
+    pending.where.minPosition.reset();
+    pending.where.needsPrimary = true;
+    pending.where.wrapsInTransaction = caller.state == transaction_state::Idle;
 }
 
-void markRefusal(engine &state, session &who, const std::string &memberId, reply_code code,
-                 core::time_point now)
+void recordRefusal(engine &state, session &caller, const std::string &memberId, reply_code code,
+                   core::time_point now)
 {
-    request &what = *who.current;
+    request &pending = *caller.current;
     member_state *member = findMember(state, memberId);
-    service_state *service = findService(state, what.via.service);
+    service_state *service = findService(state, pending.effectiveRoute.service);
     if (member == nullptr || service == nullptr)
         return;
     if (code == reply_code::Lagging) {
-        member->laggingUntil = now + laggingPause;
-        dropLostPosition(state, who, memberId);
+        member->laggingUntil = now + laggingBackoff;
+        dropRolledBackPosition(state, caller, memberId);
     } else if (code == reply_code::Busy) {
         const int doublings = std::min(member->busyRefusals++, maxBusyDoublings);
-        member->busyUntil = now + spread(state, busyPause * (1 << doublings));
+        member->busyUntil = now + withJitter(state, busyBackoff * (1 << doublings));
     } else if (code == reply_code::ReadOnly) {
         loseLeader(state, *service, memberId, now);
     }
 }
 
 /// @return whether the statement may be sent to another member, although it may have run
-bool mayRepeat(const session &who, const request &what)
+bool isSafeToResend(const session &caller, const request &pending)
 {
-    if (who.state == transaction_state::Idle)
-        return !what.writes;
+    if (caller.state == transaction_state::Idle)
+        return !pending.writes;
     // Nothing of the transaction is kept once its connection has ended.
-    return what.starts && what.statement.kind != statement_kind::Commit;
+    return pending.startsOperation && pending.statement.kind != statement_kind::Commit;
 }
 
-void deliverSuccess(engine &state, session &who, upstream_link &link, reply &&answer,
+void deliverSuccess(engine &state, session &caller, upstream_link &link, reply &&answer,
                     core::time_point now)
 {
-    request &what = *who.current;
-    const bool commits = what.statement.kind == statement_kind::Commit;
-    const bool wroteAlone = who.state == transaction_state::Idle && what.writes;
-    service_state &service = state.services.at(what.via.service);
-    const bool wrote = wroteAlone || (commits && who.transaction && who.transaction->wrote);
+    request &pending = *caller.current;
+    const bool commits = pending.statement.kind == statement_kind::Commit;
+    const bool wroteOutsideTransaction = caller.state == transaction_state::Idle && pending.writes;
+    service_state &service = state.services.at(pending.effectiveRoute.service);
+    const bool wrote =
+            wroteOutsideTransaction || (commits && caller.transaction && caller.transaction->wrote);
     if (wrote && answer.position) {
-        who.ownPosition = answer.position;
-        who.positionService = what.via.service;
+        caller.ownPosition = answer.position;
+        caller.positionService = pending.effectiveRoute.service;
         learnLeader(state, service, link.member, answer.position->term, *answer.position,
                     link.lastSent, now);
     }
-    if (!commits && what.writes && who.transaction)
-        who.transaction->wrote = true;
+    if (!commits && pending.writes && caller.transaction)
+        caller.transaction->wrote = true;
     if (commits) {
         link.pinnedTo = 0;
-        who.transaction.reset();
-        who.state = transaction_state::Idle;
+        caller.transaction.reset();
+        caller.state = transaction_state::Idle;
     }
-    finish(state, who, std::move(answer), now);
+    finishRequest(state, caller, std::move(answer), now);
 }
 
 /// A member's error inside a transaction, or one that can't be tried again.
-void deliverError(engine &state, session &who, upstream_link &link, reply &&answer,
+void deliverError(engine &state, session &caller, upstream_link &link, reply &&answer,
                   core::time_point now)
 {
-    const bool commits = who.current->statement.kind == statement_kind::Commit;
-    noteRequest(state, note_kind::StatementRefused, who, link.member, toString(answer.code),
-                now - who.current->arrived, who.current->tries);
+    const bool commits = caller.current->statement.kind == statement_kind::Commit;
+    noteRequest(state, note_kind::StatementRefused, caller, link.member, toString(answer.code),
+                now - caller.current->arrived, caller.current->tries);
     if (commits) {
         link.pinnedTo = 0;
-        who.transaction.reset();
-        who.state = transaction_state::Idle;
-    } else if (who.state != transaction_state::Idle) {
-        who.state = answer.state == transaction_state::Open ? transaction_state::Open
-                                                            : transaction_state::Failed;
+        caller.transaction.reset();
+        caller.state = transaction_state::Idle;
+    } else if (caller.state != transaction_state::Idle) {
+        caller.state = answer.state == transaction_state::Open ? transaction_state::Open
+                                                               : transaction_state::Failed;
     }
-    finish(state, who, std::move(answer), now);
+    finishRequest(state, caller, std::move(answer), now);
 }
 
 void onStatementAnswer(engine &state, upstream_link &link, const expected_answer &expected,
                        reply &&answer, core::time_point now)
 {
-    session *who = nullptr;
-    request *what = liveRequest(state, expected, who);
-    if (what == nullptr)
+    session *caller = nullptr;
+    request *pending = findPendingRequest(state, expected, caller);
+    if (pending == nullptr)
         return;
-    forget(*what, link.id);
+    removeOutstanding(*pending, link.id);
     if (link.beginFailed) {
         answer.code = link.beginCode;
         answer.state = transaction_state::Idle;
     }
     if (answer.code == reply_code::Success && !answer.digest.empty()) {
-        deliverSuccess(state, *who, link, std::move(answer), now);
+        deliverSuccess(state, *caller, link, std::move(answer), now);
         return;
     }
-    const bool first = what->starts;
-    if (first && saysNotRun(answer.code)) {
-        unbind(*who, &link);
-        markRefusal(state, *who, link.member, answer.code, now);
-        tryAgain(state, *who, link.member, answer.code, now);
+    const bool first = pending->startsOperation;
+    if (first && meansNotExecuted(answer.code)) {
+        unpinTransaction(*caller, &link);
+        recordRefusal(state, *caller, link.member, answer.code, now);
+        retryRequest(state, *caller, link.member, answer.code, now);
         return;
     }
-    const bool keepsTransaction = answer.state == transaction_state::Open;
-    if (!first && answer.code == reply_code::Busy && keepsTransaction) {
-        tryAgain(state, *who, link.member, answer.code, now);
+    const bool transactionStaysOpen = answer.state == transaction_state::Open;
+    if (!first && answer.code == reply_code::Busy && transactionStaysOpen) {
+        retryRequest(state, *caller, link.member, answer.code, now);
         return;
     }
-    if (answer.code == reply_code::Failed && who->state == transaction_state::Idle && !what->writes
-        && what->tries < 3) {
-        tryAgain(state, *who, link.member, answer.code, now);
+    if (answer.code == reply_code::Failed && caller->state == transaction_state::Idle
+        && !pending->writes && pending->tries < 3) {
+        retryRequest(state, *caller, link.member, answer.code, now);
         return;
     }
-    if (!what->sentOn.empty())
+    if (!pending->outstandingLinks.empty())
         return;
     if (answer.code == reply_code::ReadOnly) {
-        if (service_state *service = findService(state, what->via.service))
+        if (service_state *service = findService(state, pending->effectiveRoute.service))
             loseLeader(state, *service, link.member, now);
     }
-    deliverError(state, *who, link, std::move(answer), now);
+    deliverError(state, *caller, link, std::move(answer), now);
 }
 
 void onBeginAnswer(engine &state, upstream_link &link, const expected_answer &expected,
                    reply &&answer, core::time_point now)
 {
     member_state *member = findMember(state, link.member);
-    session *who = nullptr;
-    request *what = liveRequest(state, expected, who);
-    const bool opensTransaction = who != nullptr && link.pinnedTo == who->id;
+    session *caller = nullptr;
+    request *pending = findPendingRequest(state, expected, caller);
+    const bool opensTransaction = caller != nullptr && link.pinnedTo == caller->id;
     if (answer.code != reply_code::Success) {
         link.beginFailed = true;
         link.beginCode = answer.code;
         // A read that the proxy wrapped follows in the same batch; its answer tells the rest.
-        if (what == nullptr || !opensTransaction)
+        if (pending == nullptr || !opensTransaction)
             return;
         if (member != nullptr)
             member->outstanding -= member->outstanding > 0 ? 1 : 0;
@@ -254,13 +257,13 @@
         return;
     }
     service_state *service = member ? findService(state, member->entry.service) : nullptr;
-    if (service != nullptr && answer.position && link.plainBegin)
+    if (service != nullptr && answer.position && link.beginProvesLeader)
         learnLeader(state, *service, link.member, answer.position->term, *answer.position,
                     link.lastSent, now);
     // What waits may have been placed meanwhile, and the session may be gone.
-    what = liveRequest(state, expected, who);
-    if (what != nullptr && opensTransaction)
-        sendAfterBegin(state, link, *who, now);
+    pending = findPendingRequest(state, expected, caller);
+    if (pending != nullptr && opensTransaction)
+        sendFirstStatement(state, link, *caller, now);
 }
 
 void onStartupAnswer(engine &state, upstream_link &link, const reply &answer, core::time_point now)
@@ -269,75 +272,77 @@
     if (answer.code == reply_code::Success) {
         if (!link.expected.empty()) {
             link.state = link_state::Busy;
-            link.abandonAt = now + orphanLimit;
+            link.answerDeadline = now + orphanedAnswerTimeout;
         }
         if (member != nullptr) {
             smooth(member->connectUs, now - link.openedAt);
-            member->limitRefusals = 0;
+            member->connectionLimitRefusals = 0;
             if (link.via.empty())
-                noteAlive(*member, now);
+                recordAlive(*member, now);
         }
         return;
     }
     link.tainted = true;
     link.refused = true;
-    const auto keeper = state.peers.find(link.via);
+    const auto relay = state.peers.find(link.via);
     if (answer.code != reply_code::ConnectionLimit && !link.via.empty()) {
         // It is stopping, or does not know the member yet; the next one in order is asked.
-        if (keeper != state.peers.end())
-            keeper->second.relayAvoidedUntil = now + keeperLeaves;
+        if (relay != state.peers.end())
+            relay->second.relayAvoidedUntil = now + refusingRelayBackoff;
         return;
     }
     if (member == nullptr)
         return;
     if (answer.code == reply_code::ConnectionLimit) {
         if (link.via.empty())
-            noteAlive(*member, now);
-        const int doublings = std::min(member->limitRefusals++, maxLimitDoublings);
-        member->limitUntil = now + spread(state, limitPause * (1 << doublings));
+            recordAlive(*member, now);
+        const int doublings =
+                std::min(member->connectionLimitRefusals++, maxConnectionLimitDoublings);
+        member->connectionLimitUntil =
+                now + withJitter(state, connectionLimitBackoff * (1 << doublings));
         return;
     }
     state.out.emplace_back(refresh_directory{});
-    avoid(state, *member, toString(answer.code), now);
+    avoidMember(state, *member, toString(answer.code), now);
 }
 
 /// Ends what a link still owed when its connection was lost.
 void onAnswerLost(engine &state, const upstream_link &link, const expected_answer &expected,
                   core::time_point now)
 {
-    session *who = nullptr;
-    request *what = liveRequest(state, expected, who);
-    if (what == nullptr)
+    session *caller = nullptr;
+    request *pending = findPendingRequest(state, expected, caller);
+    if (pending == nullptr)
         return;
-    forget(*what, link.id);
-    if (!what->sentOn.empty())
+    removeOutstanding(*pending, link.id);
+    if (!pending->outstandingLinks.empty())
         return;
     if (link.refused) {
-        unbind(*who, nullptr);
-        what->everSent = what->tries > 1;
-        tryAgain(state, *who, link.member, reply_code::ConnectionLimit, now);
+        unpinTransaction(*caller, nullptr);
+        pending->wasSent = pending->tries > 1;
+        retryRequest(state, *caller, link.member, reply_code::ConnectionLimit, now);
         return;
     }
-    if (mayRepeat(*who, *what)) {
-        unbind(*who, nullptr);
-        what->refusedBy.push_back(link.member);
-        noteRequest(state, note_kind::StatementRetried, *who, link.member, "connection_lost",
-                    now - what->arrived, what->tries);
+    if (isSafeToResend(*caller, *pending)) {
+        unpinTransaction(*caller, nullptr);
+        pending->excludedMembers.push_back(link.member);
+        noteRequest(state, note_kind::StatementRetried, *caller, link.member, "connection_lost",
+                    now - pending->arrived, pending->tries);
         ++state.counters.retried;
-        place(state, *who, now);
+        placeRequest(state, *caller, now);
         return;
     }
-    if (who->state == transaction_state::Idle) {
-        refuseRequest(state, *who, refusal_reason::AnswerLost, now);
+    if (caller->state == transaction_state::Idle) {
+        refuseRequest(state, *caller, refusal_reason::AnswerLost, now);
         return;
     }
-    const bool commits = what->statement.kind == statement_kind::Commit;
-    who->state = commits ? transaction_state::Idle : transaction_state::Failed;
+    const bool commits = pending->statement.kind == statement_kind::Commit;
+    caller->state = commits ? transaction_state::Idle : transaction_state::Failed;
     if (commits)
-        who->transaction.reset();
+        caller->transaction.reset();
     else
-        who->transaction->link = 0;
-    refuseRequest(state, *who,
+        caller->transaction->link = 0;
+    refuseRequest(state, *caller,
                   commits ? refusal_reason::AnswerLost : refusal_reason::TransactionLost, now);
 }
 
@@ -352,7 +357,7 @@
     link->expected.pop_front();
     member_state *member = findMember(state, link->member);
     if (member != nullptr && expected.role != answer_role::Startup)
-        noteAlive(*member, now);
+        recordAlive(*member, now);
     const transaction_state memberState = answer.state;
     switch (expected.role) {
     case answer_role::Startup:
@@ -367,9 +372,9 @@
     case answer_role::Statement:
         if (member != nullptr) {
             member->outstanding -= member->outstanding > 0 ? 1 : 0;
-            if (!saysNotRun(answer.code)) {
+            if (!meansNotExecuted(answer.code)) {
                 member->busyRefusals = 0;
-                noteResult(*member, answer.code, now);
+                recordResult(*member, answer.code, now);
                 smooth(member->answerUs, now - link->lastSent);
             }
         }
@@ -414,16 +419,17 @@
                                     || (each.role == answer_role::Begin && link.pinnedTo != 0))
                                    && member->outstanding > 0;
         if (opening && !link.tainted && link.via.empty())
-            avoid(state, *member, "no_connection", now);
-        const auto keeper = state.peers.find(link.via);
-        if (opening && !link.tainted && keeper != state.peers.end())
-            keeper->second.relayAvoidedUntil = now + keeperPause;
+            avoidMember(state, *member, "no_connection", now);
+        const auto relay = state.peers.find(link.via);
+        if (opening && !link.tainted && relay != state.peers.end())
+            relay->second.relayAvoidedUntil = now + unreachableRelayBackoff;
     }
     if (link.pinnedTo != 0) {
-        session *who = findSession(state, link.pinnedTo);
-        if (who != nullptr && who->transaction && who->transaction->link == id && !who->current) {
-            who->transaction->link = 0;
-            who->transaction->lost = true;
+        session *caller = findSession(state, link.pinnedTo);
+        if (caller != nullptr && caller->transaction && caller->transaction->link == id
+            && !caller->current) {
+            caller->transaction->link = 0;
+            caller->transaction->lost = true;
         }
     }
     for (const expected_answer &each : link.expected) {
--- a/src/proxy/engine_callers.cpp
+++ b/src/proxy/engine_callers.cpp
@@ -10,222 +10,223 @@
 namespace {
 
 constexpr std::size_t maxWaitingStatements = 64; // sent before the answer to an earlier one
-constexpr std::string_view ownDigest = "-"; // of answers that no member gave
+constexpr std::string_view proxyDigest = "-"; // of answers that no member gave
 
-reply ownSuccess(transaction_state state)
+reply proxySuccess(transaction_state state)
 {
     reply answer;
-    answer.digest = ownDigest;
+    answer.digest = proxyDigest;
     answer.state = state;
     return answer;
 }
 
 /// @return why the session may not start anything now
-std::optional<refusal_reason> checkAccess(engine &state, session &who)
+std::optional<refusal_reason> checkAccess(engine &state, session &caller)
 {
     if (!state.config)
         return refusal_reason::NotConfigured;
-    const auto found = state.config->routes.find(who.database);
+    const auto found = state.config->routes.find(caller.database);
     if (found == state.config->routes.end())
         return refusal_reason::UnknownDatabase;
-    const auto key = state.config->workspaceByKey.find(who.key);
+    const auto key = state.config->workspaceByKey.find(caller.key);
     if (key != state.config->workspaceByKey.end()) {
-        who.workspace = state.config->workspaces[key->second].name;
+        caller.workspace = state.config->workspaces[key->second].name;
         return std::nullopt;
     }
-    if (!found->second.anonymousAllowed || !who.key.empty())
+    if (!found->second.anonymousAllowed || !caller.key.empty())
         return refusal_reason::KeyNotAccepted;
-    who.workspace.clear();
+    caller.workspace.clear();
     return std::nullopt;
 }
 
-const route &currentRoute(const engine &state, const session &who)
+const route &currentRoute(const engine &state, const session &caller)
 {
-    return state.config->routes.find(who.database)->second;
+    return state.config->routes.find(caller.database)->second;
 }
 
-void begin(engine &state, session &who, bool readOnly, core::time_point now)
+void begin(engine &state, session &caller, bool readOnly, core::time_point now)
 {
-    if (who.state != transaction_state::Idle) {
-        refuseRequest(state, who, refusal_reason::OutOfPlace, now);
+    if (caller.state != transaction_state::Idle) {
+        refuseRequest(state, caller, refusal_reason::OutOfPlace, now);
         return;
     }
-    if (!admitOperation(state, who, now))
+    if (!admitOperation(state, caller, now))
         return;
     open_transaction transaction;
     transaction.readOnly = readOnly;
-    transaction.via = currentRoute(state, who);
-    who.transaction = transaction;
-    who.state = transaction_state::Open;
-    finish(state, who, ownSuccess(who.state), now);
+    transaction.effectiveRoute = currentRoute(state, caller);
+    caller.transaction = transaction;
+    caller.state = transaction_state::Open;
+    finishRequest(state, caller, proxySuccess(caller.state), now);
 }
 
 /// @brief Ends a transaction that has failed, or that its caller takes back.
-void endWithoutCommit(engine &state, session &who, core::time_point now)
+void abortTransaction(engine &state, session &caller, core::time_point now)
 {
-    if (who.transaction && who.transaction->link != 0) {
-        if (upstream_link *link = findLink(state, who.transaction->link))
+    if (caller.transaction && caller.transaction->link != 0) {
+        if (upstream_link *link = findLink(state, caller.transaction->link))
             rollBack(state, *link, now);
     }
-    who.transaction.reset();
-    who.state = transaction_state::Idle;
+    caller.transaction.reset();
+    caller.state = transaction_state::Idle;
 }
 
 /// @brief Answers the first statement after the transaction's connection was lost.
-bool answerLost(engine &state, session &who, core::time_point now)
+bool reportTransactionLoss(engine &state, session &caller, core::time_point now)
 {
-    if (!who.transaction || !who.transaction->lost)
+    if (!caller.transaction || !caller.transaction->lost)
         return false;
-    const refusal_reason reason = who.transaction->lostReason;
-    const bool ends = who.current->statement.kind == statement_kind::Commit;
-    who.state = ends ? transaction_state::Idle : transaction_state::Failed;
+    const refusal_reason reason = caller.transaction->lostReason;
+    const bool ends = caller.current->statement.kind == statement_kind::Commit;
+    caller.state = ends ? transaction_state::Idle : transaction_state::Failed;
     if (ends)
-        who.transaction.reset();
+        caller.transaction.reset();
     else
-        who.transaction->lost = false;
-    refuseRequest(state, who, reason, now);
+        caller.transaction->lost = false;
+    refuseRequest(state, caller, reason, now);
     return true;
 }
 
-void run(engine &state, session &who, core::time_point now)
+void runStatement(engine &state, session &caller, core::time_point now)
 {
-    request &what = *who.current;
-    if (what.statement.kind == statement_kind::Execute) {
-        const auto prepared = who.prepared.find(what.statement.name);
-        if (prepared == who.prepared.end()) {
-            refuseRequest(state, who, refusal_reason::PreparedUnknown, now);
+    request &pending = *caller.current;
+    if (pending.statement.kind == statement_kind::Execute) {
+        const auto prepared = caller.prepared.find(pending.statement.name);
+        if (prepared == caller.prepared.end()) {
+            refuseRequest(state, caller, refusal_reason::PreparedUnknown, now);
             return;
         }
-        what.statement.prepared = prepared->second;
+        pending.statement.prepared = prepared->second;
     }
-    what.writes =
-            what.statement.kind == statement_kind::Write
-            || (what.statement.kind == statement_kind::Execute && what.statement.prepared.writes);
-    if (who.state == transaction_state::Idle) {
-        if (!admitOperation(state, who, now))
+    pending.writes = pending.statement.kind == statement_kind::Write
+                     || (pending.statement.kind == statement_kind::Execute
+                         && pending.statement.prepared.writes);
+    if (caller.state == transaction_state::Idle) {
+        if (!admitOperation(state, caller, now))
             return;
-        what.via = currentRoute(state, who);
-        what.starts = true;
+        pending.effectiveRoute = currentRoute(state, caller);
+        pending.startsOperation = true;
     } else {
-        what.via = who.transaction->via;
-        what.starts = who.transaction->link == 0;
+        pending.effectiveRoute = caller.transaction->effectiveRoute;
+        pending.startsOperation = caller.transaction->link == 0;
     }
-    what.deadline = now + what.via.statementTimeout;
-    if (what.starts)
-        decidePlacement(state, who, what);
-    place(state, who, now);
+    pending.deadline = now + pending.effectiveRoute.statementTimeout;
+    if (pending.startsOperation)
+        decidePlacement(state, caller, pending);
+    placeRequest(state, caller, now);
 }
 
-void commit(engine &state, session &who, core::time_point now)
+void commit(engine &state, session &caller, core::time_point now)
 {
-    if (who.state == transaction_state::Idle) {
-        refuseRequest(state, who, refusal_reason::OutOfPlace, now);
+    if (caller.state == transaction_state::Idle) {
+        refuseRequest(state, caller, refusal_reason::OutOfPlace, now);
         return;
     }
-    if (who.state == transaction_state::Failed) {
-        endWithoutCommit(state, who, now);
-        refuseRequest(state, who, refusal_reason::TransactionLost, now);
+    if (caller.state == transaction_state::Failed) {
+        abortTransaction(state, caller, now);
+        refuseRequest(state, caller, refusal_reason::TransactionLost, now);
         return;
     }
-    run(state, who, now);
+    runStatement(state, caller, now);
 }
 
-void rollback(engine &state, session &who, core::time_point now)
+void rollback(engine &state, session &caller, core::time_point now)
 {
-    if (who.state == transaction_state::Idle) {
-        refuseRequest(state, who, refusal_reason::OutOfPlace, now);
+    if (caller.state == transaction_state::Idle) {
+        refuseRequest(state, caller, refusal_reason::OutOfPlace, now);
         return;
     }
-    endWithoutCommit(state, who, now);
-    finish(state, who, ownSuccess(who.state), now);
+    abortTransaction(state, caller, now);
+    finishRequest(state, caller, proxySuccess(caller.state), now);
 }
 
-void changeSession(engine &state, session &who, core::time_point now)
+void updateSession(engine &state, session &caller, core::time_point now)
 {
-    const caller_statement &statement = who.current->statement;
+    const caller_statement &statement = caller.current->statement;
     if (statement.kind == statement_kind::SetValue)
-        who.values[statement.name] = statement.argument;
+        caller.values[statement.name] = statement.argument;
     else if (statement.kind == statement_kind::Prepare)
-        who.prepared[statement.name] = statement.prepared;
-    else if (who.prepared.erase(statement.name) == 0) {
-        refuseRequest(state, who, refusal_reason::PreparedUnknown, now);
+        caller.prepared[statement.name] = statement.prepared;
+    else if (caller.prepared.erase(statement.name) == 0) {
+        refuseRequest(state, caller, refusal_reason::PreparedUnknown, now);
         return;
     }
-    finish(state, who, ownSuccess(who.state), now);
+    finishRequest(state, caller, proxySuccess(caller.state), now);
 }
 
-void dispatch(engine &state, session &who, core::time_point now)
+void dispatch(engine &state, session &caller, core::time_point now)
 {
-    const statement_kind kind = who.current->statement.kind;
+    const statement_kind kind = caller.current->statement.kind;
     if (kind == statement_kind::Rollback) {
-        rollback(state, who, now);
+        rollback(state, caller, now);
         return;
     }
-    if (answerLost(state, who, now))
+    if (reportTransactionLoss(state, caller, now))
         return;
     const bool ends = kind == statement_kind::Commit;
-    if (kind == statement_kind::Malformed || (who.state == transaction_state::Failed && !ends)) {
-        refuseRequest(state, who, refusal_reason::OutOfPlace, now);
+    if (kind == statement_kind::Malformed || (caller.state == transaction_state::Failed && !ends)) {
+        refuseRequest(state, caller, refusal_reason::OutOfPlace, now);
         return;
     }
     switch (kind) {
     case statement_kind::Begin:
     case statement_kind::BeginReadOnly:
-        begin(state, who, kind == statement_kind::BeginReadOnly, now);
+        begin(state, caller, kind == statement_kind::BeginReadOnly, now);
         break;
     case statement_kind::Commit:
-        commit(state, who, now);
+        commit(state, caller, now);
         break;
     case statement_kind::SetValue:
     case statement_kind::Prepare:
     case statement_kind::Deallocate:
-        changeSession(state, who, now);
+        updateSession(state, caller, now);
         break;
     default:
-        run(state, who, now);
+        runStatement(state, caller, now);
     }
 }
 
-void start(engine &state, session &who, caller_statement statement, core::time_point now)
+void startStatement(engine &state, session &caller, caller_statement statement,
+                    core::time_point now)
 {
     ++state.counters.statements;
-    request what;
-    what.serial = ++state.lastSerial;
-    what.statement = std::move(statement);
-    what.arrived = now;
-    who.current = std::move(what);
-    state.active.insert(who.id);
-    if (who.transaction)
-        who.transaction->idleUntil = core::noDeadline;
-    if (who.state == transaction_state::Idle && state.stopping
-        && now >= state.stopDeadline - lastOperation) {
-        who.closing = true;
-        refuseRequest(state, who, refusal_reason::Stopping, now);
+    request pending;
+    pending.serial = ++state.lastSerial;
+    pending.statement = std::move(statement);
+    pending.arrived = now;
+    caller.current = std::move(pending);
+    state.active.insert(caller.id);
+    if (caller.transaction)
+        caller.transaction->idleDeadline = core::noDeadline;
+    if (caller.state == transaction_state::Idle && state.stopping
+        && now >= state.stopDeadline - lastOperationMargin) {
+        caller.closing = true;
+        refuseRequest(state, caller, refusal_reason::Stopping, now);
         return;
     }
-    if (who.state == transaction_state::Idle) {
-        if (const auto refused = checkAccess(state, who)) {
-            who.closing = *refused != refusal_reason::NotConfigured;
-            refuseRequest(state, who, *refused, now);
+    if (caller.state == transaction_state::Idle) {
+        if (const auto refused = checkAccess(state, caller)) {
+            caller.closing = *refused != refusal_reason::NotConfigured;
+            refuseRequest(state, caller, *refused, now);
             return;
         }
     }
-    dispatch(state, who, now);
+    dispatch(state, caller, now);
 }
 } // namespace
 
 bool onSessionOpened(engine &state, session_id id, const std::string &database,
                      const std::string &key, core::time_point now)
 {
-    session who;
-    who.id = id;
-    who.database = database;
-    who.key = key;
-    auto refused = checkAccess(state, who);
+    session caller;
+    caller.id = id;
+    caller.database = database;
+    caller.key = key;
+    auto refused = checkAccess(state, caller);
     if (!refused && state.sessions.size() >= state.settings.maxSessions)
         refused = refusal_reason::TooManySessions;
     if (state.stopping
-        && now >= state.stopDeadline - state.settings.gracePeriod + idleSessionsUntil)
+        && now >= state.stopDeadline - state.settings.gracePeriod + idleSessionCloseDelay)
         refused = refusal_reason::Stopping;
     if (refused) {
         ++state.counters.refused.at(static_cast<std::size_t>(*refused));
@@ -238,28 +239,28 @@
         state.out.emplace_back(std::move(line));
         return false;
     }
-    state.sessions.emplace(id, std::move(who));
+    state.sessions.emplace(id, std::move(caller));
     state.out.emplace_back(send_to_caller{ id, reply{}, true });
     return true;
 }
 
-void resume(engine &state, session &who, core::time_point now)
+void resume(engine &state, session &caller, core::time_point now)
 {
-    dispatch(state, who, now);
+    dispatch(state, caller, now);
 }
 
 void onCallerStatement(engine &state, session_id id, caller_statement statement,
                        core::time_point now)
 {
-    session *who = findSession(state, id);
-    if (who == nullptr || who->closing)
+    session *caller = findSession(state, id);
+    if (caller == nullptr || caller->closing)
         return;
-    if (!who->current) {
-        start(state, *who, std::move(statement), now);
+    if (!caller->current) {
+        startStatement(state, *caller, std::move(statement), now);
         return;
     }
-    if (who->waiting.size() < maxWaitingStatements) {
-        who->waiting.push_back(std::move(statement));
+    if (caller->waiting.size() < maxWaitingStatements) {
+        caller->waiting.push_back(std::move(statement));
         return;
     }
     state.out.emplace_back(close_caller{ id });
@@ -268,81 +269,83 @@
 
 void onCallerDisconnected(engine &state, session_id id, core::time_point now)
 {
-    session *who = findSession(state, id);
-    if (who == nullptr)
+    session *caller = findSession(state, id);
+    if (caller == nullptr)
         return;
     state.active.erase(id);
-    link_id held = who->transaction ? who->transaction->link : 0;
-    const bool neverRan = who->current && who->current->admitted && !who->current->everSent;
-    if (neverRan && who->state == transaction_state::Idle)
-        giveBack(state.quota, who->workspace, now);
+    link_id pinnedLink = caller->transaction ? caller->transaction->link : 0;
+    const bool neverSent =
+            caller->current && caller->current->admitted && !caller->current->wasSent;
+    if (neverSent && caller->state == transaction_state::Idle)
+        giveBack(state.quota, caller->workspace, now);
     decision_note line;
     line.kind = note_kind::SessionClosed;
     line.session = id;
-    line.workspace = who->workspace;
-    line.reason = who->closing ? "by_proxy" : "ended";
+    line.workspace = caller->workspace;
+    line.reason = caller->closing ? "by_proxy" : "ended";
     state.out.emplace_back(std::move(line));
     state.sessions.erase(id);
-    if (upstream_link *link = findLink(state, held))
+    if (upstream_link *link = findLink(state, pinnedLink))
         rollBack(state, *link, now);
 }
 
-void finish(engine &state, session &who, reply answer, core::time_point now)
+void finishRequest(engine &state, session &caller, reply answer, core::time_point now)
 {
-    who.current.reset();
-    if (who.transaction && who.state != transaction_state::Idle) {
+    caller.current.reset();
+    if (caller.transaction && caller.state != transaction_state::Idle) {
         const core::duration limit =
                 state.config ? state.config->transactionIdleLimit : core::duration::zero();
         if (limit > core::duration::zero())
-            who.transaction->idleUntil = now + limit;
+            caller.transaction->idleDeadline = now + limit;
     } else {
-        state.active.erase(who.id);
+        state.active.erase(caller.id);
     }
-    answer.state = who.state;
-    state.out.emplace_back(send_to_caller{ who.id, std::move(answer) });
-    const session_id id = who.id;
-    if (who.closing) {
+    answer.state = caller.state;
+    state.out.emplace_back(send_to_caller{ caller.id, std::move(answer) });
+    const session_id id = caller.id;
+    if (caller.closing) {
         state.out.emplace_back(close_caller{ id });
         onCallerDisconnected(state, id, now);
         return;
     }
-    if (who.waiting.empty())
+    if (caller.waiting.empty())
         return;
-    caller_statement next = std::move(who.waiting.front());
-    who.waiting.pop_front();
-    start(state, who, std::move(next), now);
+    caller_statement next = std::move(caller.waiting.front());
+    caller.waiting.pop_front();
+    startStatement(state, caller, std::move(next), now);
 }
 
-void refuseRequest(engine &state, session &who, refusal_reason reason, core::time_point now,
-                   core::duration comeBackAfter)
+void refuseRequest(engine &state, session &caller, refusal_reason reason, core::time_point now,
+                   core::duration retryAfter)
 {
     ++state.counters.refused.at(static_cast<std::size_t>(reason));
-    const bool uncertain =
+    const bool outcomeUnknown =
             reason == refusal_reason::AnswerLost || reason == refusal_reason::NoAnswerInTime;
-    noteRequest(state, uncertain ? note_kind::StatementUncertain : note_kind::StatementRefused, who,
-                {}, toString(reason), now - who.current->arrived, who.current->tries);
+    noteRequest(state, outcomeUnknown ? note_kind::StatementUncertain : note_kind::StatementRefused,
+                caller, {}, toString(reason), now - caller.current->arrived, caller.current->tries);
     // A single statement that never ran has not used its workspace's rate.
-    if (who.state == transaction_state::Idle && who.current->admitted && !who.current->everSent)
-        giveBack(state.quota, who.workspace, now);
-    finish(state, who, refuse(reason, who.state, comeBackAfter), now);
+    if (caller.state == transaction_state::Idle && caller.current->admitted
+        && !caller.current->wasSent)
+        giveBack(state.quota, caller.workspace, now);
+    finishRequest(state, caller, refuse(reason, caller.state, retryAfter), now);
 }
 
-void noteRequest(engine &state, note_kind kind, const session &who, const std::string &member,
+void noteRequest(engine &state, note_kind kind, const session &caller, const std::string &member,
                  std::string_view reason, core::duration age, std::int64_t number)
 {
     decision_note line;
     line.kind = kind;
-    line.session = who.id;
-    line.workspace = who.workspace;
+    line.session = caller.id;
+    line.workspace = caller.workspace;
     line.member = member;
     line.reason = reason;
     line.age = age;
     line.number = number;
-    if (who.current) {
-        line.request = who.current->statement.id;
-        line.service = who.current->via.service;
-        if (who.current->where.atLeast)
-            line.position = *who.current->where.atLeast;
+    if (caller.current) {
+        line.request = caller.current->statement.id;
+        line.service = caller.current->effectiveRoute.service;
+        if (caller.current->where.minPosition)
+            line.position = *caller.current->where.minPosition;
     }
     state.out.emplace_back(std::move(line));
 }
--- a/src/proxy/engine_control.cpp
+++ b/src/proxy/engine_control.cpp
@@ -41,19 +41,19 @@
 }
 
 /// A member that started again holds nothing of before.
-void forgetMember(engine &state, member_state &member, core::time_point now)
+void resetMember(engine &state, member_state &member, core::time_point now)
 {
     closeIdleLinks(state, member, now);
     member.avoidUntil = {};
-    member.failures = 0;
+    member.consecutiveFailures = 0;
     member.silentSince = core::noDeadline;
 }
 
-void takeEntry(engine &state, const listed_member &from, core::time_point now)
+void applyMemberEntry(engine &state, const listed_member &from, core::time_point now)
 {
-    const auto [place, isNew] = state.members.try_emplace(from.entry.id);
-    member_state &member = place->second;
-    const bool reborn = !isNew && member.entry.startedAtMs != from.entry.startedAtMs;
+    const auto [slot, isNew] = state.members.try_emplace(from.entry.id);
+    member_state &member = slot->second;
+    const bool restarted = !isNew && member.entry.startedAtMs != from.entry.startedAtMs;
     const bool moved = !isNew && member.entry.address != from.entry.address;
     const bool returned = !isNew && !member.listed;
     const bool roleChanged = isNew || member.entry.claimsPrimary != from.entry.claimsPrimary;
@@ -61,17 +61,17 @@
     if (!isNew && member.entry.service != from.entry.service)
         state.services[member.entry.service].members.erase(from.entry.id);
     if (member.entry.zone != from.entry.zone)
-        member.keepersVersion = 0;
+        member.relaysVersion = 0;
     member.entry = from.entry;
     member.listed = true;
     member.missingSince = core::noDeadline;
     if (roleChanged)
         member.roleVersion = from.version;
-    if (reborn || moved)
-        forgetMember(state, member, now);
+    if (restarted || moved)
+        resetMember(state, member, now);
     serviceFor(state, member.entry.service).members.insert(member.entry.id);
-    if (isNew || returned || reborn)
-        noteMember(state, note_kind::MemberListed, member, reborn ? "restarted" : "listed");
+    if (isNew || returned || restarted)
+        noteMember(state, note_kind::MemberListed, member, restarted ? "restarted" : "listed");
     if (startsDraining) {
         noteMember(state, note_kind::MemberDraining, member, "reported");
         closeIdleLinks(state, member, now);
@@ -89,22 +89,23 @@
 
 } // namespace
 
-void forgetMissing(engine &state, core::time_point now)
+void expireMissingMembers(engine &state, core::time_point now)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> expired;
     for (auto &[id, member] : state.members) {
         if (member.listed && member.missingSince != core::noDeadline
-            && now - member.missingSince >= returnTime) {
+            && now - member.missingSince >= missingMemberTimeout) {
             member.listed = false;
             member.removedAt = member.missingSince;
             noteMember(state, note_kind::MemberGone, member, "not_listed");
             closeIdleLinks(state, member, now);
             adoptClaimedLeader(state, state.services.at(member.entry.service), now);
         }
-        if (!member.listed && member.links.empty() && now - member.removedAt > goneMemory)
-            gone.push_back(id);
+        if (!member.listed && member.links.empty()
+            && now - member.removedAt > removedMemberRetention)
+            expired.push_back(id);
     }
-    for (const std::string &id : gone) {
+    for (const std::string &id : expired) {
         state.services[state.members.at(id).entry.service].members.erase(id);
         state.members.erase(id);
     }
@@ -141,8 +142,8 @@
 
 bool pollsStore(const engine &state)
 {
-    constexpr std::size_t watchingDaemons = 3;
-    return instanceRank(state, "manifest") < watchingDaemons;
+    constexpr std::size_t pollingDaemons = 3;
+    return instanceRank(state, "manifest") < pollingDaemons;
 }
 
 void reshapeQuotas(engine &state, core::time_point now)
@@ -190,13 +191,13 @@
     std::set<std::string> present;
     for (const listed_member &each : list) {
         present.insert(each.entry.id);
-        takeEntry(state, each, now);
+        applyMemberEntry(state, each, now);
     }
     markMissing(state, present, now);
     for (auto &[name, service] : state.services) {
         adoptClaimedLeader(state, service, now);
         if (!service.queue.empty())
-            pump(state, service, now);
+            serveQueue(state, service, now);
     }
 }
 
@@ -236,30 +237,30 @@
     if (!same && term < service.term)
         return;
     // Two members with the same term: the one that was seen to lead last leads.
-    if (!same && term == service.term && since < service.provenAt)
+    if (!same && term == service.term && since < service.leaderProvenAt)
         return;
     const bool changed = !same || term > service.term;
     // Positions of an earlier leader may have been rolled back.
-    if (!same && service.provenAt != core::time_point{})
+    if (!same && service.leaderProvenAt != core::time_point{})
         service.positions = {};
     service.term = std::max(service.term, term);
-    service.provenAt = std::max(service.provenAt, since);
+    service.leaderProvenAt = std::max(service.leaderProvenAt, since);
     record(service.positions, { since, position });
     service.leaderlessSince = core::noDeadline;
     if (!changed)
         return;
     service.leader = member;
-    service.disproved.clear();
+    service.leadershipDenials.clear();
     noteLeader(state, note_kind::LeaderLearned, service, member, "proven");
-    tellLeader(state, service);
-    pump(state, service, now);
+    announceLeader(state, service);
+    serveQueue(state, service, now);
 }
 
 void loseLeader(engine &state, service_state &service, const std::string &member,
                 core::time_point now)
 {
-    if (const member_state *who = findMember(state, member))
-        service.disproved[member] = who->roleVersion;
+    if (const member_state *denier = findMember(state, member))
+        service.leadershipDenials[member] = denier->roleVersion;
     if (service.leader != member)
         return;
     noteLeader(state, note_kind::LeaderLost, service, member, "read_only");
@@ -277,16 +278,17 @@
         const member_state &member = state.members.at(id);
         if (!member.listed || !member.entry.claimsPrimary)
             continue;
-        const auto disproved = service.disproved.find(id);
-        if (disproved != service.disproved.end() && disproved->second >= member.roleVersion)
+        const auto leadershipDenials = service.leadershipDenials.find(id);
+        if (leadershipDenials != service.leadershipDenials.end()
+            && leadershipDenials->second >= member.roleVersion)
             continue;
         if (best == nullptr || member.roleVersion > best->roleVersion)
             best = &member;
     }
-    const bool knownHolds = known != nullptr && known->listed
+    const bool keepsKnown = known != nullptr && known->listed
                             && (known->entry.claimsPrimary || best == nullptr
-                                || now - service.provenAt < claimDelay);
-    if (knownHolds || best == nullptr) {
+                                || now - service.leaderProvenAt < maxRoleReportLag);
+    if (keepsKnown || best == nullptr) {
         if (known == nullptr || !known->listed) {
             service.leader.clear();
             if (service.leaderlessSince == core::noDeadline)
--- a/src/proxy/engine_links.cpp
+++ b/src/proxy/engine_links.cpp
@@ -12,20 +12,20 @@
 namespace {
 
 /// A connection that does not become usable within this time is given up.
-constexpr milliseconds connectLimit{ 1'000 };
+constexpr milliseconds connectTimeout{ 1'000 };
 /// A keeper that lends nothing refuses before; this one does not answer.
-constexpr milliseconds borrowLimit{ 700 };
+constexpr milliseconds borrowTimeout{ 700 };
 /// An answer that nobody waits for any more is waited for this long before its link is closed.
-constexpr milliseconds orphanLimit{ 3'000 };
+constexpr milliseconds orphanedAnswerTimeout{ 3'000 };
 /// Idle links beyond those that this daemon may keep are closed after this time.
-constexpr milliseconds extraIdleLimit{ 60 };
-constexpr milliseconds keptIdleLimit{ 20'000 };
+constexpr milliseconds surplusIdleTimeout{ 60 };
+constexpr milliseconds retainedIdleTimeout{ 20'000 };
 /// Daemons that are tried in order; without any of them a daemon opens connections itself.
-constexpr std::size_t rankedKeepers = 12;
+constexpr std::size_t maxRankedRelays = 12;
 /// Connections that this daemon asks for at a time, for one member.
 constexpr std::size_t maxConnecting = 8;
 /// Of a member's connections, the part that the daemons together keep open while idle.
-constexpr double keptShare = 0.75;
+constexpr double idleConnectionShare = 0.75;
 
 std::string preparedName(const prepared_shape &shape)
 {
@@ -33,26 +33,26 @@
 }
 
 /// @return whether the link's values can be turned into the session's without a discard
-bool canExtend(const upstream_link &link, const session &who)
+bool canExtend(const upstream_link &link, const session &caller)
 {
     return std::all_of(link.values.begin(), link.values.end(),
-                       [&](const auto &each) { return who.values.contains(each.first); });
+                       [&](const auto &each) { return caller.values.contains(each.first); });
 }
 
-int fitOf(const upstream_link &link, const session &who)
+int matchScore(const upstream_link &link, const session &caller)
 {
-    if (link.values == who.values)
+    if (link.values == caller.values)
         return 2;
-    return canExtend(link, who) ? 1 : 0;
+    return canExtend(link, caller) ? 1 : 0;
 }
 
-void expectAnswer(upstream_link &link, answer_role role, const session *who = nullptr)
+void expectAnswer(upstream_link &link, answer_role role, const session *caller = nullptr)
 {
     expected_answer next;
     next.role = role;
-    if (who != nullptr) {
-        next.session = who->id;
-        next.serial = who->current->serial;
+    if (caller != nullptr) {
+        next.session = caller->id;
+        next.serial = caller->current->serial;
     }
     link.expected.push_back(next);
 }
@@ -67,15 +67,16 @@
 }
 
 /// Brings the member's idea of the session's values and prepared statement up to date.
-void addPreparation(upstream_link &link, const session &who, std::vector<upstream_command> &batch)
+void addPreparation(upstream_link &link, const session &caller,
+                    std::vector<upstream_command> &batch)
 {
-    if (!canExtend(link, who)) {
+    if (!canExtend(link, caller)) {
         batch.push_back(makeCommand(command_kind::Discard));
         expectAnswer(link, answer_role::Preparation);
         link.values.clear();
         link.prepared.clear();
     }
-    for (const auto &[name, value] : who.values) {
+    for (const auto &[name, value] : caller.values) {
         const auto known = link.values.find(name);
         if (known != link.values.end() && known->second == value)
             continue;
@@ -83,7 +84,7 @@
         expectAnswer(link, answer_role::Preparation);
         link.values[name] = value;
     }
-    const caller_statement &statement = who.current->statement;
+    const caller_statement &statement = caller.current->statement;
     if (statement.kind != statement_kind::Execute || link.prepared.contains(statement.prepared))
         return;
     upstream_command prepare = makeCommand(command_kind::Prepare, preparedName(statement.prepared));
@@ -93,54 +94,56 @@
     link.prepared.insert(statement.prepared);
 }
 
-void addBegin(upstream_link &link, const session &who, std::vector<upstream_command> &batch)
+void addBegin(upstream_link &link, const session &caller, std::vector<upstream_command> &batch)
 {
-    const request &what = *who.current;
+    const request &pending = *caller.current;
     // A plain begin also proves that the member leads, which a read-only one does not.
-    const bool plain = what.where.needsPrimary;
-    link.plainBegin = plain;
-    upstream_command begin = makeCommand(plain ? command_kind::Begin : command_kind::BeginReadOnly);
-    if (!plain)
-        begin.after = what.where.atLeast;
+    const bool needsPrimary = pending.where.needsPrimary;
+    link.beginProvesLeader = needsPrimary;
+    upstream_command begin =
+            makeCommand(needsPrimary ? command_kind::Begin : command_kind::BeginReadOnly);
+    if (!needsPrimary)
+        begin.after = pending.where.minPosition;
     batch.push_back(std::move(begin));
-    expectAnswer(link, answer_role::Begin, &who);
+    expectAnswer(link, answer_role::Begin, &caller);
 }
 
-upstream_command forwarded(const session &who)
+upstream_command makeForward(const session &caller)
 {
-    const request &what = *who.current;
+    const request &pending = *caller.current;
     upstream_command command;
     command.kind = command_kind::Forward;
-    command.id = what.statement.id;
-    command.text = what.statement.text;
-    if (what.statement.kind == statement_kind::Execute) {
+    command.id = pending.statement.id;
+    command.text = pending.statement.text;
+    if (pending.statement.kind == statement_kind::Execute) {
         command.executes = true;
-        command.name = preparedName(what.statement.prepared);
-        command.argument = what.statement.argument;
+        command.name = preparedName(pending.statement.prepared);
+        command.argument = pending.statement.argument;
     }
     return command;
 }
 
-void addStatement(upstream_link &link, const session &who, std::vector<upstream_command> &batch)
+void addStatement(upstream_link &link, const session &caller, std::vector<upstream_command> &batch)
 {
-    const request &what = *who.current;
-    upstream_command statement = forwarded(who);
-    const bool alone = who.state == transaction_state::Idle;
-    if (alone && !what.where.needsPrimary)
-        statement.after = what.where.atLeast;
+    const request &pending = *caller.current;
+    upstream_command statement = makeForward(caller);
+    const bool outsideTransaction = caller.state == transaction_state::Idle;
+    if (outsideTransaction && !pending.where.needsPrimary)
+        statement.after = pending.where.minPosition;
     batch.push_back(std::move(statement));
-    expectAnswer(link, answer_role::Statement, &who);
+    expectAnswer(link, answer_role::Statement, &caller);
 }
 
-upstream_link *bestIdle(engine &state, const member_state &member, const session &who)
+upstream_link *bestIdle(engine &state, const member_state &member, const session &caller)
 {
     upstream_link *best = nullptr;
     for (const link_id id : member.links) {
         upstream_link &link = state.links.at(id);
-        if (link.state != link_state::Idle || link.control || link.workspace != who.workspace)
+        if (link.state != link_state::Idle || link.control || link.workspace != caller.workspace)
             continue;
-        if (best == nullptr || fitOf(link, who) > fitOf(*best, who)
-            || (fitOf(link, who) == fitOf(*best, who) && link.idleSince > best->idleSince))
+        if (best == nullptr || matchScore(link, caller) > matchScore(*best, caller)
+            || (matchScore(link, caller) == matchScore(*best, caller)
+                && link.idleSince > best->idleSince))
             best = &link;
     }
     return best;
@@ -165,26 +168,27 @@
 
 } // namespace
 
-std::uint32_t keptLinks(const engine &state, const member_state &member)
+std::uint32_t maxIdleLinks(const engine &state, const member_state &member)
 {
-    const double share = connectionLimit(state, member) * keptShare
+    const double share = connectionLimit(state, member) * idleConnectionShare
                          / std::max<std::uint32_t>(1, state.instances);
     return static_cast<std::uint32_t>(share);
 }
 
-upstream_link *acquireLink(engine &state, member_state &member, const session &who,
+upstream_link *acquireLink(engine &state, member_state &member, const session &caller,
                            link_id &opening, core::time_point now)
 {
-    if (upstream_link *idle = bestIdle(state, member, who)) {
+    if (upstream_link *idle = bestIdle(state, member, caller)) {
         ++state.counters.linksReused;
         return idle;
     }
-    const upstream_link *begun = findLink(state, opening);
-    const bool waits = begun != nullptr && begun->state == link_state::Connecting
-                       && begun->member == member.entry.id;
-    if (waits || member.limitUntil > now || connectingLinks(state, member) >= maxConnecting)
+    const upstream_link *connecting = findLink(state, opening);
+    const bool alreadyOpening = connecting != nullptr && connecting->state == link_state::Connecting
+                                && connecting->member == member.entry.id;
+    if (alreadyOpening || member.connectionLimitUntil > now
+        || connectingLinks(state, member) >= maxConnecting)
         return nullptr;
-    opening = openLink(state, member, who.workspace, false, now);
+    opening = openLink(state, member, caller.workspace, false, now);
     upstream_link *link = findLink(state, opening);
     // A keeper that refuses has passed nothing on, so the statement can go with the opening. A
     // member itself is asked first, as the end of its connection would not tell.
@@ -194,11 +198,11 @@
 namespace {
 
 /// Daemons that may keep a member's connections, those of its zone first.
-std::vector<std::string> rankKeepers(const engine &state, const member_state &member)
+std::vector<std::string> rankRelays(const engine &state, const member_state &member)
 {
     struct candidate
     {
-        bool near = false;
+        bool inMemberZone = false;
         std::uint64_t score = 0;
         std::string node;
         auto operator<=>(const candidate &) const = default;
@@ -211,24 +215,24 @@
     consider(state.settings.node, state.settings.zone);
     for (const auto &[name, peer] : state.peers)
         consider(name, peer.zone);
-    const std::size_t kept = std::min(rankedKeepers, all.size());
+    const std::size_t kept = std::min(maxRankedRelays, all.size());
     std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(kept), all.end(),
                       std::greater<>());
-    std::vector<std::string> keepers;
+    std::vector<std::string> relays;
     for (std::size_t i = 0; i < kept; ++i)
-        keepers.push_back(std::move(all[i].node));
-    return keepers;
+        relays.push_back(std::move(all[i].node));
+    return relays;
 }
 
 } // namespace
 
 std::string relayNodeFor(const engine &state, member_state &member, core::time_point now)
 {
-    if (member.keepersVersion != state.peersVersion) {
-        member.keepers = rankKeepers(state, member);
-        member.keepersVersion = state.peersVersion;
+    if (member.relaysVersion != state.peersVersion) {
+        member.relays = rankRelays(state, member);
+        member.relaysVersion = state.peersVersion;
     }
-    for (const std::string &node : member.keepers) {
+    for (const std::string &node : member.relays) {
         const auto peer = state.peers.find(node);
         if (node == state.settings.node
             || (peer != state.peers.end() && peer->second.relayAvoidedUntil <= now))
@@ -248,7 +252,7 @@
     link.workspace = workspace;
     link.openedAt = now;
     link.lastSent = now;
-    link.abandonAt = now + (link.via.empty() ? connectLimit : borrowLimit);
+    link.answerDeadline = now + (link.via.empty() ? connectTimeout : borrowTimeout);
     expectAnswer(link, answer_role::Startup);
     const link_id id = link.id;
     const std::string via = link.via;
@@ -262,24 +266,25 @@
     return id;
 }
 
-void sendRequest(engine &state, upstream_link &link, session &who, core::time_point now)
+void sendRequest(engine &state, upstream_link &link, session &caller, core::time_point now)
 {
-    request &what = *who.current;
+    request &pending = *caller.current;
     std::vector<upstream_command> batch;
-    addPreparation(link, who, batch);
-    const bool opensTransaction = what.starts && who.state != transaction_state::Idle;
+    addPreparation(link, caller, batch);
+    const bool opensTransaction =
+            pending.startsOperation && caller.state != transaction_state::Idle;
     link.beginFailed = false;
-    if (opensTransaction || what.where.wrapsRead)
-        addBegin(link, who, batch);
+    if (opensTransaction || pending.where.wrapsInTransaction)
+        addBegin(link, caller, batch);
     if (opensTransaction) {
         // The statement follows once the member has begun: if it refused, the statement would run
         // outside of a transaction.
-        link.pinnedTo = who.id;
-        who.transaction->link = link.id;
+        link.pinnedTo = caller.id;
+        caller.transaction->link = link.id;
     } else {
-        addStatement(link, who, batch);
+        addStatement(link, caller, batch);
     }
-    if (what.where.wrapsRead) {
+    if (pending.where.wrapsInTransaction) {
         batch.push_back(makeCommand(command_kind::Rollback));
         expectAnswer(link, answer_role::Cleanup);
     }
@@ -287,19 +292,20 @@
         link.state = link_state::Busy;
     link.lastSent = now;
     if (link.state == link_state::Busy)
-        link.abandonAt = std::max(what.deadline, now) + orphanLimit;
-    what.everSent = true;
-    ++what.tries;
-    what.sentOn.push_back(link.id);
+        link.answerDeadline = std::max(pending.deadline, now) + orphanedAnswerTimeout;
+    pending.wasSent = true;
+    ++pending.tries;
+    pending.outstandingLinks.push_back(link.id);
     if (member_state *member = findMember(state, link.member))
         ++member->outstanding;
     state.out.emplace_back(send_to_member{ link.id, std::move(batch) });
 }
 
-void sendAfterBegin(engine &state, upstream_link &link, const session &who, core::time_point now)
+void sendFirstStatement(engine &state, upstream_link &link, const session &caller,
+                        core::time_point now)
 {
     std::vector<upstream_command> batch;
-    addStatement(link, who, batch);
+    addStatement(link, caller, batch);
     link.lastSent = now;
     state.out.emplace_back(send_to_member{ link.id, std::move(batch) });
 }
@@ -315,7 +321,7 @@
     link.state = link_state::Idle;
     link.idleSince = now;
     link.pinnedTo = 0;
-    link.abandonAt = core::noDeadline;
+    link.answerDeadline = core::noDeadline;
     const std::string member = link.member;
     const link_id id = link.id;
     const auto found = state.members.find(member);
@@ -324,13 +330,13 @@
         return;
     }
     if (service_state *service = findService(state, found->second.entry.service))
-        pump(state, *service, now);
-    const upstream_link *still = findLink(state, id);
+        serveQueue(state, *service, now);
+    const upstream_link *remaining = findLink(state, id);
     // A borrowed connection goes back at once; others may wait for it at its keeper.
-    const bool borrowed = still != nullptr && !still->via.empty();
+    const bool borrowed = remaining != nullptr && !remaining->via.empty();
     const bool unwanted =
             borrowed || !found->second.listed || found->second.entry.draining || state.stopping;
-    if (still != nullptr && still->state == link_state::Idle && unwanted)
+    if (remaining != nullptr && remaining->state == link_state::Idle && unwanted)
         closeLink(state, id, true, now);
 }
 
@@ -341,7 +347,7 @@
     state.out.emplace_back(send_to_member{ link.id, { makeCommand(command_kind::Rollback) } });
     expectAnswer(link, answer_role::Cleanup);
     link.lastSent = now;
-    link.abandonAt = now + orphanLimit;
+    link.answerDeadline = now + orphanedAnswerTimeout;
 }
 
 void trimLinks(engine &state, core::time_point now)
@@ -354,14 +360,14 @@
             if (link.state == link_state::Idle)
                 idle.push_back(&link);
         }
-        const std::size_t kept = keptLinks(state, member);
+        const std::size_t kept = maxIdleLinks(state, member);
         std::sort(idle.begin(), idle.end(), [](const auto *left, const auto *right) {
             return left->idleSince > right->idleSince;
         });
         const std::size_t busy = member.links.size() - idle.size();
         for (std::size_t i = 0; i < idle.size(); ++i) {
             const bool extra = busy + i >= kept;
-            const core::duration limit = extra ? extraIdleLimit : keptIdleLimit;
+            const core::duration limit = extra ? surplusIdleTimeout : retainedIdleTimeout;
             if (now - idle[i]->idleSince >= limit)
                 surplus.push_back(idle[i]->id);
         }
--- a/src/proxy/engine_peers.cpp
+++ b/src/proxy/engine_peers.cpp
@@ -15,14 +15,14 @@
 constexpr std::size_t exchangePeers = 3;
 /// Of these, the ones in other zones: bytes between zones are scarce, and positions that come into
 /// a zone spread in it.
-constexpr std::size_t exchangeFarPeers = 1;
-constexpr std::size_t newsPeers = 16;
+constexpr std::size_t exchangeOtherZonePeers = 1;
+constexpr std::size_t announcementPeers = 16;
 /// An answer to a question of this age is not used: the reports in it would be too old anyway.
-constexpr std::chrono::seconds answerLife{ 5 };
+constexpr std::chrono::seconds maxAnswerAge{ 5 };
 /// Reports of primaries that one datagram carries.
 constexpr std::size_t reportsPerMessage = 12;
 
-void drawSome(engine &state, std::vector<std::string> &names, std::size_t count)
+void sampleNames(engine &state, std::vector<std::string> &names, std::size_t count)
 {
     for (std::size_t i = 0; i < names.size() && i < count; ++i) {
         const std::size_t other = i + core::drawBelow(state.random, names.size() - i);
@@ -31,26 +31,27 @@
     names.resize(std::min(names.size(), count));
 }
 
-std::vector<std::string> drawPeers(engine &state, std::size_t count)
+std::vector<std::string> samplePeers(engine &state, std::size_t count)
 {
     std::vector<std::string> names;
     for (const auto &[name, peer] : state.peers)
         names.push_back(name);
-    drawSome(state, names, count);
+    sampleNames(state, names, count);
     return names;
 }
 
 /// Peers of the own zone, and as many of the others as are asked in one interval.
-std::vector<std::string> drawExchangePeers(engine &state)
+std::vector<std::string> sampleExchangePeers(engine &state)
 {
-    std::vector<std::string> near;
-    std::vector<std::string> far;
+    std::vector<std::string> sameZone;
+    std::vector<std::string> otherZones;
     for (const auto &[name, peer] : state.peers)
-        (peer.zone == state.settings.zone ? near : far).push_back(name);
-    drawSome(state, near, exchangePeers - std::min(far.size(), exchangeFarPeers));
-    drawSome(state, far, exchangePeers - near.size());
-    near.insert(near.end(), far.begin(), far.end());
-    return near;
+        (peer.zone == state.settings.zone ? sameZone : otherZones).push_back(name);
+    sampleNames(state, sameZone,
+                exchangePeers - std::min(otherZones.size(), exchangeOtherZonePeers));
+    sampleNames(state, otherZones, exchangePeers - sameZone.size());
+    sameZone.insert(sameZone.end(), otherZones.begin(), otherZones.end());
+    return sameZone;
 }
 
 std::vector<leader_report> reportsOf(engine &state, core::time_point now)
@@ -78,7 +79,7 @@
 }
 
 /// A peer's report of who leads, without a position whose age is known.
-void hearLeader(engine &state, const leader_report &report, core::time_point now)
+void onLeaderAnnouncement(engine &state, const leader_report &report, core::time_point now)
 {
     service_state *service = findService(state, report.service);
     if (service == nullptr || report.term <= service->term
@@ -87,9 +88,9 @@
     service->term = report.term;
     service->leader = report.member;
     service->positions = {};
-    service->disproved.clear();
+    service->leadershipDenials.clear();
     service->leaderlessSince = core::noDeadline;
-    service->provenAt = now;
+    service->leaderProvenAt = now;
     decision_note line;
     line.kind = note_kind::LeaderLearned;
     line.service = service->name;
@@ -97,14 +98,14 @@
     line.reason = "peer";
     line.position.term = service->term;
     state.out.emplace_back(std::move(line));
-    tellLeader(state, *service);
-    pump(state, *service, now);
+    announceLeader(state, *service);
+    serveQueue(state, *service, now);
 }
 
-void hearAnswer(engine &state, const peer_message &message, core::time_point now)
+void onExchangeAnswer(engine &state, const peer_message &message, core::time_point now)
 {
     const core::time_point asked{ core::duration(message.askedAtUs) };
-    if (asked > now || now - asked > answerLife)
+    if (asked > now || now - asked > maxAnswerAge)
         return;
     for (const leader_report &each : message.leaders) {
         service_state *service = findService(state, each.service);
@@ -116,9 +117,9 @@
     }
 }
 
-void answerReach(engine &state, const peer_message &message, core::time_point now)
+void answerReachabilityRequest(engine &state, const peer_message &message, core::time_point now)
 {
-    constexpr milliseconds freshSign{ 600 };
+    constexpr milliseconds maxContactAge{ 600 };
     peer_message answer = makeMessage(state, peer_message_kind::ReachabilityAnswer);
     answer.subject = message.subject;
     answer.member = message.member;
@@ -126,13 +127,13 @@
     if (const member_state *member = findMember(state, message.member)) {
         if (member->silentSince != core::noDeadline)
             answer.amount = 0;
-        else if (now - member->lastAnswerAt < freshSign)
+        else if (now - member->lastAnswerAt < maxContactAge)
             answer.amount = 1;
     }
     state.out.emplace_back(send_to_peer{ message.from, std::move(answer) });
 }
 
-void hearReach(engine &state, const peer_message &message)
+void onReachabilityAnswer(engine &state, const peer_message &message)
 {
     service_state *service = findService(state, message.subject);
     if (service == nullptr || service->promotion.oldPrimary != message.member)
@@ -157,17 +158,17 @@
 
 void exchangeWithPeers(engine &state, core::time_point now)
 {
-    if (now < state.nextExchange)
+    if (now < state.nextExchangeAt)
         return;
-    state.nextExchange = now + exchangeInterval;
+    state.nextExchangeAt = now + exchangeInterval;
     peer_message message = makeMessage(state, peer_message_kind::Exchange);
     message.askedAtUs = now.time_since_epoch().count();
     // The answer brings what the peer knows; what this daemon knows, others ask for.
-    for (const std::string &peer : drawExchangePeers(state))
+    for (const std::string &peer : sampleExchangePeers(state))
         state.out.emplace_back(send_to_peer{ peer, message });
 }
 
-void tellLeader(engine &state, const service_state &service)
+void announceLeader(engine &state, const service_state &service)
 {
     peer_message message = makeMessage(state, peer_message_kind::LeaderAnnouncement);
     leader_report report;
@@ -175,7 +176,7 @@
     report.member = service.leader;
     report.term = service.term;
     message.leaders.push_back(std::move(report));
-    for (const std::string &peer : drawPeers(state, newsPeers))
+    for (const std::string &peer : samplePeers(state, announcementPeers))
         state.out.emplace_back(send_to_peer{ peer, message });
 }
 
@@ -197,7 +198,7 @@
         break;
     }
     case peer_message_kind::ExchangeAnswer:
-        hearAnswer(state, message, now);
+        onExchangeAnswer(state, message, now);
         break;
     case peer_message_kind::LoanRequest:
         answerLoanRequest(state, message, now);
@@ -207,13 +208,13 @@
         break;
     case peer_message_kind::LeaderAnnouncement:
         for (const leader_report &each : message.leaders)
-            hearLeader(state, each, now);
+            onLeaderAnnouncement(state, each, now);
         break;
     case peer_message_kind::ReachabilityRequest:
-        answerReach(state, message, now);
+        answerReachabilityRequest(state, message, now);
         break;
     case peer_message_kind::ReachabilityAnswer:
-        hearReach(state, message);
+        onReachabilityAnswer(state, message);
         break;
     case peer_message_kind::LoanReturn:
         takeBack(state, message, now);
--- a/src/proxy/engine_placement.cpp
+++ b/src/proxy/engine_placement.cpp
@@ -13,8 +13,8 @@
 /// Sent before the answer to it can be late for the route's bound: covers the caller's own link.
 constexpr milliseconds stalenessMargin{ 100 };
 /// Expected time to an answer of a member that has not answered yet.
-constexpr double unknownAnswerUs = 10'000;
-constexpr double unknownConnectUs = 30'000;
+constexpr double defaultAnswerUs = 10'000;
+constexpr double defaultConnectUs = 30'000;
 /// A member whose log lacked the position a moment ago is taken only if no other is left.
 constexpr double laggingPenaltyUs = 50'000;
 constexpr double busyPenaltyUs = 20'000;
@@ -23,17 +23,17 @@
 /// Price of a statement that crosses zones, beyond its delay.
 constexpr double otherZonePenaltyUs = 2'000;
 /// A read is sent to a second member once this many usual answer times have passed.
-constexpr double hedgeAnswerTimes = 4;
-constexpr milliseconds leastHedgeDelay{ 80 };
+constexpr double hedgeAnswerFactor = 4;
+constexpr milliseconds minHedgeDelay{ 80 };
 /// Price of a statement that fails: it is tried again, or its caller has to.
 constexpr double failurePenaltyUs = 400'000;
 /// After this time without a failure a member's share counts half, so that it is tried again.
 constexpr double failureHalfLifeSeconds = 1.5;
 constexpr int maxTries = 12; // of one statement at members
 
-bool refusedIt(const request &what, const std::string &member)
+bool isExcluded(const request &pending, const std::string &member)
 {
-    const auto &list = what.refusedBy;
+    const auto &list = pending.excludedMembers;
     return std::find(list.begin(), list.end(), member) != list.end();
 }
 
@@ -47,23 +47,23 @@
 
 double failurePenalty(const member_state &member, core::time_point now)
 {
-    if (member.failedShare <= 0)
+    if (member.failureRate <= 0)
         return 0;
-    const std::chrono::duration<double> since = now - member.failedAt;
-    return failurePenaltyUs * member.failedShare
+    const std::chrono::duration<double> since = now - member.lastFailureAt;
+    return failurePenaltyUs * member.failureRate
            * std::exp2(-since.count() / failureHalfLifeSeconds);
 }
 
 double costOf(const engine &state, const member_state &member, const service_state &service,
-              const session &who, core::time_point now)
+              const session &caller, core::time_point now)
 {
-    const double answer = member.answerUs > 0 ? member.answerUs : unknownAnswerUs;
-    const double connect = member.connectUs > 0 ? member.connectUs : unknownConnectUs;
+    const double answer = member.answerUs > 0 ? member.answerUs : defaultAnswerUs;
+    const double connect = member.connectUs > 0 ? member.connectUs : defaultConnectUs;
     const double slots = std::max<std::uint32_t>(1, member.entry.slots);
     double cost = answer * (1 + member.outstanding / slots);
-    if (!hasIdleLink(state, member, who.workspace))
+    if (!hasIdleLink(state, member, caller.workspace))
         cost += connect;
-    if (member.limitUntil > now)
+    if (member.connectionLimitUntil > now)
         cost += connect;
     if (member.laggingUntil > now)
         cost += laggingPenaltyUs;
@@ -77,7 +77,7 @@
     return cost;
 }
 
-member_state *cheapestMember(engine &state, const service_state &service, const session &who,
+member_state *cheapestMember(engine &state, const service_state &service, const session &caller,
                              core::time_point now)
 {
     member_state *best = nullptr;
@@ -85,10 +85,10 @@
     for (const std::string &id : service.members) {
         member_state &member = state.members.at(id);
         // A full primary is left to the statements that only it can serve.
-        const bool spared = id == service.leader && member.busyUntil > now;
-        if (!takesNewWork(member, now) || refusedIt(*who.current, id) || spared)
+        const bool reservedForWrites = id == service.leader && member.busyUntil > now;
+        if (!acceptsNewWork(member, now) || isExcluded(*caller.current, id) || reservedForWrites)
             continue;
-        const double cost = costOf(state, member, service, who, now);
+        const double cost = costOf(state, member, service, caller, now);
         if (best == nullptr || cost < bestCost) {
             best = &member;
             bestCost = cost;
@@ -100,163 +100,167 @@
 member_state *leaderOf(engine &state, const service_state &service, core::time_point now)
 {
     member_state *member = findMember(state, service.leader);
-    if (member == nullptr || !takesNewWork(*member, now))
+    if (member == nullptr || !acceptsNewWork(*member, now))
         return nullptr;
     return member;
 }
 
 /// A member in reach that has an idle link for the session's workspace and values comes cheapest.
-member_state *chooseMember(engine &state, const service_state &service, session &who,
+member_state *chooseMember(engine &state, const service_state &service, session &caller,
                            core::time_point now)
 {
-    request &what = *who.current;
-    if (what.where.needsPrimary)
+    request &pending = *caller.current;
+    if (pending.where.needsPrimary)
         return leaderOf(state, service, now);
-    member_state *best = cheapestMember(state, service, who, now);
-    if (best == nullptr && !what.refusedBy.empty()) {
-        what.refusedBy.clear();
-        best = cheapestMember(state, service, who, now);
+    member_state *best = cheapestMember(state, service, caller, now);
+    if (best == nullptr && !pending.excludedMembers.empty()) {
+        pending.excludedMembers.clear();
+        best = cheapestMember(state, service, caller, now);
     }
     return best;
 }
 
-core::duration waitFor(const request &what, refusal_reason reason)
+core::duration queueTimeout(const request &pending, refusal_reason reason)
 {
-    const core::duration objective = what.via.latencyObjective;
+    const core::duration objective = pending.effectiveRoute.latencyObjective;
     // Nothing that happens here brings a primary back sooner than the caller's own next try.
     if (reason == refusal_reason::NoPrimary)
         return objective / refusalWaitDivisor;
     return objective;
 }
 
-void placeOnLink(engine &state, session &who, member_state &member, upstream_link &link,
+void placeOnLink(engine &state, session &caller, member_state &member, upstream_link &link,
                  core::time_point now)
 {
-    request &what = *who.current;
-    what.queued = false;
-    what.opening = 0;
-    const bool toLeader = what.where.needsPrimary;
+    request &pending = *caller.current;
+    pending.queued = false;
+    pending.openingLink = 0;
+    const bool toLeader = pending.where.needsPrimary;
     ++(toLeader ? state.counters.placedOnPrimary : state.counters.placedOnReplica);
-    const service_state &service = state.services.at(what.via.service);
+    const service_state &service = state.services.at(pending.effectiveRoute.service);
     core::duration age{};
     if (const auto newest = newestOf(service.positions))
         age = now - newest->since;
-    noteRequest(state, note_kind::StatementPlaced, who, member.entry.id,
-                toLeader ? "needs_primary" : "least_cost", age, what.tries);
-    sendRequest(state, link, who, now);
+    noteRequest(state, note_kind::StatementPlaced, caller, member.entry.id,
+                toLeader ? "needs_primary" : "least_cost", age, pending.tries);
+    sendRequest(state, link, caller, now);
 }
 
 } // namespace
 
-bool takesNewWork(const member_state &member, core::time_point now)
+bool acceptsNewWork(const member_state &member, core::time_point now)
 {
     return member.listed && !member.entry.draining && member.avoidUntil <= now;
 }
 
-void decidePlacement(engine &state, const session &who, request &what)
+void decidePlacement(engine &state, const session &caller, request &pending)
 {
-    const bool inTransaction = who.state != transaction_state::Idle;
-    const bool mayReadOnly = inTransaction ? who.transaction->readOnly : !what.writes;
-    what.where = {};
-    what.where.needsPrimary = true;
-    what.where.wrapsRead = !inTransaction && !what.writes;
-    if (!mayReadOnly || what.writes || what.via.kind == consistency::Primary)
+    const bool inTransaction = caller.state != transaction_state::Idle;
+    const bool mayUseReplica = inTransaction ? caller.transaction->readOnly : !pending.writes;
+    pending.where = {};
+    pending.where.needsPrimary = true;
+    pending.where.wrapsInTransaction = !inTransaction && !pending.writes;
+    if (!mayUseReplica || pending.writes || pending.effectiveRoute.kind == consistency::Primary)
         return;
-    const service_state *service = findService(state, what.via.service);
+    const service_state *service = findService(state, pending.effectiveRoute.service);
     if (service == nullptr)
         return;
-    const core::time_point oldest = what.arrived - what.via.maxStaleness + stalenessMargin;
-    auto position = positionSince(service->positions, oldest);
+    const core::time_point minReceivedAt =
+            pending.arrived - pending.effectiveRoute.maxStaleness + stalenessMargin;
+    auto position = positionSince(service->positions, minReceivedAt);
     if (!position)
         return;
-    if (what.via.kind == consistency::ReadYourWrites && who.ownPosition
-        && who.positionService == what.via.service)
-        position = std::max(*position, *who.ownPosition);
-    what.where.needsPrimary = false;
-    what.where.wrapsRead = false;
-    what.where.atLeast = position;
+    if (pending.effectiveRoute.kind == consistency::ReadYourWrites && caller.ownPosition
+        && caller.positionService == pending.effectiveRoute.service)
+        position = std::max(*position, *caller.ownPosition);
+    pending.where.needsPrimary = false;
+    pending.where.wrapsInTransaction = false;
+    pending.where.minPosition = position;
 }
 
-void enqueue(engine &state, session &who, refusal_reason waitsFor)
+void enqueueRequest(engine &state, session &caller, refusal_reason queuedReason)
 {
-    request &what = *who.current;
-    const bool wasQueued = what.queued;
-    if (!wasQueued || what.waitsFor != waitsFor)
-        what.waitUntil = std::min(what.deadline, what.arrived + waitFor(what, waitsFor));
-    what.waitsFor = waitsFor;
-    what.queued = true;
+    request &pending = *caller.current;
+    const bool wasQueued = pending.queued;
+    if (!wasQueued || pending.queuedReason != queuedReason)
+        pending.waitUntil =
+                std::min(pending.deadline, pending.arrived + queueTimeout(pending, queuedReason));
+    pending.queuedReason = queuedReason;
+    pending.queued = true;
     if (wasQueued)
         return;
-    if (service_state *service = findService(state, what.via.service))
-        service->queue.push_back(who.id);
+    if (service_state *service = findService(state, pending.effectiveRoute.service))
+        service->queue.push_back(caller.id);
 }
 
-void place(engine &state, session &who, core::time_point now)
+void placeRequest(engine &state, session &caller, core::time_point now)
 {
-    request &what = *who.current;
-    if (!what.starts) {
-        if (what.notBefore > now) {
-            enqueue(state, who, refusal_reason::MembersBusy);
+    request &pending = *caller.current;
+    if (!pending.startsOperation) {
+        if (pending.retryAt > now) {
+            enqueueRequest(state, caller, refusal_reason::MembersBusy);
             return;
         }
-        upstream_link *link = findLink(state, who.transaction->link);
+        upstream_link *link = findLink(state, caller.transaction->link);
         if (link != nullptr)
-            sendRequest(state, *link, who, now);
+            sendRequest(state, *link, caller, now);
         return;
     }
-    service_state *service = findService(state, what.via.service);
+    service_state *service = findService(state, pending.effectiveRoute.service);
     if (service == nullptr) {
-        refuseRequest(state, who, refusal_reason::NoMember, now);
+        refuseRequest(state, caller, refusal_reason::NoMember, now);
         return;
     }
-    if (what.tries >= maxTries) {
-        refuseRequest(state, who, refusal_reason::MembersBusy, now, milliseconds(100));
+    if (pending.tries >= maxTries) {
+        refuseRequest(state, caller, refusal_reason::MembersBusy, now, milliseconds(100));
         return;
     }
-    if (what.notBefore > now) {
-        enqueue(state, who, refusal_reason::MembersBusy);
+    if (pending.retryAt > now) {
+        enqueueRequest(state, caller, refusal_reason::MembersBusy);
         return;
     }
-    member_state *member = chooseMember(state, *service, who, now);
+    member_state *member = chooseMember(state, *service, caller, now);
     if (member == nullptr) {
-        enqueue(state, who,
-                what.where.needsPrimary ? refusal_reason::NoPrimary : refusal_reason::NoMember);
+        enqueueRequest(state, caller,
+                       pending.where.needsPrimary ? refusal_reason::NoPrimary
+                                                  : refusal_reason::NoMember);
         return;
     }
-    upstream_link *link = acquireLink(state, *member, who, what.opening, now);
+    upstream_link *link = acquireLink(state, *member, caller, pending.openingLink, now);
     if (link == nullptr) {
-        enqueue(state, who, refusal_reason::NoConnection);
+        enqueueRequest(state, caller, refusal_reason::NoConnection);
         return;
     }
-    what.hedgeAt = core::noDeadline;
-    if (who.state == transaction_state::Idle && !what.writes) {
-        const core::duration usual(static_cast<std::int64_t>(member->answerUs * hedgeAnswerTimes));
-        what.hedgeAt = now + std::max<core::duration>(leastHedgeDelay, usual);
+    pending.hedgeAt = core::noDeadline;
+    if (caller.state == transaction_state::Idle && !pending.writes) {
+        const core::duration typicalAnswerTime(
+                static_cast<std::int64_t>(member->answerUs * hedgeAnswerFactor));
+        pending.hedgeAt = now + std::max<core::duration>(minHedgeDelay, typicalAnswerTime);
     }
-    placeOnLink(state, who, *member, *link, now);
+    placeOnLink(state, caller, *member, *link, now);
 }
 
-void pump(engine &state, service_state &service, core::time_point now)
+void serveQueue(engine &state, service_state &service, core::time_point now)
 {
     // The list is taken out first: place() appends those that still have to wait.
     std::deque<session_id> waiting;
     waiting.swap(service.queue);
     for (const session_id id : waiting) {
-        session *who = findSession(state, id);
-        if (who == nullptr || !who->current || !who->current->queued)
+        session *caller = findSession(state, id);
+        if (caller == nullptr || !caller->current || !caller->current->queued)
             continue;
-        if (who->current->notBefore > now) {
+        if (caller->current->retryAt > now) {
             service.queue.push_back(id);
             continue;
         }
-        who->current->queued = false;
-        const core::time_point waitUntil = who->current->waitUntil;
-        const refusal_reason waitsFor = who->current->waitsFor;
-        place(state, *who, now);
-        who = findSession(state, id);
-        if (who != nullptr && who->current && who->current->queued
-            && who->current->waitsFor == waitsFor)
-            who->current->waitUntil = waitUntil;
+        caller->current->queued = false;
+        const core::time_point waitUntil = caller->current->waitUntil;
+        const refusal_reason queuedReason = caller->current->queuedReason;
+        placeRequest(state, *caller, now);
+        caller = findSession(state, id);
+        if (caller != nullptr && caller->current && caller->current->queued
+            && caller->current->queuedReason == queuedReason)
+            caller->current->waitUntil = waitUntil;
     }
 }
 
--- a/src/proxy/engine_time.cpp
+++ b/src/proxy/engine_time.cpp
@@ -11,110 +11,113 @@
 
 constexpr milliseconds maintenanceInterval{ 50 };
 constexpr milliseconds idleMaintenanceInterval{ 200 }; // without links and requests
-constexpr milliseconds pumpInterval{ 10 };
-constexpr milliseconds closingInterval{ 20 };
-constexpr milliseconds closingTime{ 1'000 };
-constexpr std::size_t leastClosed = 2; // sessions in one interval
+constexpr milliseconds queueRetryInterval{ 10 };
+constexpr milliseconds sessionCloseInterval{ 20 };
+constexpr milliseconds sessionClosePeriod{ 1'000 };
+constexpr std::size_t minClosedPerInterval = 2; // sessions in one interval
 /// The last answers leave before the process is killed.
-constexpr milliseconds reserveBeforeKill{ 700 };
+constexpr milliseconds killMargin{ 700 };
 
-void endTransaction(engine &state, session &who, refusal_reason reason, core::time_point now)
+void endTransaction(engine &state, session &caller, refusal_reason reason, core::time_point now)
 {
-    const link_id held = who.transaction->link;
-    who.transaction->link = 0;
-    who.transaction->lost = true;
-    who.transaction->lostReason = reason;
-    who.transaction->idleUntil = core::noDeadline;
-    noteRequest(state, note_kind::TransactionEnded, who, {}, toString(reason));
-    if (upstream_link *link = findLink(state, held))
+    const link_id pinnedLink = caller.transaction->link;
+    caller.transaction->link = 0;
+    caller.transaction->lost = true;
+    caller.transaction->lostReason = reason;
+    caller.transaction->idleDeadline = core::noDeadline;
+    noteRequest(state, note_kind::TransactionEnded, caller, {}, toString(reason));
+    if (upstream_link *link = findLink(state, pinnedLink))
         rollBack(state, *link, now);
 }
 
 /// The route's timeout has passed for the current request.
-void timeOut(engine &state, session &who, core::time_point now)
+void timeOut(engine &state, session &caller, core::time_point now)
 {
-    request &what = *who.current;
-    if (!what.everSent) {
-        refuseRequest(state, who, what.waitsFor, now, milliseconds(200));
+    request &pending = *caller.current;
+    if (!pending.wasSent) {
+        refuseRequest(state, caller, pending.queuedReason, now, milliseconds(200));
         return;
     }
-    if (what.sentOn.empty()) {
+    if (pending.outstandingLinks.empty()) {
         // Every member that got it said that it did not run it.
-        refuseRequest(state, who, refusal_reason::MembersBusy, now, milliseconds(200));
+        refuseRequest(state, caller, refusal_reason::MembersBusy, now, milliseconds(200));
         return;
     }
-    const bool mayWait = what.writes || what.statement.kind == statement_kind::Commit;
-    if (service_state *service = findService(state, what.via.service); service && mayWait)
+    const bool mayAwaitReplicas =
+            pending.writes || pending.statement.kind == statement_kind::Commit;
+    if (service_state *service = findService(state, pending.effectiveRoute.service);
+        service && mayAwaitReplicas)
         scheduleReplicaCheck(*service, now);
-    if (who.transaction) {
-        const link_id held = who.transaction->link;
-        const bool commits = what.statement.kind == statement_kind::Commit;
-        who.state = commits ? transaction_state::Idle : transaction_state::Failed;
+    if (caller.transaction) {
+        const link_id pinnedLink = caller.transaction->link;
+        const bool commits = pending.statement.kind == statement_kind::Commit;
+        caller.state = commits ? transaction_state::Idle : transaction_state::Failed;
         if (commits)
-            who.transaction.reset();
+            caller.transaction.reset();
         else
-            who.transaction->link = 0;
-        refuseRequest(state, who, refusal_reason::NoAnswerInTime, now);
-        if (held != 0 && findLink(state, held) != nullptr)
-            closeLink(state, held, false, now);
+            caller.transaction->link = 0;
+        refuseRequest(state, caller, refusal_reason::NoAnswerInTime, now);
+        if (pinnedLink != 0 && findLink(state, pinnedLink) != nullptr)
+            closeLink(state, pinnedLink, false, now);
         return;
     }
-    refuseRequest(state, who, refusal_reason::NoAnswerInTime, now);
+    refuseRequest(state, caller, refusal_reason::NoAnswerInTime, now);
 }
 
 /// Asks a second member for a read whose answer is overdue.
-void hedge(engine &state, session &who, core::time_point now)
+void hedge(engine &state, session &caller, core::time_point now)
 {
-    request &what = *who.current;
-    what.hedgeAt = core::noDeadline;
-    for (const link_id id : what.sentOn) {
+    request &pending = *caller.current;
+    pending.hedgeAt = core::noDeadline;
+    for (const link_id id : pending.outstandingLinks) {
         if (const upstream_link *link = findLink(state, id))
-            what.refusedBy.push_back(link->member);
+            pending.excludedMembers.push_back(link->member);
     }
     ++state.counters.hedged;
-    noteRequest(state, note_kind::StatementHedged, who, {}, "answer_overdue", now - what.arrived);
-    place(state, who, now);
+    noteRequest(state, note_kind::StatementHedged, caller, {}, "answer_overdue",
+                now - pending.arrived);
+    placeRequest(state, caller, now);
 }
 
 void checkSession(engine &state, session_id id, core::time_point now)
 {
-    session *who = findSession(state, id);
-    if (who == nullptr)
+    session *caller = findSession(state, id);
+    if (caller == nullptr)
         return;
-    if (!who->current) {
-        if (who->transaction && !who->transaction->lost) {
-            const bool overStop = state.stopping && now >= state.transactionDrainDeadline;
-            if (overStop)
-                endTransaction(state, *who, refusal_reason::Stopping, now);
-            else if (who->transaction->idleUntil <= now)
-                endTransaction(state, *who, refusal_reason::TransactionIdle, now);
+    if (!caller->current) {
+        if (caller->transaction && !caller->transaction->lost) {
+            const bool pastDrainDeadline = state.stopping && now >= state.transactionDrainDeadline;
+            if (pastDrainDeadline)
+                endTransaction(state, *caller, refusal_reason::Stopping, now);
+            else if (caller->transaction->idleDeadline <= now)
+                endTransaction(state, *caller, refusal_reason::TransactionIdle, now);
         }
         return;
     }
-    request &what = *who->current;
-    if (what.awaitsToken) {
-        if (what.waitUntil <= now)
-            refuseRequest(state, *who, refusal_reason::RateExceeded, now, milliseconds(100));
+    request &pending = *caller->current;
+    if (pending.awaitsToken) {
+        if (pending.waitUntil <= now)
+            refuseRequest(state, *caller, refusal_reason::RateExceeded, now, milliseconds(100));
         return;
     }
-    if (what.deadline <= now) {
-        timeOut(state, *who, now);
+    if (pending.deadline <= now) {
+        timeOut(state, *caller, now);
         return;
     }
-    if (what.queued && what.waitUntil <= now && what.sentOn.empty()) {
-        refuseRequest(state, *who, what.waitsFor, now, milliseconds(100));
+    if (pending.queued && pending.waitUntil <= now && pending.outstandingLinks.empty()) {
+        refuseRequest(state, *caller, pending.queuedReason, now, milliseconds(100));
         return;
     }
-    if (!what.queued && what.hedgeAt <= now)
-        hedge(state, *who, now);
+    if (!pending.queued && pending.hedgeAt <= now)
+        hedge(state, *caller, now);
 }
 
 void checkLinks(engine &state, core::time_point now)
 {
     std::vector<link_id> overdue;
     for (const auto &[id, link] : state.links) {
-        const bool owes = !link.expected.empty() || link.state == link_state::Connecting;
-        if (owes && link.abandonAt <= now)
+        const bool awaitsAnswer = !link.expected.empty() || link.state == link_state::Connecting;
+        if (awaitsAnswer && link.answerDeadline <= now)
             overdue.push_back(id);
     }
     for (const link_id id : overdue)
@@ -123,23 +126,22 @@
 
 /// Closes sessions that rest, a part of them at a time: a request that crosses the close is lost
 /// without an answer, so that each close has to leave the process at once, also on a slow instance.
-void closeRestingSessions(engine &state, core::time_point now)
+void closeIdleSessions(engine &state, core::time_point now)
 {
-    if (now < state.nextClosing)
+    if (now < state.nextSessionCloseAt)
         return;
-    state.nextClosing = now + closingInterval;
-    std::vector<session_id> resting;
-    for (const auto &[id, who] : state.sessions) {
-        if (!who.current && who.waiting.empty()
-            && (who.state == transaction_state::Idle
-                || now >= state.stopDeadline - reserveBeforeKill))
-            resting.push_back(id);
+    state.nextSessionCloseAt = now + sessionCloseInterval;
+    std::vector<session_id> idleSessions;
+    for (const auto &[id, caller] : state.sessions) {
+        if (!caller.current && caller.waiting.empty()
+            && (caller.state == transaction_state::Idle || now >= state.stopDeadline - killMargin))
+            idleSessions.push_back(id);
     }
     // All are closed in closingTime, however many they are.
-    const std::size_t intervals = closingTime / closingInterval;
-    const std::size_t share = state.sessionsAtStop / intervals + leastClosed;
-    resting.resize(std::min(resting.size(), share));
-    for (const session_id id : resting) {
+    const std::size_t intervals = sessionClosePeriod / sessionCloseInterval;
+    const std::size_t share = state.sessionsAtStop / intervals + minClosedPerInterval;
+    idleSessions.resize(std::min(idleSessions.size(), share));
+    for (const session_id id : idleSessions) {
         state.out.emplace_back(close_caller{ id });
         onCallerDisconnected(state, id, now);
     }
@@ -159,7 +161,7 @@
     state.stopping = true;
     state.stopDeadline = now + state.settings.gracePeriod;
     state.transactionDrainDeadline = now + state.settings.gracePeriod / 2;
-    state.nextClosing = now + idleSessionsUntil;
+    state.nextSessionCloseAt = now + idleSessionCloseDelay;
     state.sessionsAtStop = state.sessions.size();
     decision_note line;
     line.kind = note_kind::StopStarted;
@@ -169,57 +171,57 @@
 
 void onTimer(engine &state, core::time_point now)
 {
-    state.lastTime = now;
+    state.lastTimerAt = now;
     const std::vector<session_id> active(state.active.begin(), state.active.end());
     for (const session_id id : active)
         checkSession(state, id, now);
     for (auto &[name, service] : state.services) {
         if (!service.queue.empty())
-            pump(state, service, now);
+            serveQueue(state, service, now);
     }
     stepQuotas(state, now);
     requestParts(state, now);
     stepRecall(state, now);
     stepPromotions(state, now);
-    if (now >= state.nextMaintenance) {
+    if (now >= state.nextMaintenanceAt) {
         const bool idle = state.links.empty() && state.active.empty();
-        state.nextMaintenance = now + (idle ? idleMaintenanceInterval : maintenanceInterval);
+        state.nextMaintenanceAt = now + (idle ? idleMaintenanceInterval : maintenanceInterval);
         checkLinks(state, now);
         trimLinks(state, now);
-        forgetMissing(state, now);
+        expireMissingMembers(state, now);
         followSilence(state, now);
         checkReplicas(state, now);
         returnUnusedTokens(state, now);
         stepClaim(state, now);
     }
     if (state.stopping)
-        closeRestingSessions(state, now);
+        closeIdleSessions(state, now);
     exchangeWithPeers(state, now);
 }
 
 core::time_point nextTimerAt(const engine &state)
 {
-    core::time_point due = std::min(state.nextMaintenance, state.nextExchange);
+    core::time_point due = std::min(state.nextMaintenanceAt, state.nextExchangeAt);
     due = std::min({ due, state.nextPartRequest, state.recall.next });
     due = std::min(due, nextPromotionStep(state));
     if (state.stopping)
-        due = std::min(due, state.nextClosing);
+        due = std::min(due, state.nextSessionCloseAt);
     if (state.waitingLoans > 0)
-        due = std::min(due, state.lastTime + pumpInterval);
+        due = std::min(due, state.lastTimerAt + queueRetryInterval);
     for (const session_id id : state.active) {
-        const session &who = state.sessions.at(id);
-        if (!who.current) {
-            if (who.transaction)
-                due = std::min(due, who.transaction->idleUntil);
+        const session &caller = state.sessions.at(id);
+        if (!caller.current) {
+            if (caller.transaction)
+                due = std::min(due, caller.transaction->idleDeadline);
             continue;
         }
-        const request &what = *who.current;
-        if (!what.awaitsToken)
-            due = std::min(due, what.deadline);
-        if (what.queued || what.awaitsToken)
-            due = std::min({ due, what.waitUntil, state.lastTime + pumpInterval });
+        const request &pending = *caller.current;
+        if (!pending.awaitsToken)
+            due = std::min(due, pending.deadline);
+        if (pending.queued || pending.awaitsToken)
+            due = std::min({ due, pending.waitUntil, state.lastTimerAt + queueRetryInterval });
         else
-            due = std::min(due, what.hedgeAt);
+            due = std::min(due, pending.hedgeAt);
     }
     return due;
 }
--- a/src/proxy/engine_watch.cpp
+++ b/src/proxy/engine_watch.cpp
@@ -11,17 +11,17 @@
 namespace {
 
 /// A connection that has not opened by now shows that its member does not answer.
-constexpr milliseconds connectSilence{ 250 };
+constexpr milliseconds connectSilenceTimeout{ 250 };
 /// Statements take tens of milliseconds; a member that answers none of them for this long is
 /// silent.
-constexpr milliseconds answerSilence{ 450 };
-constexpr milliseconds keeperSilence{ 1'000 };
-constexpr milliseconds silentAvoidance{ 150 };
+constexpr milliseconds answerSilenceTimeout{ 450 };
+constexpr milliseconds unresponsiveRelayBackoff{ 1'000 };
+constexpr milliseconds silentMemberBackoff{ 150 };
 constexpr milliseconds silentProbeInterval{ 200 };
 /// One daemon in charge asks a group's replicas at this interval, the next ones less often.
 constexpr milliseconds replicaCheckInterval{ 2'500 };
-constexpr milliseconds suspectedCheckInterval{ 700 };
-constexpr std::size_t checkingDaemons = 3;
+constexpr milliseconds urgentReplicaCheckDelay{ 700 };
+constexpr std::size_t maxCheckingDaemons = 3;
 
 } // namespace
 
@@ -44,7 +44,7 @@
     // The oldest order without an answer tells how long the member has been silent.
     if (link->expected.empty() || link->expected.front().role == answer_role::Startup) {
         link->lastSent = link->expected.empty() ? now : link->openedAt;
-        link->abandonAt = link->lastSent + connectSilence * 2;
+        link->answerDeadline = link->lastSent + connectSilenceTimeout * 2;
     }
     upstream_command command;
     command.kind = kind;
@@ -76,32 +76,32 @@
             if (link.expected.empty() || link.lastSent <= member.lastAnswerAt)
                 continue;
             const bool connecting = link.expected.front().role == answer_role::Startup;
-            const core::duration limit = connecting ? connectSilence : answerSilence;
+            const core::duration limit = connecting ? connectSilenceTimeout : answerSilenceTimeout;
             if (now - link.lastSent < limit)
                 continue;
             // Behind a keeper that does not answer, the member may be well: it is asked directly.
             if (!link.via.empty()) {
                 suspected.insert(&member);
-                const auto keeper = state.peers.find(link.via);
-                if (connecting && keeper != state.peers.end())
-                    keeper->second.relayAvoidedUntil = now + keeperSilence;
+                const auto relay = state.peers.find(link.via);
+                if (connecting && relay != state.peers.end())
+                    relay->second.relayAvoidedUntil = now + unresponsiveRelayBackoff;
             } else {
                 member.silentSince = std::min(member.silentSince, link.lastSent);
             }
         }
         if (member.silentSince == core::noDeadline) {
-            if (suspected.contains(&member) && member.listed && now >= member.nextProbe)
+            if (suspected.contains(&member) && member.listed && now >= member.nextProbeAt)
                 probed.push_back(&member);
             continue;
         }
-        member.avoidUntil = std::max(member.avoidUntil, now + silentAvoidance);
-        if (member.listed && now >= member.nextProbe)
+        member.avoidUntil = std::max(member.avoidUntil, now + silentMemberBackoff);
+        if (member.listed && now >= member.nextProbeAt)
             probed.push_back(&member);
     }
     // A new connection tells a silent member from one that lost an answer; it gets no work until
     // one opens.
     for (member_state *member : probed) {
-        member->nextProbe = now + silentProbeInterval;
+        member->nextProbeAt = now + silentProbeInterval;
         sendControlCommand(state, member->entry.id, command_kind::Status, 0, now);
     }
 }
@@ -109,15 +109,16 @@
 void checkReplicas(engine &state, core::time_point now)
 {
     for (auto &[name, service] : state.services) {
-        if (now < service.nextReplicaCheck || service.leader.empty()
+        if (now < service.nextReplicaCheckAt || service.leader.empty()
             || service.promotion.phase != promotion_phase::None)
             continue;
         const std::size_t rank = rankOf(state, service);
-        if (rank >= checkingDaemons && service.nextReplicaCheck == core::time_point{})
+        if (rank >= maxCheckingDaemons && service.nextReplicaCheckAt == core::time_point{})
             continue;
-        service.nextReplicaCheck =
-                rank < checkingDaemons ? now + replicaCheckInterval * static_cast<int>(rank * 2 + 1)
-                                       : core::time_point{};
+        service.nextReplicaCheckAt =
+                rank < maxCheckingDaemons
+                        ? now + replicaCheckInterval * static_cast<int>(rank * 2 + 1)
+                        : core::time_point{};
         for (const std::string &id : service.members) {
             const member_state &member = state.members.at(id);
             if (member.listed && id != service.leader)
@@ -128,9 +129,9 @@
 
 void scheduleReplicaCheck(service_state &service, core::time_point now)
 {
-    const core::time_point soon = now + suspectedCheckInterval;
-    if (service.nextReplicaCheck == core::time_point{} || service.nextReplicaCheck > soon)
-        service.nextReplicaCheck = soon;
+    const core::time_point soon = now + urgentReplicaCheckDelay;
+    if (service.nextReplicaCheckAt == core::time_point{} || service.nextReplicaCheckAt > soon)
+        service.nextReplicaCheckAt = soon;
 }
 
 } // namespace fuchsiagw::proxy
--- a/src/proxy/relay_pool.cpp
+++ b/src/proxy/relay_pool.cpp
@@ -11,14 +11,14 @@
 
 /// Each connection that is being opened occupies a slot of the member.
 constexpr std::size_t maxOpening = 2;
-constexpr std::chrono::seconds idleLife{ 8 };
+constexpr std::chrono::seconds idleTimeout{ 8 };
 
 pooled_id findIdle(const relay_pool &pool, const std::string &workspace)
 {
     pooled_id newest = 0;
     for (const auto &[id, each] : pool.connections) {
-        const bool fits = each.state == pooled_state::Idle && each.workspace == workspace;
-        if (fits && (newest == 0 || each.since > pool.connections.at(newest).since))
+        const bool isUsable = each.state == pooled_state::Idle && each.workspace == workspace;
+        if (isUsable && (newest == 0 || each.since > pool.connections.at(newest).since))
             newest = id;
     }
     return newest;
@@ -67,8 +67,9 @@
 relay_step advance(relay_pool &pool, core::time_point now)
 {
     relay_step step;
-    std::map<std::string, std::size_t> ahead; // borrowers that an opening connection will serve
-    std::deque<waiting_borrower> left;
+    std::map<std::string, std::size_t>
+            queuedAhead; // borrowers that an opening connection will serve
+    std::deque<waiting_borrower> stillWaiting;
     for (waiting_borrower &each : pool.waiting) {
         if (const pooled_id idle = findIdle(pool, each.workspace)) {
             pool.connections.at(idle).state = pooled_state::Lent;
@@ -82,12 +83,12 @@
         }
         const auto planned = static_cast<std::size_t>(
                 std::count(step.open.begin(), step.open.end(), each.workspace));
-        const std::size_t coming = countOpening(pool, &each.workspace) + planned;
-        if (ahead[each.workspace]++ >= coming)
+        const std::size_t expectedConnections = countOpening(pool, &each.workspace) + planned;
+        if (queuedAhead[each.workspace]++ >= expectedConnections)
             tryOpen(pool, each.workspace, step.open.size(), step, now);
-        left.push_back(std::move(each));
+        stillWaiting.push_back(std::move(each));
     }
-    pool.waiting = std::move(left);
+    pool.waiting = std::move(stillWaiting);
     return step;
 }
 
@@ -95,7 +96,7 @@
 {
     std::vector<pooled_id> result;
     for (const auto &[id, each] : pool.connections) {
-        if (each.state == pooled_state::Idle && now - each.since > idleLife)
+        if (each.state == pooled_state::Idle && now - each.since > idleTimeout)
             result.push_back(id);
     }
     return result;
--- a/tests/proxy-fixture.hpp
+++ b/tests/proxy-fixture.hpp
@@ -19,7 +19,7 @@
 {
     engine state;
     core::time_point now{ std::chrono::hours(1) };
-    std::vector<action> seen; ///< all actions that were taken out so far
+    std::vector<action> history; ///< all actions that were taken out so far
     session_id nextSession = 0;
     int nextStatement = 0;
 
@@ -34,8 +34,8 @@
         state.settings.gracePeriod = std::chrono::seconds(6);
         state.random.seed(1);
         applyManifest(makeManifest(1));
-        list({ member("m1", true), member("m2", false), member("m3", false) });
-        take();
+        setMembers({ member("m1", true), member("m2", false), member("m3", false) });
+        takeActions();
     }
 
     static manifest makeManifest(std::uint64_t version)
@@ -86,7 +86,7 @@
         onManifest(state, std::make_shared<const manifest>(next), now);
     }
 
-    void list(const std::vector<upstream_entry> &entries)
+    void setMembers(const std::vector<upstream_entry> &entries)
     {
         std::vector<listed_member> members;
         std::uint64_t version = 100;
@@ -96,16 +96,16 @@
     }
 
     /// Takes the engine's actions out, and returns those of this call.
-    std::vector<action> take()
+    std::vector<action> takeActions()
     {
-        std::vector<action> fresh;
-        fresh.swap(state.out);
-        seen.insert(seen.end(), fresh.begin(), fresh.end());
-        return fresh;
+        std::vector<action> actions;
+        actions.swap(state.out);
+        history.insert(history.end(), actions.begin(), actions.end());
+        return actions;
     }
 
     template <typename type>
-    static std::vector<type> pick(const std::vector<action> &from)
+    static std::vector<type> actionsOf(const std::vector<action> &from)
     {
         std::vector<type> result;
         for (const action &each : from) {
@@ -115,24 +115,24 @@
         return result;
     }
 
-    void pass(core::duration lapse)
+    void advanceTime(core::duration elapsed)
     {
-        const core::time_point end = now + lapse;
+        const core::time_point end = now + elapsed;
         while (now < end) {
             now = std::min(end, now + milliseconds(10));
             onTimer(state, now);
         }
     }
 
-    session_id open(const std::string &database, const std::string &key = "key")
+    session_id openSession(const std::string &database, const std::string &key = "key")
     {
         const session_id id = ++nextSession;
         onSessionOpened(state, id, database, key, now);
         return id;
     }
 
-    void ask(session_id id, statement_kind kind, const std::string &text,
-             const std::string &name = {}, const std::string &argument = {})
+    void sendStatement(session_id id, statement_kind kind, const std::string &text,
+                       const std::string &name = {}, const std::string &argument = {})
     {
         caller_statement statement;
         statement.id = "s" + std::to_string(++nextStatement);
@@ -142,8 +142,11 @@
         statement.argument = argument;
         onCallerStatement(state, id, statement, now);
     }
-    void read(session_id id) { ask(id, statement_kind::Read, "READ a", "a"); }
-    void write(session_id id) { ask(id, statement_kind::Write, "WRITE a x", "a", "x"); }
+    void sendRead(session_id id) { sendStatement(id, statement_kind::Read, "READ a", "a"); }
+    void sendWrite(session_id id)
+    {
+        sendStatement(id, statement_kind::Write, "WRITE a x", "a", "x");
+    }
 
     static reply success(core::log_position position,
                          transaction_state after = transaction_state::Idle)
@@ -162,7 +165,10 @@
         return answer;
     }
 
-    void answer(link_id link, reply what) { onMemberAnswer(state, link, std::move(what), now); }
+    void answer(link_id link, reply response)
+    {
+        onMemberAnswer(state, link, std::move(response), now);
+    }
 
     /// Accepts every connection that is being opened.
     void acceptLinks()
@@ -198,22 +204,22 @@
     /// Lets the primary prove its position with a wrapped read.
     void provePrimary(core::log_position position)
     {
-        const session_id id = open("current");
-        read(id);
+        const session_id id = openSession("current");
+        sendRead(id);
         acceptLinks();
         const link_id link = busyLink();
         answer(link, success(position, transaction_state::Open));
         answer(link, success(position, transaction_state::Open));
         answer(link, success(position));
         onCallerDisconnected(state, id, now);
-        take();
+        takeActions();
     }
 
     /// The answers that a session got in these actions.
     static std::vector<reply> answersTo(session_id id, const std::vector<action> &from)
     {
         std::vector<reply> result;
-        for (const auto &each : pick<send_to_caller>(from)) {
+        for (const auto &each : actionsOf<send_to_caller>(from)) {
             if (each.session == id && !each.opens)
                 result.push_back(each.answer);
         }
@@ -223,7 +229,7 @@
     static std::vector<upstream_command> commandsOf(const std::vector<action> &from)
     {
         std::vector<upstream_command> result;
-        for (const auto &each : pick<send_to_member>(from))
+        for (const auto &each : actionsOf<send_to_member>(from))
             result.insert(result.end(), each.commands.begin(), each.commands.end());
         return result;
     }
