--- a/include/fuchsiagw/detail/engine_steps.hpp
+++ b/include/fuchsiagw/detail/engine_steps.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Steps of the engine that its own source files share.
+/// @brief Internal functions and constants that the source files of the engine share.
 
 #pragma once
 
@@ -9,21 +9,23 @@
 
 using std::chrono::milliseconds;
 
-/// Upper bound of the share of time that the caller's objective leaves for a wait before a refusal.
+/// A request without a primary waits at most this fraction of the route's latency objective.
 inline constexpr int refusalWaitDivisor = 4;
 
-/// Sessions that rest are closed this long after the order to stop: the balancer has by then
-/// noticed that this daemon is not ready, so that a caller who returns meets another one.
+/// Delay from the shutdown request to closing idle sessions. By then the load balancer has noticed
+/// that this daemon is not ready and sends reconnecting callers to another one.
 inline constexpr std::chrono::milliseconds idleSessionCloseDelay{ 2'300 };
-/// An operation that starts later than this before the end of the grace period may not end in it.
+/// Operations are refused this long before the end of the grace period, because they may not finish
+/// in time.
 inline constexpr std::chrono::milliseconds lastOperationMargin{ 2'000 };
 
-/// A member that is gone is remembered this long: its log may hold the only second copy of a
+/// A removed member is remembered this long, because its log may hold the only second copy of a
 /// commit.
 inline constexpr std::chrono::seconds removedMemberRetention{ 60 };
-/// After the platform's store was away, the entries of living members are back within two seconds.
+/// A member is removed after its entry was missing for this long. Running members restore their
+/// entries within two seconds after an outage of the platform's store.
 inline constexpr std::chrono::milliseconds missingMemberTimeout{ 2'600 };
-/// A member's own report of its role may be this much behind what it proved in an answer.
+/// A member's entry in the store may lag this much behind the role that its answers prove.
 inline constexpr std::chrono::milliseconds maxRoleReportLag{ 2'500 };
 
 [[nodiscard]] inline service_state *findService(engine &state, const std::string &name)
@@ -47,77 +49,84 @@
     return found == state.links.end() ? nullptr : &found->second;
 }
 
-/// @return the place of this daemon in the order in which the daemons look after a subject
+/// @return the rank of this daemon in the rendezvous hash order of all daemons for a subject
 /// @complexity linear in the daemons
 [[nodiscard]] std::size_t instanceRank(const engine &state, const std::string &subject);
 
-/// @brief Takes members out whose entries were missing for too long.
+/// @brief Removes members whose entries were missing for too long.
 void expireMissingMembers(engine &state, core::time_point now);
 
-/// @brief Whether a member may get a statement that is not part of a running transaction.
+/// @return whether a member may get a statement that is not part of a running transaction
 [[nodiscard]] bool acceptsNewWork(const member_state &member, core::time_point now);
 
-/// @brief Writes a note about a session's current request.
+/// @brief Logs a decision about a session's current request.
 void noteRequest(engine &state, note_kind kind, const session &caller, const std::string &member,
                  std::string_view reason, core::duration age = {}, std::int64_t number = 0);
 
-/// @brief Ends the current request with an answer and starts the next statement that waits.
+/// @brief Answers the current request and starts the session's next waiting statement.
 void finishRequest(engine &state, session &caller, reply answer, core::time_point now);
-/// @brief Ends the current request with a refusal of the proxy's own.
+/// @brief Answers the current request with a refusal by the proxy itself.
+/// @param retryAfter when another try may succeed; 0: unknown
 void refuseRequest(engine &state, session &caller, refusal_reason reason, core::time_point now,
                    core::duration retryAfter = {});
 
-/// @brief Puts the current request into its service's queue, or keeps it there.
+/// @brief Adds the current request to the queue of its service unless it is already there.
+/// @param queuedReason refusal that the caller gets if the wait ends without a member
 void enqueueRequest(engine &state, session &caller, refusal_reason queuedReason);
-/// @brief Sends the current request to a member if one can take it now; else queues or refuses it.
+/// @brief Sends the current request to a member that can take it now; otherwise queues or refuses
+/// it.
 void placeRequest(engine &state, session &caller, core::time_point now);
-/// @brief Tries the requests that wait for a service.
+/// @brief Tries to place the queued requests of a service.
 void serveQueue(engine &state, service_state &service, core::time_point now);
-/// @brief Decides where a statement has to run when it starts an operation.
+/// @brief Decides where the first statement of an operation must run.
 void decidePlacement(engine &state, const session &caller, request &pending);
 
-/// @brief Finds an idle link, or opens one.
+/// @brief Finds an idle link to a member, or opens one.
 /// @param opening set to the link that is being opened
-/// @return nullptr if none is idle
+/// @return link on which the request can be sent now, or nullptr if there is none yet
 upstream_link *acquireLink(engine &state, member_state &member, const session &caller,
                            link_id &opening, core::time_point now);
-/// @param direct not through the daemon that keeps the member's connections
+/// @brief Opens a link to a member.
+/// @param direct connects to the member itself instead of its relay
 link_id openLink(engine &state, member_state &member, const std::string &workspace, bool direct,
                  core::time_point now);
-/// @return the daemon that keeps the connections of a member for all others; may be this one
+/// @return the relay of a member, which is the daemon that pools the member's connections for all
+/// daemons; may be this daemon
 [[nodiscard]] std::string relayNodeFor(const engine &state, member_state &member,
                                        core::time_point now);
+/// @brief Sends the current request on a link, together with its preparation.
 void sendRequest(engine &state, upstream_link &link, session &caller, core::time_point now);
-/// @brief Sends the first statement of a transaction that the member has begun.
+/// @brief Sends the first statement of a transaction after the member has confirmed its begin.
 void sendFirstStatement(engine &state, upstream_link &link, const session &caller,
                         core::time_point now);
 void closeLink(engine &state, link_id id, bool graceful, core::time_point now);
-/// @brief Makes a link that owes no answer available again.
+/// @brief Makes a link without outstanding answers available to other requests.
 void releaseLink(engine &state, upstream_link &link, core::time_point now);
-/// @brief Ends the transaction on a link whose session no longer wants it.
+/// @brief Rolls back the transaction on a link whose session has abandoned it.
 void rollBack(engine &state, upstream_link &link, core::time_point now);
-/// @brief Closes links that are idle beyond what this daemon may keep.
+/// @brief Closes links whose idle timeout has passed; surplus links have a shorter timeout.
 void trimLinks(engine &state, core::time_point now);
-/// @return the connections to one member that this daemon may keep open while they are idle
+/// @return number of connections to one member that this daemon may keep open while they are idle
 [[nodiscard]] std::uint32_t maxIdleLinks(const engine &state, const member_state &member);
 
-/// @brief A member provably led at @p since.
-/// @param term in which it led, as far as is known; a position may be of an earlier term
+/// @brief Records that a member was proven to be the leader.
+/// @param term highest known term in which the member led; @p position may be of an earlier term
+/// @param since time for which the leadership is proven
 void learnLeader(engine &state, service_state &service, const std::string &member,
                  core::term_number term, const core::log_position &position, core::time_point since,
                  core::time_point now);
-/// @brief A member said that it does not lead.
+/// @brief Records that a member denied being the leader.
 void loseLeader(engine &state, service_state &service, const std::string &member,
                 core::time_point now);
-/// @brief Believes in the member that claims to lead, if none is known to.
+/// @brief Adopts a member that claims to be primary as leader if no leader is known.
 void adoptClaimedLeader(engine &state, service_state &service, core::time_point now);
 
-/// @brief Sends an order of the proxy's own over the member's control connection.
+/// @brief Sends a command of the proxy itself on the member's control link.
 void sendControlCommand(engine &state, const std::string &member, command_kind kind,
                         core::term_number term, core::time_point now);
-/// @return the place of this daemon among those that look after a service; it only changes with the
-/// daemons that take part
+/// @return the cached rank of this daemon for a service; it changes only with the set of daemons
 [[nodiscard]] std::size_t rankOf(const engine &state, service_state &service);
+/// @brief Detects members that do not answer and probes them.
 void followSilence(engine &state, core::time_point now);
 /// @return the members of a service that may be promoted
 [[nodiscard]] std::set<std::string> electableMembers(const engine &state,
@@ -128,58 +137,62 @@
 [[nodiscard]] std::optional<promotion_cause> causeNow(engine &state, service_state &service,
                                                       core::time_point now);
 void stepPromotions(engine &state, core::time_point now);
-/// @brief Asks replicas whether they receive, so that none stays paused by an attempt that ended.
+/// @brief Asks replicas whether they receive, so that none stays paused after a promotion attempt
+/// has ended.
 void checkReplicas(engine &state, core::time_point now);
-/// @brief Writes are not acknowledged: the replicas are asked soon.
+/// @brief Moves the next replica check forward, because writes are not acknowledged in time.
 void scheduleReplicaCheck(service_state &service, core::time_point now);
-/// @brief An answer to an order of the proxy's own.
+/// @brief Handles a member's answer to a command of the proxy itself.
 void onControlAnswer(engine &state, const std::string &member, const reply &answer,
                      core::time_point sentAt, core::time_point now);
 [[nodiscard]] core::time_point nextPromotionStep(const engine &state);
 
+/// @brief Asks a sample of the other daemons for positions and leaders.
 void exchangeWithPeers(engine &state, core::time_point now);
-/// @brief Takes the operation's token, waits for one, or refuses the statement.
-/// @return whether the statement may go on now
+/// @brief Takes a rate-limit token for the operation, waits for one, or refuses the statement.
+/// @return whether the statement may proceed now
 bool admitOperation(engine &state, session &caller, core::time_point now);
-/// @brief Goes on with a statement that waited for a token.
+/// @brief Continues a statement that waited for a rate-limit token.
 void resume(engine &state, session &caller, core::time_point now);
-/// @return the daemon of the zone that collects a workspace's parts and tokens; may be this one
+/// @return the home of a workspace's quota: the daemon of the zone that collects the workspace's
+/// parts and tokens; may be this daemon
 [[nodiscard]] std::string homeOf(const engine &state, const workspace_quota &quota,
                                  core::time_point now);
-/// @brief Writes a line if the part of a workspace's limit that this daemon holds has changed.
-/// @param other the daemon that lent or borrowed it, if any
+/// @brief Logs a change of the part of a workspace's limit that this daemon holds.
+/// @param other the daemon that lent or borrowed the part, if any
 void notePart(engine &state, workspace_quota &quota, const std::string &workspace,
               std::string_view reason, const std::string &other, core::time_point now);
-/// @brief A home asks soon for the parts of a workspace that is in use.
+/// @brief Schedules a request for the parts of a workspace that is in use.
 void useParts(engine &state, workspace_quota &quota, core::time_point now);
-/// @brief Asks the daemons of the zone for the parts of the workspaces whose home this daemon is.
+/// @brief Requests the zone's parts of the workspaces whose home is this daemon.
 void requestParts(engine &state, core::time_point now);
 void answerPartRequest(engine &state, const peer_message &message, core::time_point now);
 void takeParts(engine &state, const peer_message &message, core::time_point now);
-/// @brief Asks the daemons of the zone whether they use parts that an earlier process has lent.
+/// @brief Starts to recall the parts that a previous process of this daemon has lent in the zone.
 void startRecall(engine &state, core::time_point now);
 void stepRecall(engine &state, core::time_point now);
 void answerRecall(engine &state, const peer_message &message, core::time_point now);
 void takeRecallAnswer(engine &state, const peer_message &message, core::time_point now);
-/// @brief Judges the own claim by a new list of daemons.
+/// @brief Revises this daemon's claim after a new list of daemons.
 void reviseClaim(engine &state, const std::vector<peer_state> &list, core::time_point now);
 /// @brief Writes a claim that is due.
 void stepClaim(engine &state, core::time_point now);
-/// @brief Gives tokens to the daemons of the zone that wait for them.
+/// @brief Lends tokens to the daemons of the zone that wait for them.
 void serveLoans(engine &state, workspace_quota &quota, const std::string &workspace,
                 core::time_point now);
 /// @brief Admits operations that wait for a token.
 void serveTokenWaiters(engine &state, const std::string &workspace, core::time_point now);
 void stepQuotas(engine &state, core::time_point now);
-/// @brief Gives lent tokens back that were not needed.
+/// @brief Returns borrowed tokens that were not needed.
 void returnUnusedTokens(engine &state, core::time_point now);
-/// @brief Another daemon gave tokens back.
+/// @brief Handles tokens that a borrower returned.
 void takeBack(engine &state, const peer_message &message, core::time_point now);
 void answerLoanRequest(engine &state, const peer_message &message, core::time_point now);
 void takeLoan(engine &state, const peer_message &message, core::time_point now);
 void reshapeQuotas(engine &state, core::time_point now);
+/// @brief Announces the leader of a service to a sample of the other daemons.
 void announceLeader(engine &state, const service_state &service);
-/// @return a message with the fields that every kind has
+/// @return a message with the fields that all kinds have in common
 [[nodiscard]] peer_message makeMessage(const engine &state, peer_message_kind kind);
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/action.hpp
+++ b/include/fuchsiagw/proxy/action.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the engine asks its driver to do.
+/// @brief Actions that the engine requests from its driver.
 
 #pragma once
 
@@ -20,10 +20,10 @@
 {
     session_id session = 0;
     reply answer;
-    bool opens = false; ///< answers the session's opening, not a statement
+    bool opens = false; ///< answers the opening of the session, not a statement
 };
 
-/// After what was sent to the caller before.
+/// Closes the caller's connection after all earlier answers were sent.
 struct close_caller
 {
     session_id session = 0;
@@ -33,10 +33,10 @@
 {
     link_id link = 0;
     std::string address;
-    std::string via; ///< daemon that keeps the member's connections; empty: directly
+    std::string via; ///< relay that lends the connection; empty: connect directly
 };
 
-/// In order, in one write if the link is open; kept until then if it is not.
+/// Sends commands in order, in one write. They are buffered until the link is open.
 struct send_to_member
 {
     link_id link = 0;
@@ -46,24 +46,25 @@
 struct close_link
 {
     link_id link = 0;
-    bool graceful = false; ///< tells the member first
+    bool graceful = false; ///< tells the member before closing
 };
 
-/// The list of members may be out of date.
+/// Reads the list of members again, because it may be out of date.
 struct refresh_directory
 { };
 
-/// Another daemon has a newer manifest, so the feed that should bring it may be silent.
+/// Reads the manifest again: another daemon has a newer one, so the change feed may be broken.
 struct refresh_manifest
 { };
 
-/// A compare-and-set on the service's promotion row; answered with onTokenAcquired().
+/// Acquires a fencing token by a compare-and-set on the service's promotion row; answered with
+/// onTokenAcquired().
 struct acquire_fencing_token
 {
     std::string service;
 };
 
-/// Names a member as the next primary; answered with onPromoteAnswer().
+/// Promotes a member to primary; answered with onPromoteAnswer().
 struct order_promotion
 {
     std::string service;
@@ -77,11 +78,10 @@
     peer_message message;
 };
 
-/// Writes the own row of the list of daemons, if nobody has changed it since it was read; then the
-/// list is read again.
+/// Writes this daemon's row in the list of daemons by a compare-and-set; then reads the list again.
 struct claim_part
 {
-    limit_part part = 0; ///< of every limit; 0 only says that this daemon takes part
+    limit_part part = 0; ///< claimed part of every limit; 0 only registers this daemon
 };
 
 using action = std::variant<send_to_caller, close_caller, open_link, send_to_member, close_link,
--- a/include/fuchsiagw/proxy/caller_statement.hpp
+++ b/include/fuchsiagw/proxy/caller_statement.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One statement of a caller's session, as the wire codec decoded it.
+/// @brief Statement of a caller's session as decoded by the wire codec.
 
 #pragma once
 
@@ -34,7 +34,7 @@
     return statementKindNames.at(static_cast<std::size_t>(kind));
 }
 
-/// What a prepared statement does; two with the same shape are interchangeable.
+/// Content of a prepared statement; prepared statements with equal shapes are interchangeable.
 struct prepared_shape
 {
     bool writes = false;
@@ -45,12 +45,12 @@
 
 struct caller_statement
 {
-    std::string id; ///< chosen by the caller; goes to the member unchanged
+    std::string id; ///< chosen by the caller; forwarded unchanged
     statement_kind kind = statement_kind::Malformed;
-    std::string text; ///< exactly as it came; reads, writes and commits are forwarded with it
+    std::string text; ///< as received; reads, writes and commits are forwarded verbatim
     std::string name; ///< of the value or prepared statement, if the kind has one
-    std::string argument; ///< rest of the text behind the name
-    prepared_shape prepared; ///< for Prepare
+    std::string argument; ///< text after the name
+    prepared_shape prepared; ///< set for Prepare
 };
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/decision_note.hpp
+++ b/include/fuchsiagw/proxy/decision_note.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A decision with the inputs that led to it, for the log.
+/// @brief Log record of a decision and of the inputs that led to it.
 
 #pragma once
 
@@ -53,19 +53,19 @@
     return noteKindNames.at(static_cast<std::size_t>(kind));
 }
 
-/// Empty texts, zero numbers and zero ages are left out of the line.
+/// Fields with empty text, zero numbers and zero ages are omitted from the log line.
 struct decision_note
 {
     note_kind kind = note_kind::StatementPlaced;
-    std::string request; ///< id that the caller gave the statement
+    std::string request; ///< caller_statement::id
     std::uint64_t session = 0;
     std::string workspace;
     std::string service;
     std::string member;
     std::string reason;
-    core::log_position position; ///< demanded, or reported
-    core::duration age{ 0 }; ///< of the input that decided
-    std::int64_t number = 0; ///< tries, tokens, version: what the kind says
+    core::log_position position; ///< required by a statement, or reported by a member
+    core::duration age{ 0 }; ///< age of the deciding input
+    std::int64_t number = 0; ///< tries, tokens or version, depending on the kind
 };
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/manifest.hpp
+++ b/include/fuchsiagw/proxy/manifest.hpp
@@ -15,11 +15,11 @@
 
 namespace fuchsiagw::proxy {
 
-/// How current the data of a read must be.
+/// Consistency level of the reads on a route.
 enum class consistency : std::uint8_t {
-    Primary, ///< every acknowledged commit
-    BoundedStaleness, ///< every commit acknowledged before the route's bound
-    ReadYourWrites, ///< like BoundedStaleness, and every commit of the same session
+    Primary, ///< observes every acknowledged commit
+    BoundedStaleness, ///< observes every commit older than the route's maxStaleness
+    ReadYourWrites, ///< also observes every commit of the same session
 };
 
 inline constexpr std::array<std::string_view, 3> consistencyNames{ "primary", "bounded_age",
@@ -32,7 +32,7 @@
 
 struct route
 {
-    std::string database; ///< callers name it when they connect
+    std::string database; ///< name with which callers connect
     std::string service;
     consistency kind = consistency::Primary;
     core::duration statementTimeout{ 0 };
@@ -45,7 +45,7 @@
 struct service_entry
 {
     std::string name;
-    std::uint32_t maxConnections = 0; ///< of one member, over all callers
+    std::uint32_t maxConnections = 0; ///< limit per member, over all callers
     std::uint32_t synchronousReplicas = 0;
 };
 
@@ -53,18 +53,19 @@
 {
     std::string name;
     int priority = 0;
-    std::optional<double> ratePerSecond; ///< operations; none: unlimited
-    double burst = 0; ///< operations
+    std::optional<double> ratePerSecond; ///< operations; not set: unlimited
+    double burst = 0; ///< size of the token bucket, in operations
 };
 
 struct manifest
 {
     std::uint64_t version = 0;
-    std::map<std::string, route, std::less<>> routes; ///< by database
-    std::map<std::string, service_entry, std::less<>> services; ///< by name
+    std::map<std::string, route, std::less<>> routes; ///< key: route::database
+    std::map<std::string, service_entry, std::less<>> services; ///< key: service_entry::name
     std::vector<workspace_entry> workspaces;
-    std::map<std::string, std::size_t, std::less<>> workspaceByKey; ///< index into workspaces
-    core::duration transactionIdleLimit{ 0 }; ///< 0: none
+    std::map<std::string, std::size_t, std::less<>>
+            workspaceByKey; ///< access key to index in `workspaces`
+    core::duration transactionIdleLimit{ 0 }; ///< 0: no limit
 };
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/member_state.hpp
+++ b/include/fuchsiagw/proxy/member_state.hpp
@@ -14,32 +14,32 @@
 
 namespace fuchsiagw::proxy {
 
-/// Invariant: outstanding counts the statements on `links` that have no answer yet.
+/// Invariant: `outstanding` is the number of statements on `links` without an answer.
 struct member_state
 {
     upstream_entry entry;
-    std::uint64_t roleVersion = 0; ///< version of the store's row in which its role last changed
-    bool listed = true; ///< false: its entry is gone; it gets no new work
-    core::time_point removedAt{}; ///< while not listed
-    core::time_point missingSince = core::noDeadline; ///< its entry is missing, but may come back
+    std::uint64_t roleVersion = 0; ///< version of the row in which claimsPrimary last changed
+    bool listed = true; ///< false: removed from the store; gets no new work
+    core::time_point removedAt{}; ///< when it was removed; valid while not listed
+    core::time_point missingSince = core::noDeadline; ///< entry missing since then, not removed yet
     std::set<link_id> links;
-    std::vector<std::string> relays; ///< daemons that lend its connections, in order
-    std::uint64_t relaysVersion = 0; ///< engine::peersVersion for which they were ordered
+    std::vector<std::string> relays; ///< daemons that may be its relay, in order of preference
+    std::uint64_t relaysVersion = 0; ///< engine::peersVersion for which `relays` was computed
     std::uint32_t outstanding = 0;
-    double answerUs = 0; ///< smoothed time to an answer
-    double connectUs = 0; ///< smoothed time to a usable connection
-    core::time_point avoidUntil{}; ///< after failed connections
-    core::time_point laggingUntil{}; ///< its log lacked a position a moment ago
-    core::time_point connectionLimitUntil{}; ///< it refused a connection for their number
-    int connectionLimitRefusals = 0; ///< in a row, with limitUntil
-    int busyRefusals = 0; ///< in a row, with busyUntil
-    core::time_point busyUntil{}; ///< it refused a statement for its queue
-    core::time_point silentSince = core::noDeadline; ///< first sign that it does not answer
-    core::time_point nextProbeAt{}; ///< while it is silent
-    core::time_point lastAnswerAt{}; ///< newest sign of life
-    int consecutiveFailures = 0; ///< in a row
-    double failureRate = 0; ///< smoothed part of its statements that failed
-    core::time_point lastFailureAt{}; ///< newest one
+    double answerUs = 0; ///< moving average of the time to an answer; 0: no sample
+    double connectUs = 0; ///< moving average of the time to open a link; 0: no sample
+    core::time_point avoidUntil{}; ///< gets no new work until then
+    core::time_point laggingUntil{}; ///< its log recently lacked a required position
+    core::time_point connectionLimitUntil{}; ///< no new links until then: it refused one
+    int connectionLimitRefusals = 0; ///< consecutive refusals of connections
+    int busyRefusals = 0; ///< consecutive refusals of statements
+    core::time_point busyUntil{}; ///< recently refused a statement because its queue was full
+    core::time_point silentSince = core::noDeadline; ///< unresponsive since then
+    core::time_point nextProbeAt{}; ///< next probe while it is unresponsive
+    core::time_point lastAnswerAt{}; ///< when its latest answer arrived
+    int consecutiveFailures = 0; ///< attempts to connect
+    double failureRate = 0; ///< moving average of the share of its statements that failed
+    core::time_point lastFailureAt{}; ///< latest failure of a statement
 };
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/refusal.hpp
+++ b/include/fuchsiagw/proxy/refusal.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The closed list of reasons for which the proxy itself refuses a statement.
+/// @brief All reasons for which the proxy itself refuses a statement.
 
 #pragma once
 
@@ -20,19 +20,19 @@
     RateExceeded,
     NoPrimary, ///< no member is known to lead
     NoMember, ///< no member can take the statement
-    NoConnection, ///< every connection stayed in use until the statement's wait ended
-    MembersBusy, ///< every member that was tried refused
-    TransactionLost, ///< the connection of the open transaction ended
+    NoConnection, ///< no connection became free within the statement's wait
+    MembersBusy, ///< every member that was tried refused the statement
+    TransactionLost, ///< the connection of the open transaction was lost
     TransactionIdle, ///< the transaction was idle for too long
     Stopping,
     OutOfPlace, ///< the statement does not fit the transaction's state
     PreparedUnknown,
-    NoAnswerInTime, ///< it was sent; the member did not answer before the route's timeout
-    AnswerLost, ///< it was sent; the connection ended before the answer
+    NoAnswerInTime, ///< sent, but not answered within the route's timeout
+    AnswerLost, ///< sent, but the connection was lost before the answer
     TooManySessions,
 };
 
-/// One row of the table from reason to answer.
+/// Maps a reason to its name and reply code.
 struct refusal_row
 {
     refusal_reason reason;
@@ -70,7 +70,7 @@
 }
 
 /// @brief Builds the answer for a refusal.
-/// @param comeBackAfter when another try may succeed; 0: unknown, and then not said
+/// @param retryAfter when another try may succeed; 0: unknown, and left out of the message
 [[nodiscard]] reply refuse(refusal_reason reason, transaction_state state,
                            core::duration retryAfter = {});
 
--- a/include/fuchsiagw/proxy/relay_pool.hpp
+++ b/include/fuchsiagw/proxy/relay_pool.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief Connections to one member that a daemon keeps for all daemons of the deployment.
+/// @brief Pool of connections to one member that its relay keeps for all daemons of the deployment.
 ///
-/// A member takes few connections, and a new one occupies one of its slots. So one daemon in the
-/// member's zone keeps them, by workspace, and lends each to one daemon at a time. A connection
-/// that comes back is cleaned before it is lent again.
+/// A member accepts few connections, and each handshake occupies one of its slots. Therefore one
+/// daemon in the member's zone, the relay, pools the connections by workspace and lends each of
+/// them to one daemon at a time. A returned connection is reset before it is lent again.
 
 #pragma once
 
@@ -25,14 +25,14 @@
     Opening,
     Idle,
     Lent,
-    Cleaning, ///< came back; its member has not confirmed yet that nothing is left
+    Cleaning, ///< returned; the member has not confirmed the reset yet
 };
 
 struct pooled_connection
 {
     std::string workspace;
     pooled_state state = pooled_state::Opening;
-    core::time_point since{}; ///< of this state
+    core::time_point since{}; ///< when it entered this state
 };
 
 struct waiting_borrower
@@ -42,16 +42,16 @@
     core::time_point waitUntil{};
 };
 
-/// Invariant: connections.size() never exceeds limit, and at most maxOpening of them are Opening.
+/// Invariant: there are at most `limit` connections, and at most maxOpening of them are Opening.
 struct relay_pool
 {
     std::size_t limit = 0;
     std::map<pooled_id, pooled_connection> connections;
     std::deque<waiting_borrower> waiting;
-    core::time_point refusedUntil{}; ///< the member refused a connection for their number
+    core::time_point refusedUntil{}; ///< no opening until then: the member's limit was reached
 };
 
-/// What is to be done for one pool now.
+/// Actions that advance() requests for a pool.
 struct relay_step
 {
     struct loan
@@ -62,15 +62,15 @@
 
     std::vector<loan> lend;
     std::vector<pooled_id> close;
-    std::vector<std::string> open; ///< workspaces
+    std::vector<std::string> open; ///< workspaces to open connections for
     std::vector<borrower_id> refuse;
 };
 
-/// @brief Serves the borrowers that wait, in order of arrival.
-/// @complexity waiting borrowers times connections
+/// @brief Serves the waiting borrowers in order of arrival.
+/// @complexity O(waiting borrowers * connections)
 [[nodiscard]] relay_step advance(relay_pool &pool, core::time_point now);
 
-/// @brief Closes what was not used for a while.
+/// @return idle connections whose idle timeout has passed
 [[nodiscard]] std::vector<pooled_id> surplus(const relay_pool &pool, core::time_point now);
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/reply.hpp
+++ b/include/fuchsiagw/proxy/reply.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The answer to one statement, from a member or from the proxy itself.
+/// @brief Answer to one statement, from a member or from the proxy itself.
 
 #pragma once
 
@@ -45,7 +45,7 @@
     return replyCodeNames.at(static_cast<std::size_t>(code));
 }
 
-/// Whether a code says that the statement did not run at the member that sent it.
+/// @return whether a code guarantees that the member did not run the statement
 [[nodiscard]] constexpr bool meansNotExecuted(reply_code code)
 {
     return code == reply_code::Busy || code == reply_code::Lagging || code == reply_code::ReadOnly
@@ -56,27 +56,27 @@
 enum class transaction_state : std::uint8_t {
     Idle,
     Open,
-    Failed, ///< only a commit or rollback is accepted, and it rolls back
+    Failed, ///< accepts only commit and rollback; both roll back
 };
 
-/// What a member reports of itself to the proxy's own orders.
+/// State that a member reports in answers to commands of the proxy itself.
 struct member_status
 {
     bool leads = false;
     core::term_number term = 0;
     core::log_position received;
-    core::term_number pausedTerm = 0; ///< 0: it receives
+    core::term_number pausedTerm = 0; ///< term for which receiving is paused; 0: it receives
 };
 
 struct reply
 {
     reply_code code = reply_code::Success;
     std::vector<std::string> rows;
-    std::string digest; ///< of the member, or "-" if the proxy answered itself
-    std::string message; ///< text beside an error code
+    std::string digest; ///< from the member; "-" if the proxy itself answered
+    std::string message; ///< text of an error
     transaction_state state = transaction_state::Idle;
     std::optional<core::log_position> position;
-    std::optional<member_status> status; ///< in answers to the proxy's own orders
+    std::optional<member_status> status; ///< only in answers to commands of the proxy itself
 };
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/service_state.hpp
+++ b/include/fuchsiagw/proxy/service_state.hpp
@@ -20,20 +20,20 @@
 struct service_state
 {
     std::string name;
-    std::set<std::string> members; ///< ids, those that are gone included while links last
-    std::string leader; ///< believed primary; empty: not known
+    std::set<std::string> members; ///< ids; includes removed members that are still remembered
+    std::string leader; ///< member that is assumed to be the primary; empty: unknown
     core::term_number term = 0; ///< highest term seen
-    core::time_point leaderProvenAt{}; ///< the leader provably led then
+    core::time_point leaderProvenAt{}; ///< latest time at which the leader was proven to lead
     core::time_point leaderlessSince = core::noDeadline;
-    /// Members that said that they do not lead, with the version of their role at that time.
+    /// Members that denied being the leader, with member_state::roleVersion at that time.
     std::map<std::string, std::uint64_t> leadershipDenials;
     position_book positions;
-    std::deque<session_id> queue; ///< sessions whose request waits, in order of arrival
+    std::deque<session_id> queue; ///< sessions whose request is queued, oldest first
     promotion_state promotion;
-    core::time_point nextReplicaCheckAt{}; ///< replicas are asked whether they receive
-    std::size_t rank = 0; ///< of this daemon among those that look after the service
-    std::uint64_t rankVersion = 0; ///< engine::peersVersion for which it was computed
-    std::map<std::string, core::time_point> pausedSince; ///< replicas that do not receive
+    core::time_point nextReplicaCheckAt{}; ///< next check whether the replicas receive
+    std::size_t rank = 0; ///< instanceRank() of this daemon for the service
+    std::uint64_t rankVersion = 0; ///< engine::peersVersion for which `rank` was computed
+    std::map<std::string, core::time_point> pausedSince; ///< replicas not receiving
 };
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/session.hpp
+++ b/include/fuchsiagw/proxy/session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One caller's connection: its values, prepared statements, transaction, open request.
+/// @brief State of one caller's session: values, prepared statements, transaction, request.
 
 #pragma once
 
@@ -24,65 +24,68 @@
 
 using session_values = std::map<std::string, std::string>;
 
-/// Where a statement must run and what it must see.
+/// Where a statement must run and which log position it must observe.
 struct placement
 {
-    bool needsPrimary = false; ///< a write, a plain transaction, or a read that must be current
-    bool wrapsInTransaction = false; ///< a single read inside a transaction of the proxy's own
-    std::optional<core::log_position> minPosition; ///< for a replica
+    bool needsPrimary = false; ///< write, read-write transaction, or read that must be current
+    bool wrapsInTransaction = false; ///< single read in a transaction that the proxy adds
+    std::optional<core::log_position>
+            minPosition; ///< log position that a replica must have reached
 };
 
-/// The statement that the session waits for.
+/// The statement whose answer the session is waiting for.
 struct request
 {
-    std::uint64_t serial = 0; ///< tells an answer to an earlier request from one to this
+    std::uint64_t serial =
+            0; ///< distinguishes answers to this request from answers to earlier ones
     caller_statement statement;
-    route effectiveRoute; ///< as it stood when the operation started
-    bool admitted = false; ///< its operation has its token of the workspace's rate
-    bool awaitsToken = false;
+    route effectiveRoute; ///< route as it was when the operation started
+    bool admitted = false; ///< its operation has taken a token of the workspace's rate limit
+    bool awaitsToken = false; ///< waits for a token of the workspace's rate limit
     bool writes = false;
-    bool startsOperation = false; ///< first statement of its operation that goes to a member
+    bool startsOperation = false; ///< first statement of its operation that is sent to a member
     placement where;
     core::time_point arrived{};
-    core::time_point deadline{}; ///< the route's timeout
-    core::time_point waitUntil{}; ///< refused then, unless it was sent before
-    core::time_point hedgeAt = core::noDeadline; ///< a second member is asked then
-    core::time_point retryAt{}; ///< pause before the next try
-    bool queued = false; ///< waits for a connection or for a primary
-    refusal_reason queuedReason = refusal_reason::NoConnection; ///< while queued
-    link_id openingLink = 0; ///< connection that was opened for it
-    std::vector<link_id> outstandingLinks; ///< connections that still owe an answer to it
-    bool wasSent = false;
+    core::time_point deadline{}; ///< end of the route's statement timeout
+    core::time_point waitUntil{}; ///< refused at this time if no member is working on it
+    core::time_point hedgeAt = core::noDeadline; ///< time of a hedged request to a second member
+    core::time_point retryAt{}; ///< earliest time of the next try
+    bool queued = false; ///< waits in service_state::queue
+    refusal_reason queuedReason = refusal_reason::NoConnection; ///< why the request is queued
+    link_id openingLink = 0; ///< link that was opened for this request
+    std::vector<link_id> outstandingLinks; ///< links on which an answer to it is outstanding
+    bool wasSent = false; ///< has been sent to a member
     int tries = 0;
-    std::vector<std::string> excludedMembers; ///< members that refused it in this round
+    std::vector<std::string> excludedMembers; ///< members that are not tried again in this round
 };
 
-/// Invariant: link != 0 exactly while the transaction runs at a member.
+/// Invariant: `link` is not 0 if and only if the transaction is running at a member.
 struct open_transaction
 {
     bool readOnly = false;
     route effectiveRoute;
     link_id link = 0;
     bool wrote = false;
-    bool lost = false; ///< its connection ended; nothing of it is kept
+    bool lost = false; ///< connection ended or proxy aborted it; nothing is kept
     refusal_reason lostReason = refusal_reason::TransactionLost;
-    core::time_point idleDeadline = core::noDeadline; ///< ended then if no statement comes
+    core::time_point idleDeadline = core::noDeadline; ///< aborted then if no statement arrives
 };
 
 struct session
 {
     session_id id = 0;
     std::string database;
-    std::string key; ///< never leaves the process
+    std::string key; ///< access key; secret, never leaves the process
     std::string workspace;
     session_values values;
-    std::map<std::string, prepared_shape> prepared; ///< by the caller's name
+    std::map<std::string, prepared_shape> prepared; ///< by the name that the caller uses
     transaction_state state = transaction_state::Idle;
-    std::optional<open_transaction> transaction; ///< while state is not Idle
+    std::optional<open_transaction> transaction; ///< set while state is not Idle
     std::string positionService; ///< service to which ownPosition belongs
-    std::optional<core::log_position> ownPosition; ///< newest acknowledged commit
+    std::optional<core::log_position>
+            ownPosition; ///< position of the session's latest acknowledged commit
     std::optional<request> current;
-    std::deque<caller_statement> waiting; ///< sent before the answer to the current one
+    std::deque<caller_statement> waiting; ///< statements that arrived before the current answer
     bool closing = false; ///< closed after the answer to the current request
 };
 
--- a/include/fuchsiagw/proxy/upstream_command.hpp
+++ b/include/fuchsiagw/proxy/upstream_command.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the proxy sends to a member, before the wire codec encodes it.
+/// @brief Command from the proxy to a member, before the wire codec encodes it.
 
 #pragma once
 
@@ -14,17 +14,17 @@
 
 enum class command_kind : std::uint8_t {
     Startup, ///< name: service, argument: workspace, id: expected member
-    Forward, ///< a caller's statement; text unchanged but for the prepared statement's name
+    Forward, ///< a caller's statement; only the name of a prepared statement is replaced
     Begin,
     BeginReadOnly,
     Rollback,
     SetValue,
     Prepare,
-    Discard, ///< drops values and prepared statements
+    Discard, ///< resets values and prepared statements
     Status,
-    PauseReceiving, ///< term
+    PauseReceiving, ///< uses `term`
     ResumeReceiving,
-    StepDown, ///< term
+    StepDown, ///< uses `term`
 };
 
 struct upstream_command
@@ -34,9 +34,9 @@
     std::string text; ///< for Forward
     std::string name;
     std::string argument;
-    prepared_shape prepared; ///< for Prepare, and for Forward of an execute
-    bool executes = false; ///< Forward: `name` replaces the caller's name of the prepared statement
-    std::optional<core::log_position> after; ///< the member refuses if its log lacks it
+    prepared_shape prepared; ///< for Prepare, and for Forward of an Execute
+    bool executes = false; ///< Forward: replaces the caller's prepared name by `name`
+    std::optional<core::log_position> after; ///< member refuses if its log lacks it
     core::term_number term = 0;
 };
 
--- a/include/fuchsiagw/proxy/upstream_entry.hpp
+++ b/include/fuchsiagw/proxy/upstream_entry.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a member of a database group says of itself in the platform's store.
+/// @brief Entry that a member of a database group publishes in the platform's store.
 
 #pragma once
 
@@ -12,12 +12,13 @@
 {
     std::string id;
     std::string service;
-    std::string address; ///< IP number and port
+    std::string address; ///< IP address and port
     std::string zone;
     std::uint32_t slots = 0;
     bool draining = false;
-    bool claimsPrimary = false; ///< its own view; may be out of date
-    std::uint64_t startedAtMs = 0; ///< Unix time of its start; another value means an empty memory
+    bool claimsPrimary = false; ///< self-reported; may be out of date
+    std::uint64_t startedAtMs =
+            0; ///< Unix time of its start; a new value means that the process restarted
 };
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/proxy/upstream_link.hpp
+++ b/include/fuchsiagw/proxy/upstream_link.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One connection to a member and what it is used for.
+/// @brief State of one connection to a member.
 
 #pragma once
 
@@ -15,52 +15,53 @@
 namespace fuchsiagw::proxy {
 
 enum class link_state : std::uint8_t {
-    Connecting, ///< the connection or its first answer is outstanding
+    Connecting, ///< waits for the connection or for the answer to Startup
     Idle,
-    Busy, ///< owes answers, or is kept for a transaction
+    Busy, ///< has outstanding answers or is pinned to a transaction
 };
 
-/// What an answer that is outstanding on a link belongs to.
+/// The kind of command to which an outstanding answer belongs.
 enum class answer_role : std::uint8_t {
     Startup,
-    Preparation, ///< values and prepared statements of the session
+    Preparation, ///< sets values or prepared statements of the session
     Begin,
     Statement,
-    Cleanup, ///< rollback by the proxy
-    Control, ///< status, pause, step down
+    Cleanup, ///< rollback that the proxy sends
+    Control, ///< command of the proxy itself: status, pause, resume or step down
 };
 
 struct expected_answer
 {
     answer_role role = answer_role::Statement;
     session_id session = 0;
-    std::uint64_t serial = 0; ///< of the request
+    std::uint64_t serial = 0; ///< request::serial
 };
 
-/// Invariants: a link with an open transaction belongs to one session, and no statement of another
-/// session is sent on it. `values` and `prepared` are what the member was told; they count as
-/// unknown (`tainted`) after a failed preparation, and the link is then closed.
+/// Invariants: while a transaction is open on the link, only statements of its session are sent.
+/// `values` and `prepared` mirror the state of the connection at the member. After a failed
+/// preparation that state is unknown: `tainted` is set and the link is closed.
 struct upstream_link
 {
     link_id id = 0;
     std::string member;
-    std::string workspace; ///< named when the connection was opened
-    std::string via; ///< daemon that lends the connection; empty: it is a direct one
-    bool control = false; ///< for the proxy's own orders only
+    std::string workspace; ///< workspace for which the connection was opened
+    std::string via; ///< relay that lends the connection; empty: direct connection
+    bool control = false; ///< carries only commands of the proxy itself
     link_state state = link_state::Connecting;
     std::deque<expected_answer> expected;
     session_values values;
     std::set<prepared_shape> prepared;
-    session_id pinnedTo = 0; ///< session whose transaction runs here
-    bool beginProvesLeader = false; ///< the newest begin proves that the member leads
-    bool beginFailed = false; ///< the transaction's begin of the current batch was refused
-    reply_code beginCode = reply_code::Success;
-    bool refused = false; ///< the opening was refused, and with it what was sent behind it
-    bool tainted = false;
+    session_id pinnedTo = 0; ///< session whose transaction runs on this link; 0: none
+    bool beginProvesLeader = false; ///< latest begin was read-write; only a leader accepts it
+    bool beginFailed = false; ///< the begin in the current batch was refused
+    reply_code beginCode = reply_code::Success; ///< answer to the refused begin
+    bool refused = false; ///< Startup and the commands sent after it were refused
+    bool tainted = false; ///< the connection can't be reused
     core::time_point lastSent{};
     core::time_point idleSince{};
     core::time_point openedAt{};
-    core::time_point answerDeadline = core::noDeadline; ///< closed then if answers are outstanding
+    core::time_point answerDeadline =
+            core::noDeadline; ///< closed then if an answer is still outstanding
 };
 
 } // namespace fuchsiagw::proxy
--- a/src/proxy/engine_answers.cpp
+++ b/src/proxy/engine_answers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Answers of members and ended connections: what the caller is told, what is tried again.
+/// @brief Handles answers of members and closed links: results for callers and retries.
 
 #include <fuchsiagw/detail/engine_steps.hpp>
 
@@ -9,20 +9,21 @@
 
 namespace {
 
-constexpr double smoothing = 0.2; // weight of the newest sample
-constexpr double failureSmoothing = 0.08; // weight of the newest statement
-/// An answer that nobody waits for any more is waited for this long after its link was opened.
+constexpr double smoothing = 0.2; // weight of the latest sample
+constexpr double failureSmoothing = 0.08; // weight of the latest statement
+/// Limit, from the opening of a link, for answers that no request waits for any more.
 constexpr milliseconds orphanedAnswerTimeout{ 4'000 };
 constexpr milliseconds laggingBackoff{ 120 };
-/// Another daemon keeps the connections while the one that does is not reached.
+/// A relay that can't be reached is replaced by the next daemon for this long.
 constexpr milliseconds unreachableRelayBackoff{ 1'000 };
+/// A relay that is stopping or does not know the member is replaced for this long.
 constexpr milliseconds refusingRelayBackoff{ 3'000 };
 constexpr milliseconds busyBackoff{ 15 };
 constexpr milliseconds connectionLimitBackoff{ 20 };
 constexpr int maxBusyDoublings = 4;
 constexpr int maxBusyBackoffFactor = 6;
 constexpr int maxConnectionLimitDoublings = 4;
-constexpr milliseconds failureBackoff{ 100 }; // doubled with each failure in a row
+constexpr milliseconds failureBackoff{ 100 }; // doubled with each consecutive failure
 constexpr int maxFailureDoublings = 4;
 
 void smooth(double &value, core::duration sample)
@@ -38,7 +39,7 @@
             static_cast<std::int64_t>(whole / 2 + core::drawBelow(state.random, whole)));
 }
 
-/// A member may fail part of what it runs while it answers well otherwise.
+/// Updates the failure rate of a member, which may fail some statements and answer others normally.
 void recordResult(member_state &member, reply_code code, core::time_point now)
 {
     const bool failed = code == reply_code::Failed || code == reply_code::TimedOut;
@@ -61,13 +62,13 @@
     member.avoidUntil = now + withJitter(state, failureBackoff * (1 << doublings));
     if (member.silentSince == core::noDeadline)
         member.silentSince = now;
-    decision_note line;
-    line.kind = note_kind::MemberAvoided;
-    line.service = member.entry.service;
-    line.member = member.entry.id;
-    line.reason = reason;
-    line.number = member.consecutiveFailures;
-    state.out.emplace_back(std::move(line));
+    decision_note note;
+    note.kind = note_kind::MemberAvoided;
+    note.service = member.entry.service;
+    note.member = member.entry.id;
+    note.reason = reason;
+    note.number = member.consecutiveFailures;
+    state.out.emplace_back(std::move(note));
 }
 
 request *findPendingRequest(engine &state, const expected_answer &expected, session *&caller)
@@ -83,7 +84,7 @@
     std::erase(pending.outstandingLinks, link);
 }
 
-/// Detaches a transaction that never got to run its first statement at the member.
+/// Detaches a transaction from a link on which it has not run its first statement.
 void unpinTransaction(session &caller, upstream_link *link)
 {
     if (caller.transaction)
@@ -97,7 +98,7 @@
 {
     request &pending = *caller.current;
     if (!pending.outstandingLinks.empty())
-        return; // another member still works on it
+        return; // another member is still working on it
     noteRequest(state, note_kind::StatementRetried, caller, member, toString(code),
                 now - pending.arrived, pending.tries);
     ++state.counters.retried;
@@ -112,7 +113,7 @@
     placeRequest(state, caller, now);
 }
 
-/// A position that even the leader lacks was rolled back by a promotion.
+/// Drops the session's position if the leader lacks it: a promotion has rolled it back.
 void dropRolledBackPosition(engine &state, session &caller, const std::string &member)
 {
     request &pending = *caller.current;
@@ -144,12 +145,12 @@
     }
 }
 
-/// @return whether the statement may be sent to another member, although it may have run
+/// @return whether the statement may be sent to another member although it may already have run
 bool isSafeToResend(const session &caller, const request &pending)
 {
     if (caller.state == transaction_state::Idle)
         return !pending.writes;
-    // Nothing of the transaction is kept once its connection has ended.
+    // A member discards an open transaction when its connection ends.
     return pending.startsOperation && pending.statement.kind != statement_kind::Commit;
 }
 
@@ -178,7 +179,7 @@
     finishRequest(state, caller, std::move(answer), now);
 }
 
-/// A member's error inside a transaction, or one that can't be tried again.
+/// Passes on a member's error that occurred inside a transaction or that can't be retried.
 void deliverError(engine &state, session &caller, upstream_link &link, reply &&answer,
                   core::time_point now)
 {
@@ -248,7 +249,7 @@
     if (answer.code != reply_code::Success) {
         link.beginFailed = true;
         link.beginCode = answer.code;
-        // A read that the proxy wrapped follows in the same batch; its answer tells the rest.
+        // A wrapped read was sent in the same batch; its own answer completes the request.
         if (pending == nullptr || !opensTransaction)
             return;
         if (member != nullptr)
@@ -260,7 +261,7 @@
     if (service != nullptr && answer.position && link.beginProvesLeader)
         learnLeader(state, *service, link.member, answer.position->term, *answer.position,
                     link.lastSent, now);
-    // What waits may have been placed meanwhile, and the session may be gone.
+    // learnLeader() may have placed queued requests, and the session may have ended.
     pending = findPendingRequest(state, expected, caller);
     if (pending != nullptr && opensTransaction)
         sendFirstStatement(state, link, *caller, now);
@@ -286,7 +287,7 @@
     link.refused = true;
     const auto relay = state.peers.find(link.via);
     if (answer.code != reply_code::ConnectionLimit && !link.via.empty()) {
-        // It is stopping, or does not know the member yet; the next one in order is asked.
+        // The relay is stopping or does not know the member yet; use the next one in order.
         if (relay != state.peers.end())
             relay->second.relayAvoidedUntil = now + refusingRelayBackoff;
         return;
@@ -306,7 +307,7 @@
     avoidMember(state, *member, toString(answer.code), now);
 }
 
-/// Ends what a link still owed when its connection was lost.
+/// Handles an answer that is lost because its link was closed.
 void onAnswerLost(engine &state, const upstream_link &link, const expected_answer &expected,
                   core::time_point now)
 {
--- a/src/proxy/engine_callers.cpp
+++ b/src/proxy/engine_callers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Callers' sessions: access, values, prepared statements, transactions.
+/// @brief Sessions of callers: access control, values, prepared statements, transactions.
 
 #include <fuchsiagw/detail/engine_steps.hpp>
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::size_t maxWaitingStatements = 64; // sent before the answer to an earlier one
-constexpr std::string_view proxyDigest = "-"; // of answers that no member gave
+constexpr std::size_t maxWaitingStatements = 64; // pipelined by one caller
+constexpr std::string_view proxyDigest = "-"; // digest of answers from the proxy itself
 
 reply proxySuccess(transaction_state state)
 {
@@ -20,7 +20,8 @@
     return answer;
 }
 
-/// @return why the session may not start anything now
+/// @brief Checks the session's access and sets its workspace.
+/// @return why the session may not start an operation now, if it may not
 std::optional<refusal_reason> checkAccess(engine &state, session &caller)
 {
     if (!state.config)
@@ -60,7 +61,7 @@
     finishRequest(state, caller, proxySuccess(caller.state), now);
 }
 
-/// @brief Ends a transaction that has failed, or that its caller takes back.
+/// @brief Ends a transaction that has failed or that its caller rolls back.
 void abortTransaction(engine &state, session &caller, core::time_point now)
 {
     if (caller.transaction && caller.transaction->link != 0) {
@@ -71,7 +72,8 @@
     caller.state = transaction_state::Idle;
 }
 
-/// @brief Answers the first statement after the transaction's connection was lost.
+/// @brief Reports a lost transaction in the answer to the first statement after the loss.
+/// @return whether the current request was answered
 bool reportTransactionLoss(engine &state, session &caller, core::time_point now)
 {
     if (!caller.transaction || !caller.transaction->lost)
@@ -232,11 +234,11 @@
         ++state.counters.refused.at(static_cast<std::size_t>(*refused));
         state.out.emplace_back(
                 send_to_caller{ id, refuse(*refused, transaction_state::Idle), true });
-        decision_note line;
-        line.kind = note_kind::StatementRefused;
-        line.session = id;
-        line.reason = toString(*refused);
-        state.out.emplace_back(std::move(line));
+        decision_note note;
+        note.kind = note_kind::StatementRefused;
+        note.session = id;
+        note.reason = toString(*refused);
+        state.out.emplace_back(std::move(note));
         return false;
     }
     state.sessions.emplace(id, std::move(caller));
@@ -278,12 +280,12 @@
             caller->current && caller->current->admitted && !caller->current->wasSent;
     if (neverSent && caller->state == transaction_state::Idle)
         giveBack(state.quota, caller->workspace, now);
-    decision_note line;
-    line.kind = note_kind::SessionClosed;
-    line.session = id;
-    line.workspace = caller->workspace;
-    line.reason = caller->closing ? "by_proxy" : "ended";
-    state.out.emplace_back(std::move(line));
+    decision_note note;
+    note.kind = note_kind::SessionClosed;
+    note.session = id;
+    note.workspace = caller->workspace;
+    note.reason = caller->closing ? "by_proxy" : "ended";
+    state.out.emplace_back(std::move(note));
     state.sessions.erase(id);
     if (upstream_link *link = findLink(state, pinnedLink))
         rollBack(state, *link, now);
@@ -323,7 +325,7 @@
             reason == refusal_reason::AnswerLost || reason == refusal_reason::NoAnswerInTime;
     noteRequest(state, outcomeUnknown ? note_kind::StatementUncertain : note_kind::StatementRefused,
                 caller, {}, toString(reason), now - caller.current->arrived, caller.current->tries);
-    // A single statement that never ran has not used its workspace's rate.
+    // A single statement that was never sent returns its token to the workspace's rate limit.
     if (caller.state == transaction_state::Idle && caller.current->admitted
         && !caller.current->wasSent)
         giveBack(state.quota, caller.workspace, now);
@@ -333,21 +335,21 @@
 void noteRequest(engine &state, note_kind kind, const session &caller, const std::string &member,
                  std::string_view reason, core::duration age, std::int64_t number)
 {
-    decision_note line;
-    line.kind = kind;
-    line.session = caller.id;
-    line.workspace = caller.workspace;
-    line.member = member;
-    line.reason = reason;
-    line.age = age;
-    line.number = number;
+    decision_note note;
+    note.kind = kind;
+    note.session = caller.id;
+    note.workspace = caller.workspace;
+    note.member = member;
+    note.reason = reason;
+    note.age = age;
+    note.number = number;
     if (caller.current) {
-        line.request = caller.current->statement.id;
-        line.service = caller.current->effectiveRoute.service;
+        note.request = caller.current->statement.id;
+        note.service = caller.current->effectiveRoute.service;
         if (caller.current->where.minPosition)
-            line.position = *caller.current->where.minPosition;
+            note.position = *caller.current->where.minPosition;
     }
-    state.out.emplace_back(std::move(line));
+    state.out.emplace_back(std::move(note));
 }
 
 } // namespace fuchsiagw::proxy
--- a/src/proxy/engine_control.cpp
+++ b/src/proxy/engine_control.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the proxy believes: manifest, members, daemons, and who leads each group.
+/// @brief Applies manifests and lists of members and daemons; tracks the leader of each group.
 
 #include <fuchsiagw/detail/engine_steps.hpp>
 
@@ -14,13 +14,13 @@
 void noteMember(engine &state, note_kind kind, const member_state &member, std::string_view reason,
                 std::int64_t number = 0)
 {
-    decision_note line;
-    line.kind = kind;
-    line.service = member.entry.service;
-    line.member = member.entry.id;
-    line.reason = reason;
-    line.number = number;
-    state.out.emplace_back(std::move(line));
+    decision_note note;
+    note.kind = kind;
+    note.service = member.entry.service;
+    note.member = member.entry.id;
+    note.reason = reason;
+    note.number = number;
+    state.out.emplace_back(std::move(note));
 }
 
 service_state &serviceFor(engine &state, const std::string &name)
@@ -40,7 +40,7 @@
     }
 }
 
-/// A member that started again holds nothing of before.
+/// Resets connection and failure state after a member restarted or changed its address.
 void resetMember(engine &state, member_state &member, core::time_point now)
 {
     closeIdleLinks(state, member, now);
@@ -78,7 +78,8 @@
     }
 }
 
-/// An entry may be missing only because its member could not report for a while.
+/// Marks members whose entry is missing. They stay listed for a time, because a running member may
+/// temporarily be unable to publish its entry.
 void markMissing(engine &state, const std::set<std::string> &present, core::time_point now)
 {
     for (auto &[id, member] : state.members) {
@@ -116,13 +117,13 @@
 void noteLeader(engine &state, note_kind kind, const service_state &service,
                 const std::string &member, std::string_view reason)
 {
-    decision_note line;
-    line.kind = kind;
-    line.service = service.name;
-    line.member = member;
-    line.reason = reason;
-    line.position.term = service.term;
-    state.out.emplace_back(std::move(line));
+    decision_note note;
+    note.kind = kind;
+    note.service = service.name;
+    note.member = member;
+    note.reason = reason;
+    note.position.term = service.term;
+    state.out.emplace_back(std::move(note));
 }
 
 } // namespace
@@ -154,7 +155,7 @@
     std::vector<quota_node> nodes{ self };
     for (const auto &[name, peer] : state.peers)
         nodes.push_back({ peer.node, peer.zone });
-    // A workspace that comes again may be one whose part was lent a moment ago.
+    // A workspace that is configured again may have a part that is still lent out.
     const bool free = state.recall.done && state.quota.workspaces.empty();
     const core::time_point ownFrom = free ? now : now + partLease + partLeaseMargin;
     reshape(state.quota, *state.config, nodes, self, state.claim.granted, ownFrom, now);
@@ -167,18 +168,18 @@
 
 void onManifest(engine &state, std::shared_ptr<const manifest> next, core::time_point now)
 {
-    decision_note line;
-    line.number = static_cast<std::int64_t>(next->version);
+    decision_note note;
+    note.number = static_cast<std::int64_t>(next->version);
     if (state.config && next->version <= state.config->version) {
         if (next->version < state.config->version) {
-            line.kind = note_kind::ManifestIgnored;
-            line.reason = "older_version";
-            state.out.emplace_back(std::move(line));
+            note.kind = note_kind::ManifestIgnored;
+            note.reason = "older_version";
+            state.out.emplace_back(std::move(note));
         }
         return;
     }
-    line.kind = note_kind::ManifestApplied;
-    state.out.emplace_back(std::move(line));
+    note.kind = note_kind::ManifestApplied;
+    state.out.emplace_back(std::move(note));
     state.config = std::move(next);
     reshapeQuotas(state, now);
     for (const auto &[name, entry] : state.config->services)
@@ -213,10 +214,10 @@
     }
     const auto count = static_cast<std::uint32_t>(next.size() + 1);
     if (count != state.instances) {
-        decision_note line;
-        line.kind = note_kind::InstancesChanged;
-        line.number = count;
-        state.out.emplace_back(std::move(line));
+        decision_note note;
+        note.kind = note_kind::InstancesChanged;
+        note.number = count;
+        state.out.emplace_back(std::move(note));
     }
     const bool sameDaemons = std::equal(
             next.begin(), next.end(), state.peers.begin(), state.peers.end(),
@@ -236,11 +237,11 @@
     const bool same = service.leader == member;
     if (!same && term < service.term)
         return;
-    // Two members with the same term: the one that was seen to lead last leads.
+    // If two members have the same term, the one that was proven later is the leader.
     if (!same && term == service.term && since < service.leaderProvenAt)
         return;
     const bool changed = !same || term > service.term;
-    // Positions of an earlier leader may have been rolled back.
+    // Positions of the previous leader may have been rolled back.
     if (!same && service.leaderProvenAt != core::time_point{})
         service.positions = {};
     service.term = std::max(service.term, term);
--- a/src/proxy/engine_links.cpp
+++ b/src/proxy/engine_links.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Connections to members: opening, reuse, what is sent on them.
+/// @brief Opens, reuses and closes links to members and sends requests on them.
 
 #include <fuchsiagw/detail/engine_steps.hpp>
 
@@ -11,20 +11,22 @@
 
 namespace {
 
-/// A connection that does not become usable within this time is given up.
+/// Timeout for opening a direct connection.
 constexpr milliseconds connectTimeout{ 1'000 };
-/// A keeper that lends nothing refuses before; this one does not answer.
+/// Timeout for borrowing a connection. A relay without a free connection refuses earlier, so a
+/// relay that exceeds the timeout does not respond.
 constexpr milliseconds borrowTimeout{ 700 };
-/// An answer that nobody waits for any more is waited for this long before its link is closed.
+/// A link stays open this long for an answer that no request waits for any more.
 constexpr milliseconds orphanedAnswerTimeout{ 3'000 };
-/// Idle links beyond those that this daemon may keep are closed after this time.
+/// Idle timeout of links beyond maxIdleLinks().
 constexpr milliseconds surplusIdleTimeout{ 60 };
+/// Idle timeout of links within maxIdleLinks().
 constexpr milliseconds retainedIdleTimeout{ 20'000 };
-/// Daemons that are tried in order; without any of them a daemon opens connections itself.
+/// Number of daemons tried as relay; if all of them fail, a daemon opens connections itself.
 constexpr std::size_t maxRankedRelays = 12;
-/// Connections that this daemon asks for at a time, for one member.
+/// Limit of links to one member that are being opened at a time.
 constexpr std::size_t maxConnecting = 8;
-/// Of a member's connections, the part that the daemons together keep open while idle.
+/// Fraction of a member's connections that all daemons together may keep open while idle.
 constexpr double idleConnectionShare = 0.75;
 
 std::string preparedName(const prepared_shape &shape)
@@ -32,13 +34,14 @@
     return (shape.writes ? "w_" : "r_") + shape.shape;
 }
 
-/// @return whether the link's values can be turned into the session's without a discard
+/// @return whether the link's values can be changed into the session's without a Discard
 bool canExtend(const upstream_link &link, const session &caller)
 {
     return std::all_of(link.values.begin(), link.values.end(),
                        [&](const auto &each) { return caller.values.contains(each.first); });
 }
 
+/// @return 2 if the link has the session's values, 1 if it can be extended to them, otherwise 0
 int matchScore(const upstream_link &link, const session &caller)
 {
     if (link.values == caller.values)
@@ -66,7 +69,7 @@
     return result;
 }
 
-/// Brings the member's idea of the session's values and prepared statement up to date.
+/// Adds the commands that give the connection the session's values and prepared statement.
 void addPreparation(upstream_link &link, const session &caller,
                     std::vector<upstream_command> &batch)
 {
@@ -97,12 +100,12 @@
 void addBegin(upstream_link &link, const session &caller, std::vector<upstream_command> &batch)
 {
     const request &pending = *caller.current;
-    // A plain begin also proves that the member leads, which a read-only one does not.
-    const bool needsPrimary = pending.where.needsPrimary;
-    link.beginProvesLeader = needsPrimary;
+    // Only a read-write begin proves that the member is the leader.
+    const bool plainBegin = pending.where.needsPrimary;
+    link.beginProvesLeader = plainBegin;
     upstream_command begin =
-            makeCommand(needsPrimary ? command_kind::Begin : command_kind::BeginReadOnly);
-    if (!needsPrimary)
+            makeCommand(plainBegin ? command_kind::Begin : command_kind::BeginReadOnly);
+    if (!plainBegin)
         begin.after = pending.where.minPosition;
     batch.push_back(std::move(begin));
     expectAnswer(link, answer_role::Begin, &caller);
@@ -190,14 +193,15 @@
         return nullptr;
     opening = openLink(state, member, caller.workspace, false, now);
     upstream_link *link = findLink(state, opening);
-    // A keeper that refuses has passed nothing on, so the statement can go with the opening. A
-    // member itself is asked first, as the end of its connection would not tell.
+    // A relay that refuses has forwarded nothing, so the statement can be sent together with
+    // Startup. A direct link must be open first: if its connection ended, it would be unknown
+    // whether the member ran the statement.
     return link->via.empty() ? nullptr : link;
 }
 
 namespace {
 
-/// Daemons that may keep a member's connections, those of its zone first.
+/// Ranks the daemons that may be the relay of a member, those of its zone first.
 std::vector<std::string> rankRelays(const engine &state, const member_state &member)
 {
     struct candidate
@@ -277,8 +281,8 @@
     if (opensTransaction || pending.where.wrapsInTransaction)
         addBegin(link, caller, batch);
     if (opensTransaction) {
-        // The statement follows once the member has begun: if it refused, the statement would run
-        // outside of a transaction.
+        // The statement is sent only after the member has confirmed the begin. If it were sent
+        // together with a begin that is refused, it would run outside of a transaction.
         link.pinnedTo = caller.id;
         caller.transaction->link = link.id;
     } else {
@@ -332,7 +336,7 @@
     if (service_state *service = findService(state, found->second.entry.service))
         serveQueue(state, *service, now);
     const upstream_link *remaining = findLink(state, id);
-    // A borrowed connection goes back at once; others may wait for it at its keeper.
+    // A borrowed connection is returned immediately; other daemons may wait for it at the relay.
     const bool borrowed = remaining != nullptr && !remaining->via.empty();
     const bool unwanted =
             borrowed || !found->second.listed || found->second.entry.draining || state.stopping;
@@ -343,7 +347,8 @@
 void rollBack(engine &state, upstream_link &link, core::time_point now)
 {
     link.pinnedTo = 0;
-    // An answer that is outstanding comes first; the transaction is ended behind it.
+    // The rollback is sent after commands whose answers are outstanding; the member runs them
+    // first.
     state.out.emplace_back(send_to_member{ link.id, { makeCommand(command_kind::Rollback) } });
     expectAnswer(link, answer_role::Cleanup);
     link.lastSent = now;
--- a/src/proxy/engine_peers.cpp
+++ b/src/proxy/engine_peers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Datagrams to and from other daemons: positions, leaders, tokens of a workspace's rate.
+/// @brief Datagrams to and from other daemons: log positions, leaders, rate-limit tokens.
 
 #include <fuchsiagw/detail/engine_steps.hpp>
 
@@ -10,16 +10,16 @@
 namespace {
 
 constexpr milliseconds exchangeInterval{ 400 };
-/// Peers that one daemon asks in one interval. Bounded, so that the traffic of a daemon does not
-/// grow with their number.
+/// Number of peers that a daemon asks per interval. It is constant, so that the traffic of a daemon
+/// does not grow with the number of daemons.
 constexpr std::size_t exchangePeers = 3;
-/// Of these, the ones in other zones: bytes between zones are scarce, and positions that come into
-/// a zone spread in it.
+/// Number of these peers that are in other zones. Bandwidth between zones is scarce, and a position
+/// that reaches one daemon of a zone spreads within the zone.
 constexpr std::size_t exchangeOtherZonePeers = 1;
 constexpr std::size_t announcementPeers = 16;
-/// An answer to a question of this age is not used: the reports in it would be too old anyway.
+/// Answers to older requests are ignored, because their reports would be too old to be useful.
 constexpr std::chrono::seconds maxAnswerAge{ 5 };
-/// Reports of primaries that one datagram carries.
+/// Limit of leader reports in one datagram.
 constexpr std::size_t reportsPerMessage = 12;
 
 void sampleNames(engine &state, std::vector<std::string> &names, std::size_t count)
@@ -40,7 +40,7 @@
     return names;
 }
 
-/// Peers of the own zone, and as many of the others as are asked in one interval.
+/// Samples the peers for one exchange, most of them from this daemon's own zone.
 std::vector<std::string> sampleExchangePeers(engine &state)
 {
     std::vector<std::string> sameZone;
@@ -71,14 +71,14 @@
         }
         all.push_back(std::move(each));
     }
-    // A random part of them, if there are more than fit.
+    // Select a random sample if not all reports fit into one datagram.
     for (std::size_t i = 0; all.size() > reportsPerMessage && i < reportsPerMessage; ++i)
         std::swap(all[i], all[i + core::drawBelow(state.random, all.size() - i)]);
     all.resize(std::min(all.size(), reportsPerMessage));
     return all;
 }
 
-/// A peer's report of who leads, without a position whose age is known.
+/// Adopts a leader with a higher term that a peer announced; the report has no position.
 void onLeaderAnnouncement(engine &state, const leader_report &report, core::time_point now)
 {
     service_state *service = findService(state, report.service);
@@ -91,13 +91,13 @@
     service->leadershipDenials.clear();
     service->leaderlessSince = core::noDeadline;
     service->leaderProvenAt = now;
-    decision_note line;
-    line.kind = note_kind::LeaderLearned;
-    line.service = service->name;
-    line.member = report.member;
-    line.reason = "peer";
-    line.position.term = service->term;
-    state.out.emplace_back(std::move(line));
+    decision_note note;
+    note.kind = note_kind::LeaderLearned;
+    note.service = service->name;
+    note.member = report.member;
+    note.reason = "peer";
+    note.position.term = service->term;
+    state.out.emplace_back(std::move(note));
     announceLeader(state, *service);
     serveQueue(state, *service, now);
 }
@@ -111,7 +111,8 @@
         service_state *service = findService(state, each.service);
         if (service == nullptr || each.ageUs < 0 || findMember(state, each.member) == nullptr)
             continue;
-        // Counted from the question, so that the time on the way can't make it look fresher.
+        // The age counts from the request, so that network delay can't make a position look
+        // fresher.
         learnLeader(state, *service, each.member, each.term, each.position,
                     asked - core::duration(each.ageUs), now);
     }
@@ -163,7 +164,8 @@
     state.nextExchangeAt = now + exchangeInterval;
     peer_message message = makeMessage(state, peer_message_kind::Exchange);
     message.askedAtUs = now.time_since_epoch().count();
-    // The answer brings what the peer knows; what this daemon knows, others ask for.
+    // Exchanges only pull: the answer contains the peer's reports, and this daemon's reports are
+    // sent when other daemons ask for them.
     for (const std::string &peer : sampleExchangePeers(state))
         state.out.emplace_back(send_to_peer{ peer, message });
 }
--- a/src/proxy/engine_placement.cpp
+++ b/src/proxy/engine_placement.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which member a statement goes to, and the queue of those that wait.
+/// @brief Chooses the member for a statement and manages the queue of waiting statements.
 
 #include <fuchsiagw/detail/engine_steps.hpp>
 
@@ -10,26 +10,27 @@
 
 namespace {
 
-/// Sent before the answer to it can be late for the route's bound: covers the caller's own link.
+/// Safety margin of the route's staleness bound; covers the delay on the caller's connection.
 constexpr milliseconds stalenessMargin{ 100 };
-/// Expected time to an answer of a member that has not answered yet.
+/// Assumed time to an answer of a member that has not answered yet.
 constexpr double defaultAnswerUs = 10'000;
+/// Assumed time to open a link to a member without a sample.
 constexpr double defaultConnectUs = 30'000;
-/// A member whose log lacked the position a moment ago is taken only if no other is left.
+/// High enough that a member whose log recently lacked a position is chosen only as last resort.
 constexpr double laggingPenaltyUs = 50'000;
 constexpr double busyPenaltyUs = 20'000;
-/// A read that any replica can serve keeps off the primary, which alone can serve writes.
+/// Keeps reads that any replica can serve off the primary, because only the primary serves writes.
 constexpr double primaryPenaltyUs = 8'000;
-/// Price of a statement that crosses zones, beyond its delay.
+/// Cost of a statement that crosses zones, in addition to its delay.
 constexpr double otherZonePenaltyUs = 2'000;
-/// A read is sent to a second member once this many usual answer times have passed.
+/// A read is hedged after this multiple of the member's average time to an answer.
 constexpr double hedgeAnswerFactor = 4;
 constexpr milliseconds minHedgeDelay{ 80 };
-/// Price of a statement that fails: it is tried again, or its caller has to.
+/// Cost of a failed statement, which the proxy or the caller has to retry.
 constexpr double failurePenaltyUs = 400'000;
-/// After this time without a failure a member's share counts half, so that it is tried again.
+/// Half-life of a member's failure rate without new failures, so that the member is tried again.
 constexpr double failureHalfLifeSeconds = 1.5;
-constexpr int maxTries = 12; // of one statement at members
+constexpr int maxTries = 12; // per statement
 
 bool isExcluded(const request &pending, const std::string &member)
 {
@@ -84,7 +85,7 @@
     double bestCost = 0;
     for (const std::string &id : service.members) {
         member_state &member = state.members.at(id);
-        // A full primary is left to the statements that only it can serve.
+        // A primary with a full queue is reserved for statements that only it can serve.
         const bool reservedForWrites = id == service.leader && member.busyUntil > now;
         if (!acceptsNewWork(member, now) || isExcluded(*caller.current, id) || reservedForWrites)
             continue;
@@ -105,7 +106,8 @@
     return member;
 }
 
-/// A member in reach that has an idle link for the session's workspace and values comes cheapest.
+/// Chooses the leader if the request needs the primary, otherwise the member with the lowest cost.
+/// If all members are excluded, a new round starts with all of them.
 member_state *chooseMember(engine &state, const service_state &service, session &caller,
                            core::time_point now)
 {
@@ -123,7 +125,7 @@
 core::duration queueTimeout(const request &pending, refusal_reason reason)
 {
     const core::duration objective = pending.effectiveRoute.latencyObjective;
-    // Nothing that happens here brings a primary back sooner than the caller's own next try.
+    // Without a primary a longer wait does not help: the caller's own retry succeeds as early.
     if (reason == refusal_reason::NoPrimary)
         return objective / refusalWaitDivisor;
     return objective;
@@ -165,9 +167,9 @@
     const service_state *service = findService(state, pending.effectiveRoute.service);
     if (service == nullptr)
         return;
-    const core::time_point minReceivedAt =
+    const core::time_point oldestAllowed =
             pending.arrived - pending.effectiveRoute.maxStaleness + stalenessMargin;
-    auto position = positionSince(service->positions, minReceivedAt);
+    auto position = positionSince(service->positions, oldestAllowed);
     if (!position)
         return;
     if (pending.effectiveRoute.kind == consistency::ReadYourWrites && caller.ownPosition
@@ -242,7 +244,7 @@
 
 void serveQueue(engine &state, service_state &service, core::time_point now)
 {
-    // The list is taken out first: place() appends those that still have to wait.
+    // placeRequest() appends requests that still have to wait, so the loop runs on a copy.
     std::deque<session_id> waiting;
     waiting.swap(service.queue);
     for (const session_id id : waiting) {
--- a/src/proxy/engine_time.cpp
+++ b/src/proxy/engine_time.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What becomes due by time alone, and the stop of the process.
+/// @brief Timers, timeouts and graceful shutdown.
 
 #include <fuchsiagw/detail/engine_steps.hpp>
 
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr milliseconds maintenanceInterval{ 50 };
-constexpr milliseconds idleMaintenanceInterval{ 200 }; // without links and requests
+constexpr milliseconds idleMaintenanceInterval{ 200 }; // without links and active sessions
 constexpr milliseconds queueRetryInterval{ 10 };
 constexpr milliseconds sessionCloseInterval{ 20 };
+/// Period over which idle sessions are closed at shutdown.
 constexpr milliseconds sessionClosePeriod{ 1'000 };
-constexpr std::size_t minClosedPerInterval = 2; // sessions in one interval
-/// The last answers leave before the process is killed.
+constexpr std::size_t minClosedPerInterval = 2; // sessions
+/// Time before the process is killed in which the last answers are sent.
 constexpr milliseconds killMargin{ 700 };
 
 void endTransaction(engine &state, session &caller, refusal_reason reason, core::time_point now)
@@ -30,7 +31,7 @@
         rollBack(state, *link, now);
 }
 
-/// The route's timeout has passed for the current request.
+/// Ends the current request after the route's timeout.
 void timeOut(engine &state, session &caller, core::time_point now)
 {
     request &pending = *caller.current;
@@ -39,7 +40,7 @@
         return;
     }
     if (pending.outstandingLinks.empty()) {
-        // Every member that got it said that it did not run it.
+        // Every member that received the statement answered that it did not run it.
         refuseRequest(state, caller, refusal_reason::MembersBusy, now, milliseconds(200));
         return;
     }
@@ -64,7 +65,7 @@
     refuseRequest(state, caller, refusal_reason::NoAnswerInTime, now);
 }
 
-/// Asks a second member for a read whose answer is overdue.
+/// Sends a read whose answer is overdue to a second member as well.
 void hedge(engine &state, session &caller, core::time_point now)
 {
     request &pending = *caller.current;
@@ -124,8 +125,9 @@
         closeLink(state, id, false, now);
 }
 
-/// Closes sessions that rest, a part of them at a time: a request that crosses the close is lost
-/// without an answer, so that each close has to leave the process at once, also on a slow instance.
+/// Closes idle sessions in batches. A request that arrives while its connection is being closed is
+/// lost without an answer, so each close must leave the process immediately, even on a slow
+/// instance.
 void closeIdleSessions(engine &state, core::time_point now)
 {
     if (now < state.nextSessionCloseAt)
@@ -137,7 +139,7 @@
             && (caller.state == transaction_state::Idle || now >= state.stopDeadline - killMargin))
             idleSessions.push_back(id);
     }
-    // All are closed in closingTime, however many they are.
+    // All sessions are closed within sessionClosePeriod, regardless of their number.
     const std::size_t intervals = sessionClosePeriod / sessionCloseInterval;
     const std::size_t share = state.sessionsAtStop / intervals + minClosedPerInterval;
     idleSessions.resize(std::min(idleSessions.size(), share));
@@ -163,10 +165,10 @@
     state.transactionDrainDeadline = now + state.settings.gracePeriod / 2;
     state.nextSessionCloseAt = now + idleSessionCloseDelay;
     state.sessionsAtStop = state.sessions.size();
-    decision_note line;
-    line.kind = note_kind::StopStarted;
-    line.number = static_cast<std::int64_t>(state.sessions.size());
-    state.out.emplace_back(std::move(line));
+    decision_note note;
+    note.kind = note_kind::StopStarted;
+    note.number = static_cast<std::int64_t>(state.sessions.size());
+    state.out.emplace_back(std::move(note));
 }
 
 void onTimer(engine &state, core::time_point now)
--- a/src/proxy/engine_watch.cpp
+++ b/src/proxy/engine_watch.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Notices members that fall silent and replicas that do not receive, and sends the proxy's
-/// own orders.
+/// @brief Detects unresponsive members and replicas that do not receive; sends commands of the
+/// proxy itself.
 
 #include <fuchsiagw/detail/engine_steps.hpp>
 
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// A connection that has not opened by now shows that its member does not answer.
+/// A member is unresponsive if a connection to it has not opened within this time.
 constexpr milliseconds connectSilenceTimeout{ 250 };
-/// Statements take tens of milliseconds; a member that answers none of them for this long is
-/// silent.
+/// A member is unresponsive if it answers no statement for this long; statements take tens of
+/// milliseconds.
 constexpr milliseconds answerSilenceTimeout{ 450 };
 constexpr milliseconds unresponsiveRelayBackoff{ 1'000 };
 constexpr milliseconds silentMemberBackoff{ 150 };
 constexpr milliseconds silentProbeInterval{ 200 };
-/// One daemon in charge asks a group's replicas at this interval, the next ones less often.
+/// The first daemon by rank checks a group's replicas at this interval, the next ones less often.
 constexpr milliseconds replicaCheckInterval{ 2'500 };
 constexpr milliseconds urgentReplicaCheckDelay{ 700 };
 constexpr std::size_t maxCheckingDaemons = 3;
@@ -41,7 +41,7 @@
         link = findLink(state, id);
         link->control = true;
     }
-    // The oldest order without an answer tells how long the member has been silent.
+    // lastSent must be the time of the oldest unanswered command, as silence is measured from it.
     if (link->expected.empty() || link->expected.front().role == answer_role::Startup) {
         link->lastSent = link->expected.empty() ? now : link->openedAt;
         link->answerDeadline = link->lastSent + connectSilenceTimeout * 2;
@@ -79,7 +79,7 @@
             const core::duration limit = connecting ? connectSilenceTimeout : answerSilenceTimeout;
             if (now - link.lastSent < limit)
                 continue;
-            // Behind a keeper that does not answer, the member may be well: it is asked directly.
+            // If the relay does not answer, the member itself may be fine: probe it directly.
             if (!link.via.empty()) {
                 suspected.insert(&member);
                 const auto relay = state.peers.find(link.via);
@@ -98,8 +98,8 @@
         if (member.listed && now >= member.nextProbeAt)
             probed.push_back(&member);
     }
-    // A new connection tells a silent member from one that lost an answer; it gets no work until
-    // one opens.
+    // A new connection distinguishes an unresponsive member from one that lost an answer. The
+    // member gets no work until a connection opens.
     for (member_state *member : probed) {
         member->nextProbeAt = now + silentProbeInterval;
         sendControlCommand(state, member->entry.id, command_kind::Status, 0, now);
--- a/src/proxy/refusal.cpp
+++ b/src/proxy/refusal.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Builds the answers of refusals.
+/// @brief Builds the answers to refused statements.
 
 #include <fuchsiagw/proxy/refusal.hpp>
 
--- a/src/proxy/relay_pool.cpp
+++ b/src/proxy/relay_pool.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which borrower gets which connection, and when a new one is opened.
+/// @brief Assigns pooled connections to borrowers and decides when to open new ones.
 
 #include <fuchsiagw/proxy/relay_pool.hpp>
 
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// Each connection that is being opened occupies a slot of the member.
+/// Limit of concurrent handshakes, because each of them occupies a slot of the member.
 constexpr std::size_t maxOpening = 2;
 constexpr std::chrono::seconds idleTimeout{ 8 };
 
+/// @return the most recently used idle connection of a workspace, or 0
 pooled_id findIdle(const relay_pool &pool, const std::string &workspace)
 {
     pooled_id newest = 0;
@@ -24,7 +25,8 @@
     return newest;
 }
 
-/// The longest idle connection, of a workspace that nobody waits for.
+/// @return the connection that has been idle longest, or 0; borrowers served before have already
+/// taken the idle connections of their workspaces
 pooled_id findEvictable(const relay_pool &pool)
 {
     pooled_id oldest = 0;
@@ -46,7 +48,7 @@
             }));
 }
 
-/// Opens a connection for a workspace if the member can be asked for one now.
+/// Requests a connection for a workspace if the member may be asked for one now.
 void tryOpen(relay_pool &pool, const std::string &workspace, std::size_t opened, relay_step &step,
              core::time_point now)
 {
@@ -67,8 +69,7 @@
 relay_step advance(relay_pool &pool, core::time_point now)
 {
     relay_step step;
-    std::map<std::string, std::size_t>
-            queuedAhead; // borrowers that an opening connection will serve
+    std::map<std::string, std::size_t> queuedAhead; // waiting borrowers by workspace
     std::deque<waiting_borrower> stillWaiting;
     for (waiting_borrower &each : pool.waiting) {
         if (const pooled_id idle = findIdle(pool, each.workspace)) {
