--- a/include/fuchsiagw/proxy/manifest.hpp
+++ b/include/fuchsiagw/proxy/manifest.hpp
@@ -18,7 +18,7 @@
 /// Consistency level of the reads on a route.
 enum class consistency : std::uint8_t {
     Primary, ///< observes every acknowledged commit
-    BoundedStaleness, ///< observes every commit older than the route's maxStaleness
+    BoundedStaleness, ///< observes every commit older than route::maxStaleness
     ReadYourWrites, ///< also observes every commit of the same session
 };
 
--- a/src/proxy/engine_placement.cpp
+++ b/src/proxy/engine_placement.cpp
@@ -86,8 +86,8 @@
     for (const std::string &id : service.members) {
         member_state &member = state.members.at(id);
         // A primary with a full queue is reserved for statements that only it can serve.
-        const bool reservedForWrites = id == service.leader && member.busyUntil > now;
-        if (!acceptsNewWork(member, now) || isExcluded(*caller.current, id) || reservedForWrites)
+        const bool reservedPrimary = id == service.leader && member.busyUntil > now;
+        if (!acceptsNewWork(member, now) || isExcluded(*caller.current, id) || reservedPrimary)
             continue;
         const double cost = costOf(state, member, service, caller, now);
         if (best == nullptr || cost < bestCost) {
