--- a/tests/unit-session-engine.cpp
+++ b/tests/unit-session-engine.cpp
@@ -482,8 +482,8 @@
 
 // Guards against two daemons that use the same part of a limit after one of them has joined. Some
 // daemons already ask the new daemon for tokens while its claim is not registered yet, and the new
-// daemon still asks the previous home. Both then admitted operations: 31 in a second for a
-// workspace with a limit of 15.
+// daemon still asks the previous home. In one run, 31 operations were admitted in a second for a
+// workspace with 15.
 TEST(session_engine, joiningDaemonDoesNotUseUnclaimedPart)
 {
     limitWorkspace(fixture, 10, 10);
@@ -507,8 +507,8 @@
 
 // Guards against needless refusals after many daemons restart at once, and against using a part
 // that another daemon still uses. A restarted daemon must use its part as soon as the daemons of
-// its zone have confirmed that they do not use it. Waiting for all loans to expire instead refused
-// 401 operations in the two seconds after a power failure, compared to 60.
+// its zone have confirmed that they do not use it. Waiting longer refused 401 operations instead of
+// 60 in the two seconds after a power failure.
 TEST(session_engine, restartedDaemonUsesPartAfterRecall)
 {
     limitWorkspace(fixture, 10, 10);
