--- a/src/proxy/relay_pool.cpp
+++ b/src/proxy/relay_pool.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which borrower gets which connection, and when a new one is opened.
+/// @brief Assigns pooled connections to borrowers and decides when to open new ones.
 
 #include <fuchsiagw/proxy/relay_pool.hpp>
 
@@ -9,22 +9,24 @@
 
 namespace {
 
-/// Each connection that is being opened occupies a slot of the member.
+/// Limit of concurrent handshakes, because each of them occupies a slot of the member.
 constexpr std::size_t maxOpening = 2;
-constexpr std::chrono::seconds idleLife{ 8 };
+constexpr std::chrono::seconds idleTimeout{ 8 };
 
+/// @return the most recently used idle connection of a workspace, or 0
 pooled_id findIdle(const relay_pool &pool, const std::string &workspace)
 {
     pooled_id newest = 0;
     for (const auto &[id, each] : pool.connections) {
-        const bool fits = each.state == pooled_state::Idle && each.workspace == workspace;
-        if (fits && (newest == 0 || each.since > pool.connections.at(newest).since))
+        const bool isUsable = each.state == pooled_state::Idle && each.workspace == workspace;
+        if (isUsable && (newest == 0 || each.since > pool.connections.at(newest).since))
             newest = id;
     }
     return newest;
 }
 
-/// The longest idle connection, of a workspace that nobody waits for.
+/// @return the connection that has been idle longest, or 0; borrowers served before have already
+/// taken the idle connections of their workspaces
 pooled_id findEvictable(const relay_pool &pool)
 {
     pooled_id oldest = 0;
@@ -46,7 +48,7 @@
             }));
 }
 
-/// Opens a connection for a workspace if the member can be asked for one now.
+/// Requests a connection for a workspace if the member may be asked for one now.
 void tryOpen(relay_pool &pool, const std::string &workspace, std::size_t opened, relay_step &step,
              core::time_point now)
 {
@@ -67,8 +69,8 @@
 relay_step advance(relay_pool &pool, core::time_point now)
 {
     relay_step step;
-    std::map<std::string, std::size_t> ahead; // borrowers that an opening connection will serve
-    std::deque<waiting_borrower> left;
+    std::map<std::string, std::size_t> queuedAhead; // waiting borrowers by workspace
+    std::deque<waiting_borrower> stillWaiting;
     for (waiting_borrower &each : pool.waiting) {
         if (const pooled_id idle = findIdle(pool, each.workspace)) {
             pool.connections.at(idle).state = pooled_state::Lent;
@@ -82,12 +84,12 @@
         }
         const auto planned = static_cast<std::size_t>(
                 std::count(step.open.begin(), step.open.end(), each.workspace));
-        const std::size_t coming = countOpening(pool, &each.workspace) + planned;
-        if (ahead[each.workspace]++ >= coming)
+        const std::size_t expectedConnections = countOpening(pool, &each.workspace) + planned;
+        if (queuedAhead[each.workspace]++ >= expectedConnections)
             tryOpen(pool, each.workspace, step.open.size(), step, now);
-        left.push_back(std::move(each));
+        stillWaiting.push_back(std::move(each));
     }
-    pool.waiting = std::move(left);
+    pool.waiting = std::move(stillWaiting);
     return step;
 }
 
@@ -95,7 +97,7 @@
 {
     std::vector<pooled_id> result;
     for (const auto &[id, each] : pool.connections) {
-        if (each.state == pooled_state::Idle && now - each.since > idleLife)
+        if (each.state == pooled_state::Idle && now - each.since > idleTimeout)
             result.push_back(id);
     }
     return result;
