--- a/include/fuchsiagw/core/failover.hpp
+++ b/include/fuchsiagw/core/failover.hpp
@@ -24,16 +24,16 @@
 namespace fuchsiagw::core {
 
 /// Longest time between two calls of onTick().
-inline constexpr duration failoverTick = std::chrono::milliseconds(25);
+inline constexpr duration failoverTickInterval = std::chrono::milliseconds(25);
 /// A longer gap between ticks means that the owner itself was stopped: silence seen across it says
 /// nothing about the members.
-inline constexpr duration pausedAfter = std::chrono::milliseconds(250);
+inline constexpr duration ownerPauseThreshold = std::chrono::milliseconds(250);
 
 /// Silence of the primary after which it is probed while the group has work.
-inline constexpr duration probeAfterSilence = std::chrono::milliseconds(100);
+inline constexpr duration primaryProbeAfterSilence = std::chrono::milliseconds(100);
 /// Time between probes of a silent primary. Probes overlap, so that a primary which answers slowly
 /// is still heard at this rate.
-inline constexpr duration probeEvery = std::chrono::milliseconds(75);
+inline constexpr duration suspectProbeInterval = std::chrono::milliseconds(75);
 /// Silence after which a replica, or the primary of a group without work, is probed. An owner of 20
 /// idle groups of 3 members then sends 60 probes/s at most.
 inline constexpr duration idleProbeAfterSilence = std::chrono::seconds(1);
@@ -41,7 +41,7 @@
 inline constexpr duration replicaProbeAfterSilence = std::chrono::milliseconds(250);
 /// Each member is heard three times within the age that reads accept, so that neither the samples
 /// nor their confirmation use up the age, but not more often than this.
-inline constexpr duration freshProbeShortest = std::chrono::milliseconds(50);
+inline constexpr duration minFreshProbeInterval = std::chrono::milliseconds(50);
 /// When a probe counts as unanswered for the connection that carried it.
 inline constexpr duration probeTimeout = std::chrono::seconds(1);
 
@@ -51,42 +51,43 @@
 /// Refused connections over this time also lead to suspicion: the process is gone.
 inline constexpr duration suspectAfterRefused = std::chrono::milliseconds(150);
 inline constexpr std::uint32_t probesBeforeSuspicion = 3;
-/// Hysteresis: each promotion in the last promotionMemory doubles the patience, up to this factor.
-inline constexpr std::int64_t longestPatienceFactor = 4;
-inline constexpr duration promotionMemory = std::chrono::seconds(30);
+/// Hysteresis: each promotion in the last promotionHistoryWindow doubles the patience, up to this
+/// factor.
+inline constexpr std::int64_t maxTimeoutFactor = 4;
+inline constexpr duration promotionHistoryWindow = std::chrono::seconds(30);
 
 /// Writes that no member confirms for this long (and for twice the usual delay of a confirmation)
 /// lead to the replacement of a primary that is cut off from its group.
-inline constexpr duration unconfirmedAfter = std::chrono::milliseconds(500);
+inline constexpr duration unconfirmedTimeout = std::chrono::milliseconds(500);
 /// A member heard within this time counts as reachable.
-inline constexpr duration reachableWithin = std::chrono::milliseconds(300);
+inline constexpr duration reachabilityWindow = std::chrono::milliseconds(300);
 
 /// Time without any primary of the highest term after which an owner starts a promotion itself. A
 /// rival that is at work needs some 20 ms, or 100 ms when a message is lost.
-inline constexpr duration noPrimaryPatience = std::chrono::milliseconds(150);
+inline constexpr duration noPrimaryTimeout = std::chrono::milliseconds(150);
 /// The same after this owner has started or was stopped: it has to hear members and peers first.
-inline constexpr duration startPatience = std::chrono::milliseconds(500);
+inline constexpr duration startupGracePeriod = std::chrono::milliseconds(500);
 /// Each rank starts later by this time, so that the first usually finishes alone.
 inline constexpr duration staggerPerRank = std::chrono::milliseconds(50);
 inline constexpr duration staggerJitter = std::chrono::milliseconds(20);
 /// Postponement by a rival's claim. The claim is advisory and never stops a promotion for longer.
-inline constexpr duration claimPatience = std::chrono::milliseconds(150);
+inline constexpr duration rivalClaimDelay = std::chrono::milliseconds(150);
 
 /// Answer time allowed for accept_term and lead; doubles with each failed attempt in a row.
 inline constexpr duration attemptTimeout = std::chrono::milliseconds(60);
-inline constexpr duration attemptTimeoutLongest = std::chrono::milliseconds(500);
-inline constexpr std::uint32_t leadTries = 3;
+inline constexpr duration maxAttemptTimeout = std::chrono::milliseconds(500);
+inline constexpr std::uint32_t maxLeadAttempts = 3;
 
 /// A member that should follow but does not grow is told again after this time.
-inline constexpr duration stalledAfter = std::chrono::milliseconds(250);
+inline constexpr duration replicationStallTimeout = std::chrono::milliseconds(250);
 /// Owners that did not promote leave it to the promoter to tell members for this long.
-inline constexpr duration followTakeover = std::chrono::milliseconds(300);
-inline constexpr duration followRetry = std::chrono::milliseconds(100);
-inline constexpr duration followRetryLongest = std::chrono::seconds(2);
+inline constexpr duration followTakeoverDelay = std::chrono::milliseconds(300);
+inline constexpr duration followRetryInterval = std::chrono::milliseconds(100);
+inline constexpr duration maxFollowRetryInterval = std::chrono::seconds(2);
 /// A stale member is told only if it was heard within this time; otherwise probes look for it.
-inline constexpr duration followIfHeardWithin = std::chrono::seconds(1);
+inline constexpr duration followReachabilityWindow = std::chrono::seconds(1);
 /// A promotion by hand is repeated for this long.
-inline constexpr duration handPatience = std::chrono::seconds(5);
+inline constexpr duration manualPromotionTimeout = std::chrono::seconds(5);
 
 /// Low bits of a term number that hold the promoter's rank.
 inline constexpr unsigned rankBits = 8;
@@ -109,7 +110,7 @@
     Unconfirmed, ///< the primary answers, but no member confirms its writes
     NoPrimary, ///< the highest term has no primary
     Leaving, ///< the primary is leaving
-    ByHand,
+    Manual,
 };
 
 inline constexpr std::array<std::string_view, 5> failoverCauseNames{ "silence", "unconfirmed",
@@ -142,8 +143,8 @@
 
 /// @return the load of an owner
 /// @param hasStatements statements are queued or in flight
-[[nodiscard]] failover_load loadOf(const pending_writes &pending, const group_view &view,
-                                   bool hasStatements);
+[[nodiscard]] failover_load makeFailoverLoad(const pending_writes &pending, const group_view &view,
+                                             bool hasStatements);
 
 /// A promotion under way. Invariant: `lead` for `term` is only ever sent to `chosen`.
 struct promotion_attempt
@@ -186,20 +187,20 @@
     std::optional<failover_cause> suspicion; ///< a cause holds, the stagger is running
     time_point startAt = noDeadline; ///< when the suspicion becomes an attempt
     time_point notBefore = time_point::min(); ///< no attempt before, set after a failed one
-    bool isPostponed = false; ///< by a rival's claim, once for each suspicion
+    bool isPostponedByClaim = false; ///< by a rival's claim, once for each suspicion
     time_point silentSince = noDeadline; ///< first unanswered probe of the primary
     time_point refusedSince = noDeadline; ///< first refused connection to it
-    time_point peerHeard = time_point::min(); ///< newest time at which a peer heard it
-    time_point lastTick = time_point::min();
-    time_point lastPublished = time_point::min();
+    time_point lastHeardByPeer = time_point::min(); ///< newest time at which a peer heard it
+    time_point lastTickAt = time_point::min();
+    time_point lastPublishedAt = time_point::min();
     time_point resumedAt = time_point::min();
-    time_point handUntil = time_point::min();
+    time_point manualPromotionDeadline = time_point::min();
     std::optional<member_id> preferred; ///< named with the newest promotion by hand
-    term_number triedTerm = 0; ///< highest term of an own attempt
+    term_number highestAttemptedTerm = 0; ///< highest term of an own attempt
     std::uint32_t failedAttempts = 0; ///< in a row
-    std::vector<time_point> promotions; ///< changes of primary within promotionMemory
+    std::vector<time_point> promotions; ///< changes of primary within promotionHistoryWindow
     std::optional<member_id> suspected; ///< primary that the next attempt passes over
-    term_number seenTerm = 0; ///< term of the primary seen last
+    term_number lastPrimaryTerm = 0; ///< term of the primary seen last
     std::map<member_id, probe_schedule> schedule;
     std::map<member_id, follow_task> follows;
 };
@@ -220,8 +221,8 @@
                                                      const group_view &view,
                                                      acknowledgement_policy policy, bool isFinal);
 
-/// @brief Does what is due. Called at least each failoverTick, and at once when a member or the
-/// list says that the primary is leaving.
+/// @brief Does what is due. Called at least each failoverTickInterval, and at once when a member or
+/// the list says that the primary is leaving.
 /// @complexity O(m log m) for m members, as are all events below
 [[nodiscard]] failover_actions onTick(failover_state &state, group_view &view,
                                       const failover_load &load, time_point now,
@@ -245,7 +246,7 @@
 
 /// @brief The answer to lead arrived, or the request failed.
 /// @param leads whether the member leads @p term now; false repeats the request to the same member,
-/// and gives the attempt up after leadTries
+/// and gives the attempt up after maxLeadAttempts
 [[nodiscard]] failover_actions onLead(failover_state &state, group_view &view,
                                       const member_id &member, term_number term, bool leads,
                                       time_point now, random_engine &random);
@@ -262,7 +263,7 @@
 void onClaim(failover_state &state, bool granted, time_point now);
 
 /// @brief Starts a promotion on an operator's command, whatever the switch says.
-[[nodiscard]] failover_actions promoteByHand(failover_state &state, group_view &view,
-                                             time_point now, random_engine &random);
+[[nodiscard]] failover_actions promoteManually(failover_state &state, group_view &view,
+                                               time_point now, random_engine &random);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/group_owner.hpp
+++ b/include/fuchsiagw/core/group_owner.hpp
@@ -26,7 +26,7 @@
 namespace fuchsiagw::core {
 
 /// Where a statement stands at its owner.
-enum class statement_place : std::uint8_t {
+enum class statement_stage : std::uint8_t {
     Queued, ///< in the fair queue
     Parked, ///< no member can take it now; it is routed again later
     Ready, ///< routed, waits for a connection to its member
@@ -42,7 +42,7 @@
     std::uint64_t session = 0;
     std::uint32_t weight = 1;
     exchange progress;
-    statement_place place = statement_place::Queued;
+    statement_stage place = statement_stage::Queued;
     connection_id connection = 0; ///< while Connecting or Sent
     route_decision route;
     time_point sentAt{};
@@ -65,7 +65,7 @@
 {
     duration answerLimit = std::chrono::seconds(2); ///< silence after which a connection is closed
     duration connectLimit = std::chrono::seconds(1); ///< for opening a connection
-    duration transactionIdle = std::chrono::seconds(10);
+    duration transactionIdleTimeout = std::chrono::seconds(10);
 };
 
 /// Invariants: each handle in queue, parked, ready and connections is in `statements`; a statement
@@ -82,7 +82,7 @@
     pending_writes pending;
     /// Reads that wait for proof that their member still led a majority, by handle, with the time
     /// of the next questions. Invariant: each is Confirming.
-    std::map<std::uint64_t, time_point> unprovenReads;
+    std::map<std::uint64_t, time_point> readsAwaitingMajority;
     fair_queue queue;
     service_meter meter;
     connection_pool pool;
@@ -97,9 +97,9 @@
     std::uint64_t nextCall = 1;
     failover_state failover;
     read_interest interest; ///< how fresh recent reads want the replicas to be known
-    bool isWatching = false; ///< this instance is the zone's owner and watches the members
+    bool isMonitoringMembers = false; ///< this instance is the zone's owner and watches the members
     std::optional<member_id> reportedPrimary; ///< in the newest PrimaryChanged notice
-    time_point lastStep = time_point::min(); ///< newest decision; a gap shows a paused process
+    time_point lastStepAt = time_point::min(); ///< newest decision; a gap shows a paused process
     time_point primaryLostAt =
             noDeadline; ///< since when no write has been possible, as far as seen
 };
--- a/include/fuchsiagw/core/group_view.hpp
+++ b/include/fuchsiagw/core/group_view.hpp
@@ -47,12 +47,12 @@
     log_position last;
     log_position applied;
     time_point lastHeard = time_point::min(); ///< any answer; min: never
-    time_point lastAdvanced = time_point::min(); ///< when `last` was last seen to grow
-    time_point termAskedAt = time_point::min(); ///< newest question answered under acceptedTerm
+    time_point lastAdvancedAt = time_point::min(); ///< when `last` was last seen to grow
+    time_point termQueriedAt = time_point::min(); ///< newest question answered under acceptedTerm
     bool leaving = false;
     /// Until then this process was paused, so that the member may be leaving without its knowledge;
     /// min: its answers since then have told.
-    time_point doubtedAt = time_point::min();
+    time_point unverifiedSince = time_point::min();
     std::uint32_t openConnections = 0; ///< data connections of this owner; kept by the caller
     std::uint32_t inFlight = 0; ///< statements of this owner at the member; kept by the caller
     backoff pause;
@@ -72,7 +72,7 @@
     time_point primarySince = time_point::min(); ///< when the primary or its absence was seen
     read_age ages;
     /// Greatest position acknowledged to a caller as far as known; only for known_position.
-    log_position highestAcknowledged;
+    log_position highestAcknowledgedPosition;
     /// End of the right to acknowledge; only for the lease policy.
     time_point leaseUntil = time_point::min();
 };
@@ -127,7 +127,7 @@
 
 /// @brief Nothing new is sent to a member before it has answered a question that was asked later.
 /// @complexity linear in the members
-void doubtMembers(group_view &view, time_point now);
+void markMembersUnverified(group_view &view, time_point now);
 
 /// @brief Takes in what the list of instances says about a member that leaves.
 /// @complexity logarithmic in the number of members
--- a/include/fuchsiagw/detail/owner_steps.hpp
+++ b/include/fuchsiagw/detail/owner_steps.hpp
@@ -8,7 +8,7 @@
 namespace fuchsiagw::detail {
 
 /// What every step of an owner needs.
-struct owner_turn
+struct owner_context
 {
     core::group_owner &owner;
     core::time_point now;
@@ -17,63 +17,64 @@
 };
 
 /// @brief Doubts what is believed of the members if this process was paused before this step.
-void noticePause(owner_turn &turn);
+void detectPause(owner_context &turn);
 
 /// @return whether a statement may be sent to a member that was chosen earlier
 [[nodiscard]] bool takesNewWork(const core::group_owner &owner, const core::member_id &member);
 
 /// @brief Routes a statement that has no place and gives it one.
-void route(owner_turn &turn, std::uint64_t handle);
+void route(owner_context &turn, std::uint64_t handle);
 
 /// @brief Sends a statement on an open connection.
-void send(owner_turn &turn, std::uint64_t handle, core::connection_id id);
+void send(owner_context &turn, std::uint64_t handle, core::connection_id id);
 
 /// @brief Does what an exchange asks for after an event.
-void follow(owner_turn &turn, std::uint64_t handle, const core::exchange_action &action);
+void follow(owner_context &turn, std::uint64_t handle, const core::exchange_action &action);
 
 /// @brief Gives the final answer and forgets the statement.
-void finish(owner_turn &turn, std::uint64_t handle, core::statement_answer answer);
+void finish(owner_context &turn, std::uint64_t handle, core::statement_answer answer);
 
 /// @brief Ends a statement with an error.
-void fail(owner_turn &turn, std::uint64_t handle, core::error_kind error, std::string problem = {});
+void fail(owner_context &turn, std::uint64_t handle, core::error_kind error,
+          std::string problem = {});
 
 /// @brief Takes a statement out of the place where it waits.
-void leavePlace(owner_turn &turn, std::uint64_t handle);
+void detachStatement(owner_context &turn, std::uint64_t handle);
 
 /// @brief Gives a connection that has become free to the next statement.
-void release(owner_turn &turn, core::connection_id id);
+void release(owner_context &turn, core::connection_id id);
 
 /// @brief Counts the exchange on a connection as ended; the member may have left the configuration.
-void leaveMember(core::group_owner &owner, const core::pooled_connection &connection);
+void endMemberExchange(core::group_owner &owner, const core::pooled_connection &connection);
 
 /// @brief Closes a connection and forgets it.
-void drop(owner_turn &turn, core::connection_id id);
+void drop(owner_context &turn, core::connection_id id);
 
 /// @brief Starts waiting statements as long as there are connections for them.
-void pump(owner_turn &turn);
+void pump(owner_context &turn);
 
 /// @brief Opens the waits that the pending writes need and ends those that are settled.
-void settle(owner_turn &turn);
+void settle(owner_context &turn);
 
 /// @brief Watches the members if this instance is the zone's owner.
-void watch(owner_turn &turn);
+void watch(owner_context &turn);
 
 /// @brief Sends a control request to a member.
-void call(owner_turn &turn, core::control_call order);
+void call(owner_context &turn, core::control_call order);
 
 /// @brief Reports a change of the primary, once.
-void reportPrimary(owner_turn &turn);
+void reportPrimary(owner_context &turn);
 
 /// @brief Starts a statement of an open transaction on the transaction's connection.
-void startInTransaction(owner_turn &turn, std::uint64_t handle);
+void startTransactionStatement(owner_context &turn, std::uint64_t handle);
 
 /// @brief Takes in the end of a statement of a transaction, or of a begin.
 /// @return the transaction's number if it goes on
-std::optional<std::uint64_t> endInTransaction(owner_turn &turn,
-                                              const core::owned_statement &statement,
-                                              core::connection_id id, bool succeeded);
+std::optional<std::uint64_t> finishTransactionStatement(owner_context &turn,
+                                                        const core::owned_statement &statement,
+                                                        core::connection_id id, bool succeeded);
 
 /// @brief Rolls back transactions whose caller has been silent for too long.
-void endIdleTransactions(owner_turn &turn);
+void rollBackIdleTransactions(owner_context &turn);
 
 } // namespace fuchsiagw::detail
--- a/src/core/acknowledgement.cpp
+++ b/src/core/acknowledgement.cpp
@@ -121,7 +121,8 @@
         settled.push_back({ each.number, *fate, each.position });
         if (*fate == write_fate::Acknowledged) {
             learnDelay(pending, now - each.since, now);
-            view.highestAcknowledged = std::max(view.highestAcknowledged, each.position);
+            view.highestAcknowledgedPosition =
+                    std::max(view.highestAcknowledgedPosition, each.position);
         }
         return true;
     });
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -15,10 +15,10 @@
 
 /// Answers to peers that suspect the primary are at most this frequent.
 constexpr duration publishEvery = std::chrono::milliseconds(50);
-std::int64_t patienceFactor(const failover_state &state)
+std::int64_t timeoutFactor(const failover_state &state)
 {
     std::int64_t factor = 1;
-    for (std::size_t i = 0; i < state.promotions.size() && factor < longestPatienceFactor; ++i)
+    for (std::size_t i = 0; i < state.promotions.size() && factor < maxTimeoutFactor; ++i)
         factor *= 2;
     return factor;
 }
@@ -27,7 +27,7 @@
 {
     state.suspicion.reset();
     state.startAt = noDeadline;
-    state.isPostponed = false;
+    state.isPostponedByClaim = false;
 }
 
 failover_action makeFollow(const group_view &view, const member_id &member)
@@ -43,7 +43,7 @@
     action.step = failover_step::PublishView;
     action.suspects = suspects;
     actions.push_back(action);
-    state.lastPublished = now;
+    state.lastPublishedAt = now;
 }
 
 /// Members that can grant a term now, without the one that is to be replaced.
@@ -52,7 +52,7 @@
 {
     const auto count =
             std::count_if(view.members.begin(), view.members.end(), [&](const auto &each) {
-                return each.first != except && isHeardWithin(each.second, reachableWithin, now);
+                return each.first != except && isHeardWithin(each.second, reachabilityWindow, now);
             });
     return static_cast<std::size_t>(count);
 }
@@ -61,15 +61,15 @@
 
 bool isSilent(const failover_state &state, time_point now)
 {
-    const std::int64_t factor = patienceFactor(state);
+    const std::int64_t factor = timeoutFactor(state);
     const duration patience = suspectAfter * factor;
     // A peer that has heard the primary since knows better: only the way from here is cut. A
     // refusal is a sign of the member's own host, so only what a peer heard after it counts.
     if (state.refusedSince != noDeadline && now >= state.refusedSince + suspectAfterRefused * factor
-        && state.peerHeard < state.refusedSince)
+        && state.lastHeardByPeer < state.refusedSince)
         return true;
-    const bool isHeardByPeer = state.peerHeard != time_point::min()
-                               && state.peerHeard + patience + probeAfterSilence > now;
+    const bool isHeardByPeer = state.lastHeardByPeer != time_point::min()
+                               && state.lastHeardByPeer + patience + primaryProbeAfterSilence > now;
     if (isHeardByPeer)
         return false;
     return state.silentSince != noDeadline && now >= state.silentSince + patience;
@@ -81,30 +81,31 @@
     if (load.oldestUnconfirmed == noDeadline)
         return false;
     const duration patience =
-            std::max(unconfirmedAfter, load.confirmDelay * 2) * patienceFactor(state);
+            std::max(unconfirmedTimeout, load.confirmDelay * 2) * timeoutFactor(state);
     if (now < load.oldestUnconfirmed + patience || now < state.resumedAt + patience)
         return false;
     // Slow replication still grows; a replica that is only far behind is no reason to promote.
     return std::none_of(view.members.begin(), view.members.end(), [&](const auto &each) {
         const member_view &member = each.second;
-        return each.first != *view.primary && member.lastAdvanced != time_point::min()
-               && member.lastAdvanced + patience > now;
+        return each.first != *view.primary && member.lastAdvancedAt != time_point::min()
+               && member.lastAdvancedAt + patience > now;
     });
 }
 
 bool canReplaceLeaving(const group_view &view, time_point now)
 {
     return std::any_of(view.members.begin(), view.members.end(), [&](const auto &each) {
-        return !each.second.leaving && isHeardWithin(each.second, followIfHeardWithin, now);
+        return !each.second.leaving && isHeardWithin(each.second, followReachabilityWindow, now);
     });
 }
 
 std::optional<failover_cause> findCause(const failover_state &state, const group_view &view,
                                         const failover_load &load, time_point now)
 {
-    if (now < state.handUntil)
-        return failover_cause::ByHand;
-    const bool isOwnTerm = state.triedTerm != 0 && state.triedTerm == view.highestTerm;
+    if (now < state.manualPromotionDeadline)
+        return failover_cause::Manual;
+    const bool isOwnTerm =
+            state.highestAttemptedTerm != 0 && state.highestAttemptedTerm == view.highestTerm;
     if (const member_view *primary = findPrimary(view); primary != nullptr) {
         if (!state.promotes)
             return std::nullopt;
@@ -120,8 +121,8 @@
     // meanwhile, else the group would stay without a primary.
     if (isOwnTerm)
         return failover_cause::NoPrimary;
-    const bool isOverdue =
-            now >= view.primarySince + noPrimaryPatience && now >= state.resumedAt + startPatience;
+    const bool isOverdue = now >= view.primarySince + noPrimaryTimeout
+                           && now >= state.resumedAt + startupGracePeriod;
     return state.promotes && isOverdue ? std::optional(failover_cause::NoPrimary) : std::nullopt;
 }
 
@@ -135,7 +136,7 @@
     const member_view *primary = findPrimary(view);
     if (primary == nullptr)
         return;
-    const duration takeover = followTakeover + staggerPerRank * state.rank;
+    const duration takeover = followTakeoverDelay + staggerPerRank * state.rank;
     for (const auto &[id, member] : view.members) {
         if (id == *view.primary)
             continue;
@@ -148,15 +149,16 @@
         const bool isStale = member.acceptedTerm < view.highestTerm;
         const bool isStalled =
                 member.last < primary->last
-                && std::max(member.lastAdvanced, view.primarySince) + stalledAfter <= now;
+                && std::max(member.lastAdvancedAt, view.primarySince) + replicationStallTimeout
+                           <= now;
         if (!isStale && !isStalled && (task.isConfirmed || !task.isOwn)) {
             task.tries = 0;
             task.next = task.isOwn ? now : now + takeover;
             continue;
         }
-        if (now < task.next || !isHeardWithin(member, followIfHeardWithin, now))
+        if (now < task.next || !isHeardWithin(member, followReachabilityWindow, now))
             continue;
-        task.next = now + doubled(followRetry, task.tries, followRetryLongest);
+        task.next = now + doubled(followRetryInterval, task.tries, maxFollowRetryInterval);
         task.tries += 1;
         if (isStale)
             actions.push_back(makeAction(failover_step::AcceptTerm, id, view.highestTerm));
@@ -171,7 +173,7 @@
 {
     assert(state.attempt);
     state.suspected = state.attempt->chosen ? state.attempt->chosen : state.attempt->excluded;
-    const duration spread = doubled(staggerJitter, state.failedAttempts, attemptTimeoutLongest);
+    const duration spread = doubled(staggerJitter, state.failedAttempts, maxAttemptTimeout);
     state.notBefore =
             now + duration(drawBelow(random, static_cast<std::uint64_t>(spread.count()) + 1));
     state.failedAttempts += 1;
@@ -193,15 +195,15 @@
                   time_point now, failover_actions &actions)
 {
     promotion_attempt attempt;
-    attempt.term = nextTerm(std::max(view.highestTerm, state.triedTerm), state.rank);
+    attempt.term = nextTerm(std::max(view.highestTerm, state.highestAttemptedTerm), state.rank);
     attempt.cause = cause;
     attempt.excluded = view.primary ? view.primary : state.suspected;
-    if (cause == failover_cause::ByHand)
+    if (cause == failover_cause::Manual)
         attempt.preferred = state.preferred;
     attempt.startedAt = now;
-    const duration timeout = doubled(attemptTimeout, state.failedAttempts, attemptTimeoutLongest);
+    const duration timeout = doubled(attemptTimeout, state.failedAttempts, maxAttemptTimeout);
     attempt.deadline = now + timeout;
-    state.triedTerm = attempt.term;
+    state.highestAttemptedTerm = attempt.term;
     for (const auto &[id, member] : view.members)
         actions.push_back(makeAction(failover_step::AcceptTerm, id, attempt.term, timeout));
     state.attempt = std::move(attempt);
@@ -209,8 +211,8 @@
 }
 
 /// Drops an attempt that a higher term has overtaken and finishes one that has its primary.
-void followEvents(failover_state &state, group_view &view, time_point now,
-                  failover_actions &actions)
+void reconcileAttempt(failover_state &state, group_view &view, time_point now,
+                      failover_actions &actions)
 {
     if (state.attempt && view.highestTerm > state.attempt->term) {
         state.attempt.reset();
@@ -218,14 +220,14 @@
     }
     const bool isFinished =
             state.attempt && view.primary && view.highestTerm == state.attempt->term;
-    if (view.primary && view.highestTerm != state.seenTerm) {
-        if (state.seenTerm != 0)
+    if (view.primary && view.highestTerm != state.lastPrimaryTerm) {
+        if (state.lastPrimaryTerm != 0)
             state.promotions.push_back(now);
-        state.seenTerm = view.highestTerm;
+        state.lastPrimaryTerm = view.highestTerm;
         state.failedAttempts = 0;
         state.suspected.reset();
-        state.handUntil = time_point::min();
-        state.peerHeard = time_point::min();
+        state.manualPromotionDeadline = time_point::min();
+        state.lastHeardByPeer = time_point::min();
         clearSilence(state);
         clearSuspicion(state);
     }
@@ -251,7 +253,7 @@
     if (attempt.chosen) {
         if (!isFinal)
             return;
-        if (attempt.tries < leadTries)
+        if (attempt.tries < maxLeadAttempts)
             lead(state, *attempt.chosen, now, actions);
         else
             failAttempt(state, now, random);
@@ -264,16 +266,16 @@
 }
 
 /// Under the policies without a majority, a promotion must wait for more than reachable members.
-bool isHeldBack(const failover_state &state, const group_view &view,
-                const std::optional<member_id> &except, time_point now)
+bool isPromotionBlocked(const failover_state &state, const group_view &view,
+                        const std::optional<member_id> &except, time_point now)
 {
     if (state.policy == acknowledgement_policy::Lease)
         return now < view.leaseUntil;
     if (state.policy == acknowledgement_policy::Majority)
         return false;
     return std::none_of(view.members.begin(), view.members.end(), [&](const auto &each) {
-        return each.first != except && isHeardWithin(each.second, reachableWithin, now)
-               && each.second.last >= view.highestAcknowledged;
+        return each.first != except && isHeardWithin(each.second, reachabilityWindow, now)
+               && each.second.last >= view.highestAcknowledgedPosition;
     });
 }
 
@@ -288,7 +290,8 @@
     if (!state.suspicion) {
         const auto jitter = static_cast<std::uint64_t>(staggerJitter.count());
         state.startAt = now + staggerPerRank * state.rank + duration(drawBelow(random, jitter));
-        const term_number next = nextTerm(std::max(view.highestTerm, state.triedTerm), state.rank);
+        const term_number next =
+                nextTerm(std::max(view.highestTerm, state.highestAttemptedTerm), state.rank);
         actions.push_back(makeAction(failover_step::Claim, {}, next));
     }
     state.suspicion = cause;
@@ -300,8 +303,8 @@
             countReachable(view, except, now) >= needed
             || (!view.primary && countReachable(view, std::nullopt, now) >= needed);
     // An attempt that can't succeed would only take the members that it reaches out of service.
-    if (cause != failover_cause::ByHand
-        && (!isReachable || isHeldBack(state, view, view.primary, now)))
+    if (cause != failover_cause::Manual
+        && (!isReachable || isPromotionBlocked(state, view, view.primary, now)))
         return;
     startAttempt(state, view, *cause, now, actions);
 }
@@ -318,7 +321,8 @@
     return failoverCauseNames.at(static_cast<std::size_t>(cause));
 }
 
-failover_load loadOf(const pending_writes &pending, const group_view &view, bool hasStatements)
+failover_load makeFailoverLoad(const pending_writes &pending, const group_view &view,
+                               bool hasStatements)
 {
     failover_load load;
     load.hasWork = hasStatements || !pending.writes.empty();
@@ -354,7 +358,8 @@
     }
     if (best == nullptr)
         return std::nullopt;
-    if (policy == acknowledgement_policy::KnownPosition && best->last < view.highestAcknowledged)
+    if (policy == acknowledgement_policy::KnownPosition
+        && best->last < view.highestAcknowledgedPosition)
         return std::nullopt;
     return best->member;
 }
@@ -363,15 +368,15 @@
                         time_point now, random_engine &random)
 {
     failover_actions actions;
-    if (state.lastTick == time_point::min() || now > state.lastTick + pausedAfter) {
+    if (state.lastTickAt == time_point::min() || now > state.lastTickAt + ownerPauseThreshold) {
         state.resumedAt = now;
         clearSilence(state);
         clearSuspicion(state);
     }
-    state.lastTick = now;
+    state.lastTickAt = now;
     std::erase_if(state.promotions,
-                  [now](time_point each) { return each + promotionMemory < now; });
-    followEvents(state, view, now, actions);
+                  [now](time_point each) { return each + promotionHistoryWindow < now; });
+    reconcileAttempt(state, view, now, actions);
     probeMembers(state, view, load, now, random, actions);
     if (state.attempt)
         advanceAttempt(state, view, now, random, actions);
@@ -379,7 +384,7 @@
         watch(state, view, load, now, random, actions);
     followMembers(state, view, now, actions);
     const bool asksPeers = !view.primary || isProbeOverdue(state, now);
-    if (asksPeers && state.lastPublished + probeEvery <= now)
+    if (asksPeers && state.lastPublishedAt + suspectProbeInterval <= now)
         publish(state, true, now, actions);
     return actions;
 }
@@ -389,7 +394,7 @@
 {
     failover_actions actions;
     observeStatus(view, status, askedAt, now);
-    followEvents(state, view, now, actions);
+    reconcileAttempt(state, view, now, actions);
     if (state.attempt)
         advanceAttempt(state, view, now, random, actions);
     return actions;
@@ -410,7 +415,7 @@
 {
     failover_actions actions;
     observeStatus(view, answer.status, askedAt, now);
-    followEvents(state, view, now, actions);
+    reconcileAttempt(state, view, now, actions);
     const member_id &member = answer.status.member;
     // Only a grant counts. A refusal with the same term may be the answer to a repeated request,
     // but also to that of an earlier run of this instance.
@@ -435,7 +440,7 @@
             state.attempt && state.attempt->term == term && state.attempt->chosen == member;
     if (leads)
         observePrimary(view, member, term, now);
-    followEvents(state, view, now, actions);
+    reconcileAttempt(state, view, now, actions);
     if (!leads && isOwn && state.attempt) {
         // Repeats the request, or gives the attempt up after the last try.
         state.attempt->deadline = now;
@@ -460,7 +465,7 @@
     observeTerm(view, peer.term, now);
     if (!peer.primary.empty())
         observePrimary(view, peer.primary, peer.term, now);
-    followEvents(state, view, now, actions);
+    reconcileAttempt(state, view, now, actions);
     if (state.attempt)
         advanceAttempt(state, view, now, random, actions);
     const member_view *primary = findPrimary(view);
@@ -468,31 +473,32 @@
         return actions;
     const bool isSame = peer.term == view.highestTerm && peer.primary == *view.primary;
     const duration heardAgo(peer.heardAgoMicros);
-    if (isSame && peer.hasHeard && heardAgo >= duration::zero() && heardAgo < promotionMemory)
-        state.peerHeard = std::max(state.peerHeard, now - heardAgo);
+    if (isSame && peer.hasHeard && heardAgo >= duration::zero()
+        && heardAgo < promotionHistoryWindow)
+        state.lastHeardByPeer = std::max(state.lastHeardByPeer, now - heardAgo);
     const bool canHelp = peer.term < view.highestTerm
                          || (peer.suspects && isHeardWithin(*primary, suspectAfter, now));
-    if (canHelp && state.lastPublished + publishEvery <= now)
+    if (canHelp && state.lastPublishedAt + publishEvery <= now)
         publish(state, false, now, actions);
     return actions;
 }
 
 void onClaim(failover_state &state, bool granted, time_point now)
 {
-    if (granted || !state.suspicion || state.isPostponed)
+    if (granted || !state.suspicion || state.isPostponedByClaim)
         return;
-    state.startAt = std::max(state.startAt, now + claimPatience);
-    state.isPostponed = true;
+    state.startAt = std::max(state.startAt, now + rivalClaimDelay);
+    state.isPostponedByClaim = true;
 }
 
-failover_actions promoteByHand(failover_state &state, group_view &view, time_point now,
-                               random_engine &random)
+failover_actions promoteManually(failover_state &state, group_view &view, time_point now,
+                                 random_engine &random)
 {
     failover_actions actions;
-    state.handUntil = now + handPatience;
+    state.manualPromotionDeadline = now + manualPromotionTimeout;
     if (!state.attempt) {
         state.notBefore = time_point::min();
-        startAttempt(state, view, failover_cause::ByHand, now, actions);
+        startAttempt(state, view, failover_cause::Manual, now, actions);
         actions.push_back(makeAction(failover_step::Claim, {}, state.attempt->term));
     } else {
         advanceAttempt(state, view, now, random, actions);
--- a/src/core/failover_probe.cpp
+++ b/src/core/failover_probe.cpp
@@ -14,7 +14,7 @@
 
 /// Probes of a primary without an answer after which their interval starts to grow.
 constexpr std::uint32_t probesAtFullRate = 8;
-constexpr duration silentProbeLongest = std::chrono::seconds(1);
+constexpr duration maxSilentProbeInterval = std::chrono::seconds(1);
 
 /// @return how long after the last sign or probe the next probe is due
 duration probeInterval(const probe_schedule &schedule, bool isUrgent, duration silence)
@@ -24,7 +24,7 @@
         return doubled(silence, unanswered, backoffLongest);
     const std::uint32_t beyond =
             unanswered > probesAtFullRate ? (unanswered - probesAtFullRate) / 2 : 0;
-    return doubled(probeEvery, beyond, silentProbeLongest);
+    return doubled(suspectProbeInterval, beyond, maxSilentProbeInterval);
 }
 
 void probeMember(failover_state &state, const member_id &id, member_view &member, bool isPrimary,
@@ -35,7 +35,7 @@
     if (member.lastHeard >= schedule.sent)
         schedule.unanswered = 0;
     const bool isQuiet = !isHeardWithin(member, silence, now) || member.pause.failures > 0
-                         || member.doubtedAt != time_point::min();
+                         || member.unverifiedSince != time_point::min();
     const bool isSpaced = schedule.sent == time_point::min()
                           || schedule.sent + probeInterval(schedule, isUrgent, silence) <= now;
     if (!isQuiet || !isSpaced)
@@ -68,7 +68,7 @@
 
 bool isProbeOverdue(const failover_state &state, time_point now)
 {
-    return state.silentSince != noDeadline && now >= state.silentSince + probeEvery;
+    return state.silentSince != noDeadline && now >= state.silentSince + suspectProbeInterval;
 }
 
 void clearSilence(failover_state &state)
@@ -102,15 +102,15 @@
             continue;
         duration silence = load.hasWork ? replicaProbeAfterSilence : idleProbeAfterSilence;
         if (isPrimary && load.hasWork)
-            silence = probeAfterSilence;
+            silence = primaryProbeAfterSilence;
         if (load.wantedAge > duration::zero()) {
             // What a replica holds but does not show yet will be visible very soon.
             const bool isApplying = member.applied < member.last;
-            const duration fresh = isApplying ? freshProbeShortest : load.wantedAge / 3;
-            silence = std::min(silence, std::max(fresh, freshProbeShortest));
+            const duration fresh = isApplying ? minFreshProbeInterval : load.wantedAge / 3;
+            silence = std::min(silence, std::max(fresh, minFreshProbeInterval));
         }
         if (isAlarmed && !isPrimary)
-            silence = probeEvery;
+            silence = suspectProbeInterval;
         probeMember(state, id, member, isPrimary, isAlarmed || (isPrimary && load.hasWork), silence,
                     now, random, actions);
     }
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -187,7 +187,7 @@
     statement.session = entry.ticket;
     group_owner &owner = ownerOf(state, entry.request.group);
     // An owner without connections queues the statement, so that its demand brings a loan.
-    if (owner.pool.limit == 0 && !owner.isWatching) {
+    if (owner.pool.limit == 0 && !owner.isMonitoringMembers) {
         if (entry.from)
             fail(turn, handle, error_kind::PeerUnreachable);
         else
@@ -266,7 +266,7 @@
         if (isOwner)
             owned.insert(group);
         group_owner &owner = ownerOf(state, group);
-        owner.isWatching = isOwner;
+        owner.isMonitoringMembers = isOwner;
         owner.failover.rank = ownerRank(state);
         owner.failover.policy = state.policy;
         owner.failover.promotes = isAutomatic(state.config, automatic_action::Promotion);
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -15,10 +15,10 @@
 
 /// Pause before a statement for which no member was found is routed again. Views change with every
 /// answer, and advance() runs on each change, so this only bounds the wait without any news.
-constexpr duration parkPause = std::chrono::milliseconds(10);
+constexpr duration parkedRetryInterval = std::chrono::milliseconds(10);
 /// Steps come every few milliseconds while there is work. After a longer gap a member may have
 /// begun to leave without the knowledge of this process.
-constexpr duration longestStepGap = std::chrono::seconds(1);
+constexpr duration maxStepGap = std::chrono::seconds(1);
 
 queued_statement toQueued(std::uint64_t handle, const owned_statement &statement)
 {
@@ -26,23 +26,23 @@
              statement.request.deadline };
 }
 
-void park(owner_turn &turn, std::uint64_t handle, time_point until)
+void park(owner_context &turn, std::uint64_t handle, time_point until)
 {
     owned_statement &statement = turn.owner.statements.at(handle);
-    statement.place = statement_place::Parked;
+    statement.place = statement_stage::Parked;
     statement.progress.deadline = statement.request.deadline;
     turn.owner.parked.emplace(until, handle);
 }
 
 /// One connection stays free of transactions, so that they can't hold up every other statement.
-bool mayBegin(const group_owner &owner)
+bool canBeginTransaction(const group_owner &owner)
 {
     const std::uint32_t most =
             std::max<std::uint32_t>(1, owner.pool.limit > 1 ? owner.pool.limit - 1 : 1);
     return owner.transactions.size() < most;
 }
 
-void wakeParked(owner_turn &turn)
+void rerouteParked(owner_context &turn)
 {
     auto &parked = turn.owner.parked;
     std::vector<std::uint64_t> due;
@@ -56,14 +56,14 @@
     }
 }
 
-void endOverdue(owner_turn &turn)
+void expireStatements(owner_context &turn)
 {
     auto &deadlines = turn.owner.deadlines;
     while (!deadlines.empty() && deadlines.begin()->first <= turn.now) {
         const std::uint64_t handle = deadlines.begin()->second;
         owned_statement &statement = turn.owner.statements.at(handle);
         const connection_id id = statement.connection;
-        const bool isSent = statement.place == statement_place::Sent;
+        const bool isSent = statement.place == statement_stage::Sent;
         const exchange_action action = onDeadline(statement.progress, statement.unsentReason);
         // The exchange is in flight; its connection can't be told from one whose answer comes late.
         if (isSent && action.closeConnection)
@@ -72,7 +72,7 @@
     }
 }
 
-void insertStatement(owner_turn &turn, std::uint64_t handle, owned_statement statement)
+void insertStatement(owner_context &turn, std::uint64_t handle, owned_statement statement)
 {
     assert(turn.owner.statements.count(handle) == 0);
     turn.owner.deadlines.emplace(statement.request.deadline, handle);
@@ -80,7 +80,7 @@
     turn.owner.statements.emplace(handle, std::move(statement));
 }
 
-void admit(owner_turn &turn, std::uint64_t handle)
+void admit(owner_context &turn, std::uint64_t handle)
 {
     group_owner &owner = turn.owner;
     const owned_statement &statement = owner.statements.at(handle);
@@ -102,13 +102,13 @@
 void submit(group_owner &owner, std::uint64_t handle, owned_statement statement, time_point now,
             random_engine &random, owner_actions &actions)
 {
-    owner_turn turn{ owner, now, random, actions };
+    owner_context turn{ owner, now, random, actions };
     const bool inTransaction = statement.request.transaction.has_value();
     if (statement.maxAge)
         noteRead(owner.interest, *statement.maxAge, now);
     insertStatement(turn, handle, std::move(statement));
     if (inTransaction)
-        startInTransaction(turn, handle);
+        startTransactionStatement(turn, handle);
     else
         admit(turn, handle);
     pump(turn);
@@ -116,13 +116,13 @@
 
 void advance(group_owner &owner, time_point now, random_engine &random, owner_actions &actions)
 {
-    owner_turn turn{ owner, now, random, actions };
-    noticePause(turn);
-    endOverdue(turn);
-    endIdleTransactions(turn);
+    owner_context turn{ owner, now, random, actions };
+    detectPause(turn);
+    expireStatements(turn);
+    rollBackIdleTransactions(turn);
     watch(turn);
     detail::settle(turn);
-    wakeParked(turn);
+    rerouteParked(turn);
     pump(turn);
 }
 
@@ -131,7 +131,7 @@
 {
     if (owner.pool.limit == limit)
         return;
-    owner_turn turn{ owner, now, random, actions };
+    owner_context turn{ owner, now, random, actions };
     owner.pool.limit = limit;
     actions.emplace_back(owner_notice{ owner_event::ConnectionLimit, {}, 0, {}, limit });
     for (const connection_id id : surplusConnections(owner.pool))
@@ -146,8 +146,8 @@
         next = std::min(next, owner.deadlines.begin()->first);
     if (!owner.parked.empty())
         next = std::min(next, owner.parked.begin()->first);
-    if (owner.isWatching)
-        next = std::min(next, owner.failover.lastTick + failoverTick);
+    if (owner.isMonitoringMembers)
+        next = std::min(next, owner.failover.lastTickAt + failoverTickInterval);
     for (const auto &[number, transaction] : owner.transactions)
         next = std::min(next, transaction.idleUntil);
     return next;
@@ -164,34 +164,34 @@
 
 using namespace core;
 
-void noticePause(owner_turn &turn)
+void detectPause(owner_context &turn)
 {
     group_owner &owner = turn.owner;
     const bool wasPaused =
-            owner.lastStep != time_point::min() && turn.now - owner.lastStep > longestStepGap;
-    owner.lastStep = turn.now;
+            owner.lastStepAt != time_point::min() && turn.now - owner.lastStepAt > maxStepGap;
+    owner.lastStepAt = turn.now;
     // Only an owner that watches the members gets the answers that end the doubt.
-    if (wasPaused && owner.isWatching)
-        doubtMembers(owner.view, turn.now);
+    if (wasPaused && owner.isMonitoringMembers)
+        markMembersUnverified(owner.view, turn.now);
 }
 
 bool takesNewWork(const group_owner &owner, const member_id &member)
 {
     const auto known = owner.view.members.find(member);
     return known != owner.view.members.end() && !known->second.leaving
-           && known->second.doubtedAt == time_point::min();
+           && known->second.unverifiedSince == time_point::min();
 }
 
-void route(owner_turn &turn, std::uint64_t handle)
+void route(owner_context &turn, std::uint64_t handle)
 {
     group_owner &owner = turn.owner;
-    noticePause(turn);
+    detectPause(turn);
     owned_statement &statement = owner.statements.at(handle);
     routing_request request = routingRequestOf(statement.request, statement.maxAge, owner.zone);
     request.primaryOnly = statement.progress.primaryOnly;
-    if (request.kind == statement_kind::Begin && !mayBegin(owner)) {
+    if (request.kind == statement_kind::Begin && !canBeginTransaction(owner)) {
         statement.unsentReason = error_kind::Overloaded;
-        park(turn, handle, turn.now + parkPause);
+        park(turn, handle, turn.now + parkedRetryInterval);
         return;
     }
     route_decision decision = routeStatement(owner.view, request, turn.now, turn.random);
@@ -208,7 +208,7 @@
         statement.unsentReason = statement.route.reason == route_reason::NoPrimary
                                          ? error_kind::NoPrimary
                                          : error_kind::NoMember;
-        park(turn, handle, turn.now + parkPause);
+        park(turn, handle, turn.now + parkedRetryInterval);
         return;
     }
     const member_id member = *statement.route.member;
@@ -218,54 +218,54 @@
         return;
     }
     if (choice.step == connection_step::Wait) {
-        statement.place = statement_place::Ready;
+        statement.place = statement_stage::Ready;
         owner.ready[member].push_back(handle);
         ++owner.readyCount;
         return;
     }
     if (choice.step == connection_step::Replace)
         drop(turn, choice.id);
-    statement.place = statement_place::Connecting;
+    statement.place = statement_stage::Connecting;
     statement.connection = addConnection(owner.pool, member, handle);
     const time_point limit = turn.now + owner.limits.connectLimit;
     turn.actions.emplace_back(open_connection{ statement.connection, member,
                                                owner.view.members.at(member).address, limit });
 }
 
-void leavePlace(owner_turn &turn, std::uint64_t handle)
+void detachStatement(owner_context &turn, std::uint64_t handle)
 {
     group_owner &owner = turn.owner;
     const owned_statement &statement = owner.statements.at(handle);
     switch (statement.place) {
-    case statement_place::Queued:
+    case statement_stage::Queued:
         removeIf(owner.queue,
                  [handle](const queued_statement &each) { return each.handle == handle; });
         break;
-    case statement_place::Parked:
+    case statement_stage::Parked:
         std::erase_if(owner.parked, [handle](const auto &each) { return each.second == handle; });
         break;
-    case statement_place::Ready: {
+    case statement_stage::Ready: {
         auto &line = owner.ready[*statement.route.member];
         owner.readyCount -= std::erase(line, handle);
         break;
     }
-    case statement_place::Connecting: {
+    case statement_stage::Connecting: {
         const auto connection = owner.pool.connections.find(statement.connection);
         if (connection != owner.pool.connections.end() && connection->second.statement == handle)
             connection->second.statement = 0;
         break;
     }
-    case statement_place::Sent:
+    case statement_stage::Sent:
         break;
-    case statement_place::Confirming:
-        owner.unprovenReads.erase(handle);
+    case statement_stage::Confirming:
+        owner.readsAwaitingMajority.erase(handle);
         std::erase_if(owner.pending.writes,
                       [handle](const pending_write &each) { return each.number == handle; });
         break;
     }
 }
 
-void follow(owner_turn &turn, std::uint64_t handle, const exchange_action &action)
+void follow(owner_context &turn, std::uint64_t handle, const exchange_action &action)
 {
     switch (action.step) {
     case exchange_step::None:
@@ -280,7 +280,7 @@
         return;
     case exchange_step::WaitForConfirmation: {
         owned_statement &statement = turn.owner.statements.at(handle);
-        statement.place = statement_place::Confirming;
+        statement.place = statement_stage::Confirming;
         addPendingWrite(turn.owner.pending,
                         { handle, statement.progress.term, statement.result.position, turn.now,
                           statement.request.deadline });
@@ -304,11 +304,11 @@
     }
 }
 
-void finish(owner_turn &turn, std::uint64_t handle, statement_answer answer)
+void finish(owner_context &turn, std::uint64_t handle, statement_answer answer)
 {
     const auto entry = turn.owner.statements.find(handle);
     assert(entry != turn.owner.statements.end());
-    leavePlace(turn, handle);
+    detachStatement(turn, handle);
     const statement_request &request = entry->second.request;
     answer.id = request.id;
     if (!answer.error && request.kind != statement_kind::Commit
@@ -319,7 +319,7 @@
     turn.actions.emplace_back(statement_done{ handle, std::move(answer) });
 }
 
-void fail(owner_turn &turn, std::uint64_t handle, error_kind error, std::string problem)
+void fail(owner_context &turn, std::uint64_t handle, error_kind error, std::string problem)
 {
     statement_answer answer;
     answer.error = error;
@@ -327,7 +327,7 @@
     finish(turn, handle, std::move(answer));
 }
 
-void pump(owner_turn &turn)
+void pump(owner_context &turn)
 {
     group_owner &owner = turn.owner;
     // Statements that wait for a connection to one member must not keep the others in the queue,
--- a/src/core/group_view.cpp
+++ b/src/core/group_view.cpp
@@ -13,12 +13,12 @@
 namespace {
 
 /// Samples of the primary are usable up to the time when a majority was last under its term.
-void confirmByMajority(group_view &view)
+void confirmSamplesByMajority(group_view &view)
 {
     std::vector<time_point> asked;
     for (const auto &[id, member] : view.members) {
         if (member.acceptedTerm == view.highestTerm)
-            asked.push_back(member.termAskedAt);
+            asked.push_back(member.termQueriedAt);
     }
     const std::size_t needed = majorityOf(view.members.size());
     if (!view.primary || asked.size() < needed)
@@ -28,32 +28,32 @@
 }
 
 /// @return false if the term is below what the member has already accepted
-bool takeTerm(group_view &view, member_view &member, term_number term, time_point askedAt,
-              time_point now)
+bool updateTerm(group_view &view, member_view &member, term_number term, time_point askedAt,
+                time_point now)
 {
     if (term < member.acceptedTerm)
         return false;
     if (term > member.acceptedTerm) {
         member.acceptedTerm = term;
         member.role = member_role::Replica;
-        member.termAskedAt = askedAt;
+        member.termQueriedAt = askedAt;
     }
-    member.termAskedAt = std::max(member.termAskedAt, askedAt);
+    member.termQueriedAt = std::max(member.termQueriedAt, askedAt);
     observeTerm(view, term, now);
     return true;
 }
 
-void takeLast(member_view &member, log_position last, time_point now)
+void updateLastPosition(member_view &member, log_position last, time_point now)
 {
     // Only entries of a lower term than the accepted one can be truncated.
     const bool mayShrink = member.last.term < member.acceptedTerm;
     if (last > member.last)
-        member.lastAdvanced = now;
+        member.lastAdvancedAt = now;
     if (last > member.last || mayShrink)
         member.last = last;
 }
 
-void takeApplied(member_view &member, log_position applied)
+void updateAppliedPosition(member_view &member, log_position applied)
 {
     member.applied = applied;
     if (member.catchUp && applied < *member.catchUp)
@@ -88,19 +88,19 @@
     member_view &member = found->second;
     member.lastHeard = std::max(member.lastHeard, now);
     member.leaving = member.leaving || status.leaving;
-    if (askedAt >= member.doubtedAt)
-        member.doubtedAt = time_point::min();
-    if (!takeTerm(view, member, status.term, askedAt, now))
+    if (askedAt >= member.unverifiedSince)
+        member.unverifiedSince = time_point::min();
+    if (!updateTerm(view, member, status.term, askedAt, now))
         return false;
-    takeLast(member, status.last, now);
-    takeApplied(member, status.applied);
+    updateLastPosition(member, status.last, now);
+    updateAppliedPosition(member, status.applied);
     if (status.role == member_role::Primary) {
         member.role = member_role::Primary;
         observePrimary(view, status.member, status.term, now);
     }
     if (view.primary == status.member && status.term == view.highestTerm)
         addSample(view.ages, askedAt, status.last);
-    confirmByMajority(view);
+    confirmSamplesByMajority(view);
     return true;
 }
 
@@ -112,7 +112,7 @@
         return;
     member_view &known = found->second;
     known.lastHeard = std::max(known.lastHeard, now);
-    if (!takeTerm(view, known, answer.term, askedAt, now))
+    if (!updateTerm(view, known, answer.term, askedAt, now))
         return;
     if (answer.status == execute_status::Refused) {
         recordSuccess(known.pause);
@@ -121,14 +121,14 @@
     // What was executed is in the log, so the log ends there or later.
     const log_position atLeast = std::max(answer.position, answer.applied);
     if (atLeast > known.last)
-        takeLast(known, atLeast, now);
-    takeApplied(known, std::max(known.applied, answer.applied));
+        updateLastPosition(known, atLeast, now);
+    updateAppliedPosition(known, std::max(known.applied, answer.applied));
     // The age is measured against what reads of the primary show, so an answer to a read will do.
     const bool isPrimary = view.primary == member && answer.term == view.highestTerm;
     if (isPrimary && askedTerm == answer.term && answer.status == execute_status::Ok
         && atLeast.index > 0)
         addSample(view.ages, askedAt, atLeast);
-    confirmByMajority(view);
+    confirmSamplesByMajority(view);
 }
 
 void observeFailure(group_view &view, const member_id &member, member_failure failure,
@@ -150,10 +150,10 @@
         known.catchUp = primary->last;
 }
 
-void doubtMembers(group_view &view, time_point now)
+void markMembersUnverified(group_view &view, time_point now)
 {
     for (auto &[id, member] : view.members)
-        member.doubtedAt = now;
+        member.unverifiedSince = now;
 }
 
 void observeLeaving(group_view &view, const member_id &member, bool leaving)
@@ -187,7 +187,7 @@
     member_view &known = found->second;
     if (known.acceptedTerm < term) {
         known.acceptedTerm = term;
-        known.termAskedAt = time_point::min(); // it has not answered under this term yet
+        known.termQueriedAt = time_point::min(); // it has not answered under this term yet
     }
     known.role = member_role::Primary;
 }
--- a/src/core/owner_control.cpp
+++ b/src/core/owner_control.cpp
@@ -28,7 +28,7 @@
     return control_kind::Status;
 }
 
-void callMember(owner_turn &turn, const failover_action &action)
+void callMember(owner_context &turn, const failover_action &action)
 {
     const auto member = turn.owner.view.members.find(action.member);
     if (member == turn.owner.view.members.end())
@@ -50,7 +50,7 @@
     call(turn, std::move(order));
 }
 
-void perform(owner_turn &turn, const failover_actions &actions)
+void perform(owner_context &turn, const failover_actions &actions)
 {
     for (const failover_action &each : actions) {
         if (each.step == failover_step::PublishView)
@@ -68,7 +68,7 @@
     return status.role == member_role::Primary && status.term == term;
 }
 
-void takeStatus(owner_turn &turn, const control_call &asked, const control_answer &answer)
+void takeStatus(owner_context &turn, const control_call &asked, const control_answer &answer)
 {
     group_owner &owner = turn.owner;
     const term_number term = asked.position.term;
@@ -97,7 +97,7 @@
     }
 }
 
-void takeFailure(owner_turn &turn, const control_call &asked)
+void takeFailure(owner_context &turn, const control_call &asked)
 {
     group_owner &owner = turn.owner;
     const bool wasSilent = turn.now >= asked.deadline;
@@ -116,7 +116,7 @@
 void onControlAnswer(group_owner &owner, const control_answer &answer, time_point now,
                      random_engine &random, owner_actions &actions)
 {
-    owner_turn turn{ owner, now, random, actions };
+    owner_context turn{ owner, now, random, actions };
     const auto entry = owner.calls.find(answer.number);
     if (entry == owner.calls.end())
         return;
@@ -136,7 +136,7 @@
 void onPeerView(group_owner &owner, const published_view &peer, time_point now,
                 random_engine &random, owner_actions &actions)
 {
-    owner_turn turn{ owner, now, random, actions };
+    owner_context turn{ owner, now, random, actions };
     perform(turn, onPeerView(owner.failover, owner.view, peer, now, random));
     reportPrimary(turn);
     settle(turn);
@@ -150,8 +150,8 @@
 
 void promote(group_owner &owner, time_point now, random_engine &random, owner_actions &actions)
 {
-    owner_turn turn{ owner, now, random, actions };
-    perform(turn, promoteByHand(owner.failover, owner.view, now, random));
+    owner_context turn{ owner, now, random, actions };
+    perform(turn, promoteManually(owner.failover, owner.view, now, random));
 }
 
 } // namespace fuchsiagw::core
@@ -160,18 +160,18 @@
 
 using namespace core;
 
-void watch(owner_turn &turn)
+void watch(owner_context &turn)
 {
     group_owner &owner = turn.owner;
-    if (!owner.isWatching || turn.now < owner.failover.lastTick + failoverTick)
+    if (!owner.isMonitoringMembers || turn.now < owner.failover.lastTickAt + failoverTickInterval)
         return;
-    failover_load load = loadOf(owner.pending, owner.view, !owner.statements.empty());
+    failover_load load = makeFailoverLoad(owner.pending, owner.view, !owner.statements.empty());
     load.wantedAge = wantedAge(owner.interest, turn.now);
     core::perform(turn, core::onTick(owner.failover, owner.view, load, turn.now, turn.random));
     reportPrimary(turn);
 }
 
-void call(owner_turn &turn, control_call order)
+void call(owner_context &turn, control_call order)
 {
     order.number = turn.owner.nextCall++;
     order.address = turn.owner.view.members.at(order.member).address;
@@ -180,7 +180,7 @@
     turn.actions.emplace_back(std::move(order));
 }
 
-void reportPrimary(owner_turn &turn)
+void reportPrimary(owner_context &turn)
 {
     group_owner &owner = turn.owner;
     if (owner.reportedPrimary == owner.view.primary)
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -18,14 +18,14 @@
     return wasSilent ? member_failure::Silence : member_failure::Closed;
 }
 
-void noteFailure(owner_turn &turn, const member_id &member, member_failure failure)
+void noteFailure(owner_context &turn, const member_id &member, member_failure failure)
 {
     observeFailure(turn.owner.view, member, failure, turn.now, turn.random);
     turn.actions.emplace_back(owner_notice{ owner_event::MemberFailed, member, 0, failure, 0 });
 }
 
-answer_verdict verdictOn(owner_turn &turn, const owned_statement &statement,
-                         const execute_answer &answer)
+answer_verdict checkStatementAnswer(owner_context &turn, const owned_statement &statement,
+                                    const execute_answer &answer)
 {
     if (answer.id != statement.progress.attempt)
         return answer_verdict::Drop;
@@ -50,7 +50,7 @@
 }
 
 /// Pause before the members are asked again whether a read's term still has a majority.
-constexpr duration proofPause = std::chrono::milliseconds(100);
+constexpr duration majorityCheckInterval = std::chrono::milliseconds(100);
 
 /// Without a usable session no position tells whether the answer is new enough. It is, if a
 /// majority had not accepted a later term when the read was sent: then no other primary can have
@@ -66,12 +66,12 @@
     const auto count =
             std::count_if(view.members.begin(), view.members.end(), [&read](const auto &each) {
                 return each.second.acceptedTerm == read.progress.term
-                       && each.second.termAskedAt >= read.sentAt;
+                       && each.second.termQueriedAt >= read.sentAt;
             });
     return static_cast<std::size_t>(count) >= majorityOf(view.members.size());
 }
 
-void askForProof(owner_turn &turn, const member_id &except)
+void askForProof(owner_context &turn, const member_id &except)
 {
     for (const auto &[id, member] : turn.owner.view.members) {
         if (id == except)
@@ -85,7 +85,7 @@
 }
 
 /// The transaction of a member that was replaced can't be committed any more.
-void loseTransaction(owner_turn &turn, std::uint64_t handle, std::uint64_t number)
+void loseTransaction(owner_context &turn, std::uint64_t handle, std::uint64_t number)
 {
     const auto transaction = turn.owner.transactions.find(number);
     if (transaction != turn.owner.transactions.end() && !transaction->second.isBusy)
@@ -94,24 +94,24 @@
 }
 
 /// Ends the reads whose proof has come, and asks again for the others.
-void settleReads(owner_turn &turn)
+void settleReads(owner_context &turn)
 {
     group_owner &owner = turn.owner;
     std::vector<std::uint64_t> decided;
-    for (auto &[handle, askAt] : owner.unprovenReads) {
+    for (auto &[handle, askAt] : owner.readsAwaitingMajority) {
         const owned_statement &read = owner.statements.at(handle);
         const bool isReplaced =
                 owner.view.highestTerm > read.progress.term && owner.view.primary.has_value();
         if (isReplaced || isProven(owner.view, read)) {
             decided.push_back(handle);
         } else if (turn.now >= askAt) {
-            askAt = turn.now + proofPause;
+            askAt = turn.now + majorityCheckInterval;
             askForProof(turn, read.progress.member);
         }
     }
     for (const std::uint64_t handle : decided) {
         owned_statement &read = owner.statements.at(handle);
-        owner.unprovenReads.erase(handle);
+        owner.readsAwaitingMajority.erase(handle);
         if (isProven(owner.view, read))
             follow(turn, handle, onConfirmed(read.progress));
         else if (read.request.transaction)
@@ -121,12 +121,12 @@
     }
 }
 
-void takeAnswer(owner_turn &turn, std::uint64_t handle, connection_id id,
+void takeAnswer(owner_context &turn, std::uint64_t handle, connection_id id,
                 const execute_answer &answer)
 {
     group_owner &owner = turn.owner;
     owned_statement &statement = owner.statements.at(handle);
-    const answer_verdict verdict = verdictOn(turn, statement, answer);
+    const answer_verdict verdict = checkStatementAnswer(turn, statement, answer);
     if (verdict == answer_verdict::Drop) {
         turn.actions.emplace_back(
                 owner_notice{ owner_event::ForeignAnswer, statement.progress.member, 0, {}, 0 });
@@ -148,7 +148,7 @@
                        || action.step == exchange_step::WaitForConfirmation;
     std::optional<std::uint64_t> begun;
     if (ended || action.closeConnection)
-        begun = endInTransaction(turn, statement, id, succeeded && !action.error);
+        begun = finishTransactionStatement(turn, statement, id, succeeded && !action.error);
     if (action.closeConnection)
         drop(turn, id);
     else if (!begun && owner.pool.connections.count(id) != 0)
@@ -163,17 +163,17 @@
     }
     if (verdict == answer_verdict::Accept && needsProof(statement.request, answer)) {
         statement.progress.state = exchange_state::Waiting;
-        statement.place = statement_place::Confirming;
-        owner.unprovenReads.emplace(handle, turn.now);
+        statement.place = statement_stage::Confirming;
+        owner.readsAwaitingMajority.emplace(handle, turn.now);
         return; // the caller settles
     }
     follow(turn, handle, action);
 }
 
-void loseConnection(owner_turn &turn, std::uint64_t handle, connection_id id, bool wasSent)
+void loseConnection(owner_context &turn, std::uint64_t handle, connection_id id, bool wasSent)
 {
     owned_statement &statement = turn.owner.statements.at(handle);
-    endInTransaction(turn, statement, id, false);
+    finishTransactionStatement(turn, statement, id, false);
     drop(turn, id);
     exchange_action action;
     if (wasSent) {
@@ -192,7 +192,7 @@
 void onConnected(group_owner &owner, connection_id id, bool isOpen, time_point now,
                  random_engine &random, owner_actions &actions)
 {
-    owner_turn turn{ owner, now, random, actions };
+    owner_context turn{ owner, now, random, actions };
     const auto entry = owner.pool.connections.find(id);
     if (entry == owner.pool.connections.end())
         return;
@@ -200,10 +200,10 @@
     const member_id member = entry->second.member;
     const auto statement = owner.statements.find(handle);
     const bool isAwaited = statement != owner.statements.end()
-                           && statement->second.place == statement_place::Connecting;
+                           && statement->second.place == statement_stage::Connecting;
     entry->second.state = connection_state::Idle;
     entry->second.statement = 0;
-    noticePause(turn);
+    detectPause(turn);
     if (!isOpen) {
         noteFailure(turn, member, member_failure::Refused);
         owner.pool.connections.erase(entry);
@@ -224,7 +224,7 @@
                 bool wasSent, bool wasSilent, time_point now, random_engine &random,
                 owner_actions &actions)
 {
-    owner_turn turn{ owner, now, random, actions };
+    owner_context turn{ owner, now, random, actions };
     const auto entry = owner.pool.connections.find(id);
     if (entry == owner.pool.connections.end())
         return;
@@ -245,7 +245,7 @@
 void onConnectionClosed(group_owner &owner, connection_id id, time_point now, random_engine &random,
                         owner_actions &actions)
 {
-    owner_turn turn{ owner, now, random, actions };
+    owner_context turn{ owner, now, random, actions };
     const auto entry = owner.pool.connections.find(id);
     if (entry == owner.pool.connections.end())
         return;
@@ -261,7 +261,7 @@
 
 using namespace core;
 
-void send(owner_turn &turn, std::uint64_t handle, connection_id id)
+void send(owner_context &turn, std::uint64_t handle, connection_id id)
 {
     group_owner &owner = turn.owner;
     owned_statement &statement = owner.statements.at(handle);
@@ -270,7 +270,7 @@
            && connection.state != connection_state::Opening);
     const request_id attempt{ turn.random(), turn.random() };
     onSent(statement.progress, attempt, connection.member, statement.route.term);
-    statement.place = statement_place::Sent;
+    statement.place = statement_stage::Sent;
     statement.connection = id;
     statement.sentAt = turn.now;
     connection.state = connection_state::Busy;
@@ -290,18 +290,18 @@
     turn.actions.emplace_back(send_statement{ id, std::move(request), limit });
 }
 
-void leaveMember(group_owner &owner, const pooled_connection &connection)
+void endMemberExchange(group_owner &owner, const pooled_connection &connection)
 {
     const auto member = owner.view.members.find(connection.member);
     if (connection.state == connection_state::Busy && member != owner.view.members.end())
         --member->second.inFlight;
 }
 
-void release(owner_turn &turn, connection_id id)
+void release(owner_context &turn, connection_id id)
 {
     group_owner &owner = turn.owner;
     pooled_connection &connection = owner.pool.connections.at(id);
-    leaveMember(owner, connection);
+    endMemberExchange(owner, connection);
     connection.state = connection_state::Idle;
     connection.statement = 0;
     connection.idleSince = turn.now;
@@ -314,7 +314,7 @@
         const std::uint64_t next = line.front();
         line.pop_front();
         --owner.readyCount;
-        noticePause(turn);
+        detectPause(turn);
         if (takesNewWork(owner, connection.member))
             send(turn, next, id);
         else
@@ -333,19 +333,19 @@
     }
 }
 
-void drop(owner_turn &turn, connection_id id)
+void drop(owner_context &turn, connection_id id)
 {
     group_owner &owner = turn.owner;
     const auto entry = owner.pool.connections.find(id);
     if (entry == owner.pool.connections.end())
         return;
-    leaveMember(owner, entry->second);
+    endMemberExchange(owner, entry->second);
     owner.transactions.erase(entry->second.transaction);
     owner.pool.connections.erase(entry);
     turn.actions.emplace_back(close_connection{ id });
 }
 
-void settle(owner_turn &turn)
+void settle(owner_context &turn)
 {
     group_owner &owner = turn.owner;
     settleReads(turn);
--- a/src/core/owner_transaction.cpp
+++ b/src/core/owner_transaction.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void startInTransaction(owner_turn &turn, std::uint64_t handle)
+void startTransactionStatement(owner_context &turn, std::uint64_t handle)
 {
     group_owner &owner = turn.owner;
     owned_statement &statement = owner.statements.at(handle);
@@ -56,14 +56,15 @@
     send(turn, handle, transaction.connection);
 }
 
-std::optional<std::uint64_t> endInTransaction(owner_turn &turn, const owned_statement &statement,
-                                              connection_id id, bool succeeded)
+std::optional<std::uint64_t> finishTransactionStatement(owner_context &turn,
+                                                        const owned_statement &statement,
+                                                        connection_id id, bool succeeded)
 {
     group_owner &owner = turn.owner;
     const auto connection = owner.pool.connections.find(id);
     if (connection == owner.pool.connections.end())
         return std::nullopt;
-    const time_point idleUntil = turn.now + owner.limits.transactionIdle;
+    const time_point idleUntil = turn.now + owner.limits.transactionIdleTimeout;
     if (startsTransaction(statement.request)) {
         if (!succeeded)
             return std::nullopt;
@@ -90,13 +91,13 @@
     assert(transaction->second.connection == id);
     transaction->second.isBusy = false;
     transaction->second.idleUntil = idleUntil;
-    leaveMember(owner, connection->second);
+    endMemberExchange(owner, connection->second);
     connection->second.state = connection_state::Reserved;
     connection->second.statement = 0;
     return number;
 }
 
-void endIdleTransactions(owner_turn &turn)
+void rollBackIdleTransactions(owner_context &turn)
 {
     std::vector<connection_id> overdue;
     for (const auto &[number, transaction] : turn.owner.transactions) {
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -39,7 +39,7 @@
 {
     if (member.leaving)
         return pass_reason::Leaving;
-    if (member.doubtedAt != time_point::min())
+    if (member.unverifiedSince != time_point::min())
         return pass_reason::NotConfirmed;
     if (member.catchUp)
         return pass_reason::FarBehind;
--- a/src/daemon/decision_meter.cpp
+++ b/src/daemon/decision_meter.cpp
@@ -108,7 +108,7 @@
 {
     failover_gap &gap = gaps_[owner.group];
     // Only the owner that watches the members knows when the old one was last heard.
-    if (!owner.isWatching) {
+    if (!owner.isMonitoringMembers) {
         gap = { notice.member, core::noDeadline, core::noDeadline, core::noDeadline, 0 };
         return;
     }
@@ -126,7 +126,7 @@
         return;
     gap.changedAt = now;
     gap.term = notice.term;
-    if (notice.term == owner.failover.triedTerm)
+    if (notice.term == owner.failover.highestAttemptedTerm)
         counts_.count(counter::Promotions);
 }
 
--- a/src/daemon/operator_desk.cpp
+++ b/src/daemon/operator_desk.cpp
@@ -26,7 +26,8 @@
 /// For a request to the platform that is under way at the deadline of its submit.
 constexpr core::duration lastAnswerLimit = std::chrono::milliseconds(500);
 constexpr core::duration statusLimit = std::chrono::seconds(4);
-constexpr core::duration promotionLimit = core::handPatience + std::chrono::milliseconds(500);
+constexpr core::duration promotionLimit =
+        core::manualPromotionTimeout + std::chrono::milliseconds(500);
 /// Longer than the limit of a request to the platform. It covers one that a full ring has dropped.
 constexpr core::duration platformAnswerLimit = std::chrono::seconds(4);
 constexpr core::duration readBackEvery = std::chrono::milliseconds(500);
@@ -403,7 +404,7 @@
             entry.role =
                     view->primary == id ? core::member_role::Primary : core::member_role::Replica;
             entry.applied = known->applied;
-            entry.state = stateOf(*known, owner->second.isWatching, now);
+            entry.state = stateOf(*known, owner->second.isMonitoringMembers, now);
         }
         reports.push_back(std::move(report));
     }
@@ -436,7 +437,7 @@
         return;
     }
     const auto owner = gateway_.owners.find(group);
-    if (owner == gateway_.owners.end() || !owner->second.isWatching) {
+    if (owner == gateway_.owners.end() || !owner->second.isMonitoringMembers) {
         refuse(error_kind::InvalidValue, "group: this instance does not watch '" + group.value
                                                  + "'; send the command to "
                                                  + ownerFor(gateway_, group, now));
--- a/testing/fake_group_owner.cpp
+++ b/testing/fake_group_owner.cpp
@@ -27,13 +27,13 @@
 
 void fake_group::tick(std::size_t index)
 {
-    later(failoverTick, [this, index] { tick(index); });
+    later(failoverTickInterval, [this, index] { tick(index); });
     fake_owner &owner = owners[index];
     if (owner.isPaused)
         return;
     if (config.policy == acknowledgement_policy::Lease)
         renewLease(index);
-    const failover_load load = loadOf(owner.pending, owner.view, !owner.writes.empty());
+    const failover_load load = makeFailoverLoad(owner.pending, owner.view, !owner.writes.empty());
     perform(index, onTick(owner.failover, owner.view, load, clock, owner.random));
     settle(index);
     openWaits(index);
@@ -265,8 +265,8 @@
     // Favours this policy: what one owner has acknowledged is known to all at once.
     if (config.policy == acknowledgement_policy::KnownPosition) {
         for (fake_owner &owner : owners)
-            owner.view.highestAcknowledged =
-                    std::max(owner.view.highestAcknowledged, write.position);
+            owner.view.highestAcknowledgedPosition =
+                    std::max(owner.view.highestAcknowledgedPosition, write.position);
     }
     if (acknowledgedHook)
         std::exchange(acknowledgedHook, nullptr)();
--- a/tests/unit-decision-meter.cpp
+++ b/tests/unit-decision-meter.cpp
@@ -21,7 +21,7 @@
     {
         owner = &state.owners[{ "g" }];
         owner->group = { "g" };
-        owner->isWatching = true;
+        owner->isMonitoringMembers = true;
         owner->view.members[{ "a" }].lastHeard = start;
         owner->view.members[{ "b" }].lastHeard = start;
         notice("a", 256, start);
@@ -93,7 +93,7 @@
 // Guards against figures of an instance that does not watch the group.
 TEST(decision_meter, countsNoGapWithoutWatching)
 {
-    owner->isWatching = false;
+    owner->isMonitoringMembers = false;
     notice("b", 512, start + 400ms);
     write(512, start + 500ms);
     LONGS_EQUAL(0, gaps().count());
--- a/tests/unit-failover.cpp
+++ b/tests/unit-failover.cpp
@@ -58,7 +58,8 @@
     failover_actions tickFor(duration time, std::initializer_list<const char *> members)
     {
         failover_actions all;
-        for (const time_point end = now + time; now < end && !state.attempt; now += failoverTick) {
+        for (const time_point end = now + time; now < end && !state.attempt;
+             now += failoverTickInterval) {
             hear(members);
             const auto actions = onTick(state, view, load, now, random);
             all.insert(all.end(), actions.begin(), actions.end());
@@ -149,8 +150,8 @@
     state.promotes = false;
     tickFor(10s, { "b", "c" });
     CHECK_FALSE(state.attempt.has_value());
-    CHECK_TRUE(count(promoteByHand(state, view, now, random), failover_step::AcceptTerm) == 3);
-    CHECK_TRUE(state.attempt->cause == failover_cause::ByHand);
+    CHECK_TRUE(count(promoteManually(state, view, now, random), failover_step::AcceptTerm) == 3);
+    CHECK_TRUE(state.attempt->cause == failover_cause::Manual);
 }
 
 // Guards against M11: a leaving primary is replaced at once, not when it falls silent.
@@ -214,7 +215,7 @@
     CHECK_TRUE(onAcceptTerm(state, view, refusal, state.attempt->term, now, now, random).empty());
     CHECK_FALSE(state.attempt.has_value());
     // The rival gets its time; only then, and if a majority is reachable, it is this owner's turn.
-    tickFor(noPrimaryPatience, { "b", "c" });
+    tickFor(noPrimaryTimeout, { "b", "c" });
     CHECK_FALSE(state.attempt.has_value());
     tickFor(1s, { "b", "c" });
     CHECK_TRUE(state.attempt && state.attempt->term > rival);
@@ -227,7 +228,7 @@
     const auto probesIn = [&](duration wanted) {
         load.wantedAge = wanted;
         std::size_t probes = 0;
-        for (const time_point end = now + 3s; now < end; now += failoverTick) {
+        for (const time_point end = now + 3s; now < end; now += failoverTickInterval) {
             for (const auto &each : onTick(state, view, load, now, random)) {
                 probes += each.step == failover_step::Probe ? 1 : 0;
                 hear({ each.member.value.c_str() });
--- a/tests/unit-group-owner.cpp
+++ b/tests/unit-group-owner.cpp
@@ -236,7 +236,7 @@
 TEST(group_owner, idleTransactionIsRolledBack)
 {
     begin(1);
-    now += owner.limits.transactionIdle;
+    now += owner.limits.transactionIdleTimeout;
     advance(owner, now, random, actions);
     CHECK_TRUE(owner.transactions.empty());
     CHECK_EQUAL(1, static_cast<int>(take<close_connection>().size()));
--- a/tests/unit-operator-desk.cpp
+++ b/tests/unit-operator-desk.cpp
@@ -258,7 +258,7 @@
     const auto ticket = ask(wire::admin_route::Promote, "{}", "g1");
     LONGS_EQUAL(0, answers.count(ticket));
     CHECK_FALSE(actions.empty());
-    pass(core::handPatience + 500ms);
+    pass(core::manualPromotionTimeout + 500ms);
     CHECK_EQUAL(std::string("unknown"), bodyOf(ticket).at("outcome").get<std::string>());
 }
 
