--- a/include/fuchsiagw/core/failover.hpp
+++ b/include/fuchsiagw/core/failover.hpp
@@ -155,24 +155,24 @@
     std::optional<member_id> preferred; ///< chosen among members with equal positions
     std::map<member_id, member_status> grants; ///< as granted
     std::optional<member_id> chosen;
-    std::uint32_t tries = 0; ///< of lead
+    std::uint32_t leadAttempts = 0;
     time_point deadline; ///< of the present step
     time_point startedAt;
 };
 
 struct probe_schedule
 {
-    time_point sent = time_point::min();
+    time_point lastSentAt = time_point::min();
     std::uint32_t unanswered = 0; ///< since the member was last heard
 };
 
 struct follow_task
 {
     term_number term = 0; ///< term that the rest of the task is about
-    bool isOwn = false; ///< this owner has promoted the primary
+    bool isPromoter = false; ///< this owner has promoted the primary
     bool isConfirmed = false; ///< the member has answered to /follow
-    std::uint32_t tries = 0;
-    time_point next = time_point::min();
+    std::uint32_t attempts = 0;
+    time_point nextAttemptAt = time_point::min();
 };
 
 /// Failover state of one owner for one group. The first block is set by the caller.
@@ -185,8 +185,8 @@
 
     std::optional<promotion_attempt> attempt;
     std::optional<failover_cause> suspicion; ///< a cause holds, the stagger is running
-    time_point startAt = noDeadline; ///< when the suspicion becomes an attempt
-    time_point notBefore = time_point::min(); ///< no attempt before, set after a failed one
+    time_point attemptStartAt = noDeadline; ///< when the suspicion becomes an attempt
+    time_point earliestAttemptAt = time_point::min(); ///< no attempt before, set after a failed one
     bool isPostponedByClaim = false; ///< by a rival's claim, once for each suspicion
     time_point silentSince = noDeadline; ///< first unanswered probe of the primary
     time_point refusedSince = noDeadline; ///< first refused connection to it
@@ -199,10 +199,10 @@
     term_number highestAttemptedTerm = 0; ///< highest term of an own attempt
     std::uint32_t failedAttempts = 0; ///< in a row
     std::vector<time_point> promotions; ///< changes of primary within promotionHistoryWindow
-    std::optional<member_id> suspected; ///< primary that the next attempt passes over
+    std::optional<member_id> suspectedPrimary; ///< primary that the next attempt passes over
     term_number lastPrimaryTerm = 0; ///< term of the primary seen last
-    std::map<member_id, probe_schedule> schedule;
-    std::map<member_id, follow_task> follows;
+    std::map<member_id, probe_schedule> probeSchedules;
+    std::map<member_id, follow_task> followTasks;
 };
 
 /// @return the lowest term of @p rank that is above @p highest
--- a/include/fuchsiagw/core/group_owner.hpp
+++ b/include/fuchsiagw/core/group_owner.hpp
@@ -42,7 +42,7 @@
     std::uint64_t session = 0;
     std::uint32_t weight = 1;
     exchange progress;
-    statement_stage place = statement_stage::Queued;
+    statement_stage stage = statement_stage::Queued;
     connection_id connection = 0; ///< while Connecting or Sent
     route_decision route;
     time_point sentAt{};
--- a/include/fuchsiagw/detail/failover_steps.hpp
+++ b/include/fuchsiagw/detail/failover_steps.hpp
@@ -12,8 +12,8 @@
                                  core::time_point now);
 
 /// @return @p first doubled @p times, at most @p longest
-[[nodiscard]] core::duration doubled(core::duration first, std::uint32_t times,
-                                     core::duration longest);
+[[nodiscard]] core::duration exponentialDelay(core::duration first, std::uint32_t times,
+                                              core::duration longest);
 
 /// @return whether a probe of the primary went unanswered; the first one after a quiet time says
 /// nothing yet
--- a/include/fuchsiagw/detail/owner_steps.hpp
+++ b/include/fuchsiagw/detail/owner_steps.hpp
@@ -17,64 +17,66 @@
 };
 
 /// @brief Doubts what is believed of the members if this process was paused before this step.
-void detectPause(owner_context &turn);
+void detectPause(owner_context &context);
 
 /// @return whether a statement may be sent to a member that was chosen earlier
-[[nodiscard]] bool takesNewWork(const core::group_owner &owner, const core::member_id &member);
+[[nodiscard]] bool acceptsNewStatements(const core::group_owner &owner,
+                                        const core::member_id &member);
 
 /// @brief Routes a statement that has no place and gives it one.
-void route(owner_context &turn, std::uint64_t handle);
+void routeToMember(owner_context &context, std::uint64_t handle);
 
 /// @brief Sends a statement on an open connection.
-void send(owner_context &turn, std::uint64_t handle, core::connection_id id);
+void sendOnConnection(owner_context &context, std::uint64_t handle, core::connection_id id);
 
 /// @brief Does what an exchange asks for after an event.
-void follow(owner_context &turn, std::uint64_t handle, const core::exchange_action &action);
+void applyExchangeAction(owner_context &context, std::uint64_t handle,
+                         const core::exchange_action &action);
 
 /// @brief Gives the final answer and forgets the statement.
-void finish(owner_context &turn, std::uint64_t handle, core::statement_answer answer);
+void finishStatement(owner_context &context, std::uint64_t handle, core::statement_answer answer);
 
 /// @brief Ends a statement with an error.
-void fail(owner_context &turn, std::uint64_t handle, core::error_kind error,
-          std::string problem = {});
+void failStatement(owner_context &context, std::uint64_t handle, core::error_kind error,
+                   std::string problem = {});
 
 /// @brief Takes a statement out of the place where it waits.
-void detachStatement(owner_context &turn, std::uint64_t handle);
+void detachStatement(owner_context &context, std::uint64_t handle);
 
 /// @brief Gives a connection that has become free to the next statement.
-void release(owner_context &turn, core::connection_id id);
+void releaseConnection(owner_context &context, core::connection_id id);
 
 /// @brief Counts the exchange on a connection as ended; the member may have left the configuration.
 void endMemberExchange(core::group_owner &owner, const core::pooled_connection &connection);
 
 /// @brief Closes a connection and forgets it.
-void drop(owner_context &turn, core::connection_id id);
+void closeConnection(owner_context &context, core::connection_id id);
 
 /// @brief Starts waiting statements as long as there are connections for them.
-void pump(owner_context &turn);
+void dispatchQueued(owner_context &context);
 
 /// @brief Opens the waits that the pending writes need and ends those that are settled.
-void settle(owner_context &turn);
+void resolvePending(owner_context &context);
 
 /// @brief Watches the members if this instance is the zone's owner.
-void watch(owner_context &turn);
+void monitorMembers(owner_context &context);
 
 /// @brief Sends a control request to a member.
-void call(owner_context &turn, core::control_call order);
+void sendControlRequest(owner_context &context, core::control_call request);
 
 /// @brief Reports a change of the primary, once.
-void reportPrimary(owner_context &turn);
+void reportPrimary(owner_context &context);
 
 /// @brief Starts a statement of an open transaction on the transaction's connection.
-void startTransactionStatement(owner_context &turn, std::uint64_t handle);
+void startTransactionStatement(owner_context &context, std::uint64_t handle);
 
 /// @brief Takes in the end of a statement of a transaction, or of a begin.
 /// @return the transaction's number if it goes on
-std::optional<std::uint64_t> finishTransactionStatement(owner_context &turn,
+std::optional<std::uint64_t> finishTransactionStatement(owner_context &context,
                                                         const core::owned_statement &statement,
                                                         core::connection_id id, bool succeeded);
 
 /// @brief Rolls back transactions whose caller has been silent for too long.
-void rollBackIdleTransactions(owner_context &turn);
+void rollBackIdleTransactions(owner_context &context);
 
 } // namespace fuchsiagw::detail
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// Answers to peers that suspect the primary are at most this frequent.
-constexpr duration publishEvery = std::chrono::milliseconds(50);
+constexpr duration minPublishInterval = std::chrono::milliseconds(50);
 std::int64_t timeoutFactor(const failover_state &state)
 {
     std::int64_t factor = 1;
@@ -26,7 +26,7 @@
 void clearSuspicion(failover_state &state)
 {
     state.suspicion.reset();
-    state.startAt = noDeadline;
+    state.attemptStartAt = noDeadline;
     state.isPostponedByClaim = false;
 }
 
@@ -140,26 +140,27 @@
     for (const auto &[id, member] : view.members) {
         if (id == *view.primary)
             continue;
-        follow_task &task = state.follows[id];
+        follow_task &task = state.followTasks[id];
         if (task.term != view.highestTerm) {
             task = follow_task{};
             task.term = view.highestTerm;
-            task.next = now + takeover;
+            task.nextAttemptAt = now + takeover;
         }
         const bool isStale = member.acceptedTerm < view.highestTerm;
         const bool isStalled =
                 member.last < primary->last
                 && std::max(member.lastAdvancedAt, view.primarySince) + replicationStallTimeout
                            <= now;
-        if (!isStale && !isStalled && (task.isConfirmed || !task.isOwn)) {
-            task.tries = 0;
-            task.next = task.isOwn ? now : now + takeover;
+        if (!isStale && !isStalled && (task.isConfirmed || !task.isPromoter)) {
+            task.attempts = 0;
+            task.nextAttemptAt = task.isPromoter ? now : now + takeover;
             continue;
         }
-        if (now < task.next || !isHeardWithin(member, followReachabilityWindow, now))
+        if (now < task.nextAttemptAt || !isHeardWithin(member, followReachabilityWindow, now))
             continue;
-        task.next = now + doubled(followRetryInterval, task.tries, maxFollowRetryInterval);
-        task.tries += 1;
+        task.nextAttemptAt =
+                now + exponentialDelay(followRetryInterval, task.attempts, maxFollowRetryInterval);
+        task.attempts += 1;
         if (isStale)
             actions.push_back(makeAction(failover_step::AcceptTerm, id, view.highestTerm));
         else
@@ -172,21 +173,24 @@
 void failAttempt(failover_state &state, time_point now, random_engine &random)
 {
     assert(state.attempt);
-    state.suspected = state.attempt->chosen ? state.attempt->chosen : state.attempt->excluded;
-    const duration spread = doubled(staggerJitter, state.failedAttempts, maxAttemptTimeout);
-    state.notBefore =
+    state.suspectedPrimary =
+            state.attempt->chosen ? state.attempt->chosen : state.attempt->excluded;
+    const duration spread =
+            exponentialDelay(staggerJitter, state.failedAttempts, maxAttemptTimeout);
+    state.earliestAttemptAt =
             now + duration(drawBelow(random, static_cast<std::uint64_t>(spread.count()) + 1));
     state.failedAttempts += 1;
     state.attempt.reset();
     clearSuspicion(state);
 }
 
-void lead(failover_state &state, const member_id &member, time_point now, failover_actions &actions)
+void requestLead(failover_state &state, const member_id &member, time_point now,
+                 failover_actions &actions)
 {
     promotion_attempt &attempt = *state.attempt;
     assert(!attempt.chosen || *attempt.chosen == member);
     attempt.chosen = member;
-    attempt.tries += 1;
+    attempt.leadAttempts += 1;
     attempt.deadline = now + attemptTimeout;
     actions.push_back(makeAction(failover_step::Lead, member, attempt.term, attemptTimeout));
 }
@@ -197,11 +201,12 @@
     promotion_attempt attempt;
     attempt.term = nextTerm(std::max(view.highestTerm, state.highestAttemptedTerm), state.rank);
     attempt.cause = cause;
-    attempt.excluded = view.primary ? view.primary : state.suspected;
+    attempt.excluded = view.primary ? view.primary : state.suspectedPrimary;
     if (cause == failover_cause::Manual)
         attempt.preferred = state.preferred;
     attempt.startedAt = now;
-    const duration timeout = doubled(attemptTimeout, state.failedAttempts, maxAttemptTimeout);
+    const duration timeout =
+            exponentialDelay(attemptTimeout, state.failedAttempts, maxAttemptTimeout);
     attempt.deadline = now + timeout;
     state.highestAttemptedTerm = attempt.term;
     for (const auto &[id, member] : view.members)
@@ -225,7 +230,7 @@
             state.promotions.push_back(now);
         state.lastPrimaryTerm = view.highestTerm;
         state.failedAttempts = 0;
-        state.suspected.reset();
+        state.suspectedPrimary.reset();
         state.manualPromotionDeadline = time_point::min();
         state.lastHeardByPeer = time_point::min();
         clearSilence(state);
@@ -237,9 +242,9 @@
     for (const auto &[id, member] : view.members) {
         follow_task task;
         task.term = view.highestTerm;
-        task.isOwn = true;
-        task.next = now;
-        state.follows[id] = task;
+        task.isPromoter = true;
+        task.nextAttemptAt = now;
+        state.followTasks[id] = task;
     }
     publish(state, false, now, actions);
     followMembers(state, view, now, actions);
@@ -253,14 +258,14 @@
     if (attempt.chosen) {
         if (!isFinal)
             return;
-        if (attempt.tries < maxLeadAttempts)
-            lead(state, *attempt.chosen, now, actions);
+        if (attempt.leadAttempts < maxLeadAttempts)
+            requestLead(state, *attempt.chosen, now, actions);
         else
             failAttempt(state, now, random);
         return;
     }
     if (const auto member = choosePrimary(attempt, view, state.policy, isFinal))
-        lead(state, *member, now, actions);
+        requestLead(state, *member, now, actions);
     else if (isFinal)
         failAttempt(state, now, random);
 }
@@ -279,8 +284,8 @@
     });
 }
 
-void watch(failover_state &state, const group_view &view, const failover_load &load, time_point now,
-           random_engine &random, failover_actions &actions)
+void evaluateSuspicion(failover_state &state, const group_view &view, const failover_load &load,
+                       time_point now, random_engine &random, failover_actions &actions)
 {
     const std::optional<failover_cause> cause = findCause(state, view, load, now);
     if (!cause) {
@@ -289,15 +294,16 @@
     }
     if (!state.suspicion) {
         const auto jitter = static_cast<std::uint64_t>(staggerJitter.count());
-        state.startAt = now + staggerPerRank * state.rank + duration(drawBelow(random, jitter));
+        state.attemptStartAt =
+                now + staggerPerRank * state.rank + duration(drawBelow(random, jitter));
         const term_number next =
                 nextTerm(std::max(view.highestTerm, state.highestAttemptedTerm), state.rank);
         actions.push_back(makeAction(failover_step::Claim, {}, next));
     }
     state.suspicion = cause;
-    if (now < state.startAt || now < state.notBefore)
+    if (now < state.attemptStartAt || now < state.earliestAttemptAt)
         return;
-    const std::optional<member_id> except = view.primary ? view.primary : state.suspected;
+    const std::optional<member_id> except = view.primary ? view.primary : state.suspectedPrimary;
     const std::size_t needed = majorityOf(view.members.size());
     const bool isReachable =
             countReachable(view, except, now) >= needed
@@ -381,7 +387,7 @@
     if (state.attempt)
         advanceAttempt(state, view, now, random, actions);
     else
-        watch(state, view, load, now, random, actions);
+        evaluateSuspicion(state, view, load, now, random, actions);
     followMembers(state, view, now, actions);
     const bool asksPeers = !view.primary || isProbeOverdue(state, now);
     if (asksPeers && state.lastPublishedAt + suspectProbeInterval <= now)
@@ -436,12 +442,12 @@
                         term_number term, bool leads, time_point now, random_engine &random)
 {
     failover_actions actions;
-    const bool isOwn =
+    const bool isCurrentAttempt =
             state.attempt && state.attempt->term == term && state.attempt->chosen == member;
     if (leads)
         observePrimary(view, member, term, now);
     reconcileAttempt(state, view, now, actions);
-    if (!leads && isOwn && state.attempt) {
+    if (!leads && isCurrentAttempt && state.attempt) {
         // Repeats the request, or gives the attempt up after the last try.
         state.attempt->deadline = now;
         advanceAttempt(state, view, now, random, actions);
@@ -451,8 +457,8 @@
 
 void onFollow(failover_state &state, const member_id &member, term_number term, bool follows)
 {
-    const auto task = state.follows.find(member);
-    if (task != state.follows.end() && task->second.term == term)
+    const auto task = state.followTasks.find(member);
+    if (task != state.followTasks.end() && task->second.term == term)
         task->second.isConfirmed = task->second.isConfirmed || follows;
 }
 
@@ -478,7 +484,7 @@
         state.lastHeardByPeer = std::max(state.lastHeardByPeer, now - heardAgo);
     const bool canHelp = peer.term < view.highestTerm
                          || (peer.suspects && isHeardWithin(*primary, suspectAfter, now));
-    if (canHelp && state.lastPublishedAt + publishEvery <= now)
+    if (canHelp && state.lastPublishedAt + minPublishInterval <= now)
         publish(state, false, now, actions);
     return actions;
 }
@@ -487,7 +493,7 @@
 {
     if (granted || !state.suspicion || state.isPostponedByClaim)
         return;
-    state.startAt = std::max(state.startAt, now + rivalClaimDelay);
+    state.attemptStartAt = std::max(state.attemptStartAt, now + rivalClaimDelay);
     state.isPostponedByClaim = true;
 }
 
@@ -497,7 +503,7 @@
     failover_actions actions;
     state.manualPromotionDeadline = now + manualPromotionTimeout;
     if (!state.attempt) {
-        state.notBefore = time_point::min();
+        state.earliestAttemptAt = time_point::min();
         startAttempt(state, view, failover_cause::Manual, now, actions);
         actions.push_back(makeAction(failover_step::Claim, {}, state.attempt->term));
     } else {
--- a/src/core/failover_probe.cpp
+++ b/src/core/failover_probe.cpp
@@ -21,24 +21,25 @@
 {
     const std::uint32_t unanswered = schedule.unanswered;
     if (!isUrgent)
-        return doubled(silence, unanswered, backoffLongest);
-    const std::uint32_t beyond =
+        return exponentialDelay(silence, unanswered, backoffLongest);
+    const std::uint32_t excessProbes =
             unanswered > probesAtFullRate ? (unanswered - probesAtFullRate) / 2 : 0;
-    return doubled(suspectProbeInterval, beyond, maxSilentProbeInterval);
+    return exponentialDelay(suspectProbeInterval, excessProbes, maxSilentProbeInterval);
 }
 
 void probeMember(failover_state &state, const member_id &id, member_view &member, bool isPrimary,
                  bool isUrgent, duration silence, time_point now, random_engine &random,
                  failover_actions &actions)
 {
-    probe_schedule &schedule = state.schedule[id];
-    if (member.lastHeard >= schedule.sent)
+    probe_schedule &schedule = state.probeSchedules[id];
+    if (member.lastHeard >= schedule.lastSentAt)
         schedule.unanswered = 0;
-    const bool isQuiet = !isHeardWithin(member, silence, now) || member.pause.failures > 0
-                         || member.unverifiedSince != time_point::min();
-    const bool isSpaced = schedule.sent == time_point::min()
-                          || schedule.sent + probeInterval(schedule, isUrgent, silence) <= now;
-    if (!isQuiet || !isSpaced)
+    const bool needsProbe = !isHeardWithin(member, silence, now) || member.pause.failures > 0
+                            || member.unverifiedSince != time_point::min();
+    const bool isIntervalElapsed =
+            schedule.lastSentAt == time_point::min()
+            || schedule.lastSentAt + probeInterval(schedule, isUrgent, silence) <= now;
+    if (!needsProbe || !isIntervalElapsed)
         return;
     if (!isPrimary && !isUrgent && member.pause.failures > 0) {
         if (isBackedOff(member.pause, now))
@@ -46,7 +47,7 @@
         // Moves the next probe; an answer clears the backoff.
         recordFailure(member.pause, now, random);
     }
-    schedule.sent = now;
+    schedule.lastSentAt = now;
     schedule.unanswered += 1;
     if (isPrimary && state.silentSince == noDeadline)
         state.silentSince = now;
@@ -60,7 +61,7 @@
     return member.lastHeard != time_point::min() && member.lastHeard + window >= now;
 }
 
-duration doubled(duration first, std::uint32_t times, duration longest)
+duration exponentialDelay(duration first, std::uint32_t times, duration longest)
 {
     constexpr std::uint32_t longestExponent = 16; // keeps the shift defined
     return std::min(first * (std::int64_t{ 1 } << std::min(times, longestExponent)), longest);
@@ -94,11 +95,11 @@
     if (primary != nullptr && state.silentSince != noDeadline
         && primary->lastHeard >= state.silentSince)
         clearSilence(state);
-    const bool isAlarmed =
+    const bool isPrimaryUncertain =
             state.suspicion || state.attempt || primary == nullptr || isProbeOverdue(state, now);
     for (auto &[id, member] : view.members) {
         const bool isPrimary = view.primary == id;
-        if (!isPrimary && !state.probes && !isAlarmed && member.pause.failures > 0)
+        if (!isPrimary && !state.probes && !isPrimaryUncertain && member.pause.failures > 0)
             continue;
         duration silence = load.hasWork ? replicaProbeAfterSilence : idleProbeAfterSilence;
         if (isPrimary && load.hasWork)
@@ -109,10 +110,10 @@
             const duration fresh = isApplying ? minFreshProbeInterval : load.wantedAge / 3;
             silence = std::min(silence, std::max(fresh, minFreshProbeInterval));
         }
-        if (isAlarmed && !isPrimary)
+        if (isPrimaryUncertain && !isPrimary)
             silence = suspectProbeInterval;
-        probeMember(state, id, member, isPrimary, isAlarmed || (isPrimary && load.hasWork), silence,
-                    now, random, actions);
+        probeMember(state, id, member, isPrimary, isPrimaryUncertain || (isPrimary && load.hasWork),
+                    silence, now, random, actions);
     }
 }
 
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -20,81 +20,81 @@
 /// begun to leave without the knowledge of this process.
 constexpr duration maxStepGap = std::chrono::seconds(1);
 
-queued_statement toQueued(std::uint64_t handle, const owned_statement &statement)
+queued_statement makeQueuedStatement(std::uint64_t handle, const owned_statement &statement)
 {
     return { handle, statement.request.workspace, statement.session, false,
              statement.request.deadline };
 }
 
-void park(owner_context &turn, std::uint64_t handle, time_point until)
+void park(owner_context &context, std::uint64_t handle, time_point until)
 {
-    owned_statement &statement = turn.owner.statements.at(handle);
-    statement.place = statement_stage::Parked;
+    owned_statement &statement = context.owner.statements.at(handle);
+    statement.stage = statement_stage::Parked;
     statement.progress.deadline = statement.request.deadline;
-    turn.owner.parked.emplace(until, handle);
+    context.owner.parked.emplace(until, handle);
 }
 
 /// One connection stays free of transactions, so that they can't hold up every other statement.
 bool canBeginTransaction(const group_owner &owner)
 {
-    const std::uint32_t most =
+    const std::uint32_t maxTransactions =
             std::max<std::uint32_t>(1, owner.pool.limit > 1 ? owner.pool.limit - 1 : 1);
-    return owner.transactions.size() < most;
+    return owner.transactions.size() < maxTransactions;
 }
 
-void rerouteParked(owner_context &turn)
+void rerouteParked(owner_context &context)
 {
-    auto &parked = turn.owner.parked;
+    auto &parked = context.owner.parked;
     std::vector<std::uint64_t> due;
-    while (!parked.empty() && parked.begin()->first <= turn.now) {
+    while (!parked.empty() && parked.begin()->first <= context.now) {
         due.push_back(parked.begin()->second);
         parked.erase(parked.begin());
     }
     for (const std::uint64_t handle : due) {
-        if (turn.owner.statements.count(handle) != 0)
-            route(turn, handle);
+        if (context.owner.statements.count(handle) != 0)
+            routeToMember(context, handle);
     }
 }
 
-void expireStatements(owner_context &turn)
+void expireStatements(owner_context &context)
 {
-    auto &deadlines = turn.owner.deadlines;
-    while (!deadlines.empty() && deadlines.begin()->first <= turn.now) {
+    auto &deadlines = context.owner.deadlines;
+    while (!deadlines.empty() && deadlines.begin()->first <= context.now) {
         const std::uint64_t handle = deadlines.begin()->second;
-        owned_statement &statement = turn.owner.statements.at(handle);
+        owned_statement &statement = context.owner.statements.at(handle);
         const connection_id id = statement.connection;
-        const bool isSent = statement.place == statement_stage::Sent;
+        const bool isSent = statement.stage == statement_stage::Sent;
         const exchange_action action = onDeadline(statement.progress, statement.unsentReason);
         // The exchange is in flight; its connection can't be told from one whose answer comes late.
         if (isSent && action.closeConnection)
-            drop(turn, id);
-        follow(turn, handle, action);
+            closeConnection(context, id);
+        applyExchangeAction(context, handle, action);
     }
 }
 
-void insertStatement(owner_context &turn, std::uint64_t handle, owned_statement statement)
+void insertStatement(owner_context &context, std::uint64_t handle, owned_statement statement)
 {
-    assert(turn.owner.statements.count(handle) == 0);
-    turn.owner.deadlines.emplace(statement.request.deadline, handle);
+    assert(context.owner.statements.count(handle) == 0);
+    context.owner.deadlines.emplace(statement.request.deadline, handle);
     statement.progress = makeExchange(statement.request);
-    turn.owner.statements.emplace(handle, std::move(statement));
+    context.owner.statements.emplace(handle, std::move(statement));
 }
 
-void admit(owner_context &turn, std::uint64_t handle)
+void admit(owner_context &context, std::uint64_t handle)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     const owned_statement &statement = owner.statements.at(handle);
-    const queued_statement waiting = toQueued(handle, statement);
+    const queued_statement waiting = makeQueuedStatement(handle, statement);
     if (isUnreachable(owner.meter, owner.queue, waiting, statement.weight, owner.pool.limit,
-                      countFree(owner.pool), turn.now)) {
-        fail(turn, handle, error_kind::DeadlineUnreachable);
+                      countFree(owner.pool), context.now)) {
+        failStatement(context, handle, error_kind::DeadlineUnreachable);
         return;
     }
     const enqueue_result result = enqueue(owner.queue, waiting, statement.weight);
     if (!result.accepted)
-        fail(turn, handle, error_kind::Overloaded);
+        failStatement(context, handle, error_kind::Overloaded);
     else if (result.evicted)
-        fail(turn, result.evicted->handle, error_kind::Overloaded);
+        failStatement(context, result.evicted->handle, error_kind::Overloaded);
 }
 
 } // namespace
@@ -102,28 +102,28 @@
 void submit(group_owner &owner, std::uint64_t handle, owned_statement statement, time_point now,
             random_engine &random, owner_actions &actions)
 {
-    owner_context turn{ owner, now, random, actions };
+    owner_context context{ owner, now, random, actions };
     const bool inTransaction = statement.request.transaction.has_value();
     if (statement.maxAge)
         noteRead(owner.interest, *statement.maxAge, now);
-    insertStatement(turn, handle, std::move(statement));
+    insertStatement(context, handle, std::move(statement));
     if (inTransaction)
-        startTransactionStatement(turn, handle);
+        startTransactionStatement(context, handle);
     else
-        admit(turn, handle);
-    pump(turn);
+        admit(context, handle);
+    dispatchQueued(context);
 }
 
 void advance(group_owner &owner, time_point now, random_engine &random, owner_actions &actions)
 {
-    owner_context turn{ owner, now, random, actions };
-    detectPause(turn);
-    expireStatements(turn);
-    rollBackIdleTransactions(turn);
-    watch(turn);
-    detail::settle(turn);
-    rerouteParked(turn);
-    pump(turn);
+    owner_context context{ owner, now, random, actions };
+    detectPause(context);
+    expireStatements(context);
+    rollBackIdleTransactions(context);
+    monitorMembers(context);
+    detail::resolvePending(context);
+    rerouteParked(context);
+    dispatchQueued(context);
 }
 
 void setConnectionLimit(group_owner &owner, std::uint32_t limit, time_point now,
@@ -131,12 +131,12 @@
 {
     if (owner.pool.limit == limit)
         return;
-    owner_context turn{ owner, now, random, actions };
+    owner_context context{ owner, now, random, actions };
     owner.pool.limit = limit;
     actions.emplace_back(owner_notice{ owner_event::ConnectionLimit, {}, 0, {}, limit });
     for (const connection_id id : surplusConnections(owner.pool))
-        drop(turn, id);
-    pump(turn);
+        closeConnection(context, id);
+    dispatchQueued(context);
 }
 
 time_point nextWakeup(const group_owner &owner)
@@ -164,79 +164,79 @@
 
 using namespace core;
 
-void detectPause(owner_context &turn)
+void detectPause(owner_context &context)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     const bool wasPaused =
-            owner.lastStepAt != time_point::min() && turn.now - owner.lastStepAt > maxStepGap;
-    owner.lastStepAt = turn.now;
+            owner.lastStepAt != time_point::min() && context.now - owner.lastStepAt > maxStepGap;
+    owner.lastStepAt = context.now;
     // Only an owner that watches the members gets the answers that end the doubt.
     if (wasPaused && owner.isMonitoringMembers)
-        markMembersUnverified(owner.view, turn.now);
+        markMembersUnverified(owner.view, context.now);
 }
 
-bool takesNewWork(const group_owner &owner, const member_id &member)
+bool acceptsNewStatements(const group_owner &owner, const member_id &member)
 {
     const auto known = owner.view.members.find(member);
     return known != owner.view.members.end() && !known->second.leaving
            && known->second.unverifiedSince == time_point::min();
 }
 
-void route(owner_context &turn, std::uint64_t handle)
+void routeToMember(owner_context &context, std::uint64_t handle)
 {
-    group_owner &owner = turn.owner;
-    detectPause(turn);
+    group_owner &owner = context.owner;
+    detectPause(context);
     owned_statement &statement = owner.statements.at(handle);
     routing_request request = routingRequestOf(statement.request, statement.maxAge, owner.zone);
     request.primaryOnly = statement.progress.primaryOnly;
     if (request.kind == statement_kind::Begin && !canBeginTransaction(owner)) {
         statement.unsentReason = error_kind::Overloaded;
-        park(turn, handle, turn.now + parkedRetryInterval);
+        park(context, handle, context.now + parkedRetryInterval);
         return;
     }
-    route_decision decision = routeStatement(owner.view, request, turn.now, turn.random);
-    const bool isRepeated = !decision.member
-                            && statement.route.candidates.size() == decision.candidates.size()
-                            && !statement.route.member && statement.route.reason == decision.reason;
+    route_decision decision = routeStatement(owner.view, request, context.now, context.random);
+    const bool isUnchanged =
+            !decision.member && statement.route.candidates.size() == decision.candidates.size()
+            && !statement.route.member && statement.route.reason == decision.reason;
     statement.route = std::move(decision);
     // A parked statement is routed again every few milliseconds; only a change is worth a line.
-    if (!isRepeated)
-        turn.actions.emplace_back(route_decided{ handle, statement.request.id,
-                                                 statement.request.workspace,
-                                                 statement.request.kind, statement.route });
+    if (!isUnchanged)
+        context.actions.emplace_back(route_decided{ handle, statement.request.id,
+                                                    statement.request.workspace,
+                                                    statement.request.kind, statement.route });
     if (!statement.route.member) {
         statement.unsentReason = statement.route.reason == route_reason::NoPrimary
                                          ? error_kind::NoPrimary
                                          : error_kind::NoMember;
-        park(turn, handle, turn.now + parkedRetryInterval);
+        park(context, handle, context.now + parkedRetryInterval);
         return;
     }
     const member_id member = *statement.route.member;
-    const connection_choice choice = chooseConnection(owner.pool, member, turn.now);
+    const connection_choice choice = chooseConnection(owner.pool, member, context.now);
     if (choice.step == connection_step::Use) {
-        send(turn, handle, choice.id);
+        sendOnConnection(context, handle, choice.id);
         return;
     }
     if (choice.step == connection_step::Wait) {
-        statement.place = statement_stage::Ready;
+        statement.stage = statement_stage::Ready;
         owner.ready[member].push_back(handle);
         ++owner.readyCount;
         return;
     }
     if (choice.step == connection_step::Replace)
-        drop(turn, choice.id);
-    statement.place = statement_stage::Connecting;
+        closeConnection(context, choice.id);
+    statement.stage = statement_stage::Connecting;
     statement.connection = addConnection(owner.pool, member, handle);
-    const time_point limit = turn.now + owner.limits.connectLimit;
-    turn.actions.emplace_back(open_connection{ statement.connection, member,
-                                               owner.view.members.at(member).address, limit });
+    const time_point limit = context.now + owner.limits.connectLimit;
+    context.actions.emplace_back(open_connection{ statement.connection, member,
+                                                  owner.view.members.at(member).address, limit });
 }
 
-void detachStatement(owner_context &turn, std::uint64_t handle)
+void detachStatement(owner_context &context, std::uint64_t handle)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     const owned_statement &statement = owner.statements.at(handle);
-    switch (statement.place) {
+    switch (statement.stage) {
     case statement_stage::Queued:
         removeIf(owner.queue,
                  [handle](const queued_statement &each) { return each.handle == handle; });
@@ -245,8 +245,8 @@
         std::erase_if(owner.parked, [handle](const auto &each) { return each.second == handle; });
         break;
     case statement_stage::Ready: {
-        auto &line = owner.ready[*statement.route.member];
-        owner.readyCount -= std::erase(line, handle);
+        auto &readyQueue = owner.ready[*statement.route.member];
+        owner.readyCount -= std::erase(readyQueue, handle);
         break;
     }
     case statement_stage::Connecting: {
@@ -265,7 +265,8 @@
     }
 }
 
-void follow(owner_context &turn, std::uint64_t handle, const exchange_action &action)
+void applyExchangeAction(owner_context &context, std::uint64_t handle,
+                         const exchange_action &action)
 {
     switch (action.step) {
     case exchange_step::None:
@@ -273,63 +274,65 @@
     case exchange_step::SendToMember:
     case exchange_step::AskPrimary:
     case exchange_step::RetryOnNewConnection:
-        if (action.notBefore > turn.now)
-            park(turn, handle, action.notBefore);
+        if (action.notBefore > context.now)
+            park(context, handle, action.notBefore);
         else
-            route(turn, handle);
+            routeToMember(context, handle);
         return;
     case exchange_step::WaitForConfirmation: {
-        owned_statement &statement = turn.owner.statements.at(handle);
-        statement.place = statement_stage::Confirming;
-        addPendingWrite(turn.owner.pending,
-                        { handle, statement.progress.term, statement.result.position, turn.now,
+        owned_statement &statement = context.owner.statements.at(handle);
+        statement.stage = statement_stage::Confirming;
+        addPendingWrite(context.owner.pending,
+                        { handle, statement.progress.term, statement.result.position, context.now,
                           statement.request.deadline });
-        settle(turn);
+        resolvePending(context);
         return;
     }
     case exchange_step::Answer:
         if (action.error) {
-            fail(turn, handle, *action.error, turn.owner.statements.at(handle).result.problem);
+            failStatement(context, handle, *action.error,
+                          context.owner.statements.at(handle).result.problem);
             return;
         }
-        owned_statement &statement = turn.owner.statements.at(handle);
+        owned_statement &statement = context.owner.statements.at(handle);
         statement_answer answer;
         answer.rows = std::move(statement.result.rows);
         answer.position = statement.result.position;
         answer.applied = statement.result.applied;
         answer.member = statement.progress.member;
         answer.fromReplica = statement.route.fromReplica;
-        finish(turn, handle, std::move(answer));
+        finishStatement(context, handle, std::move(answer));
         return;
     }
 }
 
-void finish(owner_context &turn, std::uint64_t handle, statement_answer answer)
+void finishStatement(owner_context &context, std::uint64_t handle, statement_answer answer)
 {
-    const auto entry = turn.owner.statements.find(handle);
-    assert(entry != turn.owner.statements.end());
-    detachStatement(turn, handle);
+    const auto entry = context.owner.statements.find(handle);
+    assert(entry != context.owner.statements.end());
+    detachStatement(context, handle);
     const statement_request &request = entry->second.request;
     answer.id = request.id;
     if (!answer.error && request.kind != statement_kind::Commit
         && request.kind != statement_kind::Rollback && !answer.transaction)
         answer.transaction = request.transaction;
-    turn.owner.deadlines.erase({ request.deadline, handle });
-    turn.owner.statements.erase(entry);
-    turn.actions.emplace_back(statement_done{ handle, std::move(answer) });
+    context.owner.deadlines.erase({ request.deadline, handle });
+    context.owner.statements.erase(entry);
+    context.actions.emplace_back(statement_done{ handle, std::move(answer) });
 }
 
-void fail(owner_context &turn, std::uint64_t handle, error_kind error, std::string problem)
+void failStatement(owner_context &context, std::uint64_t handle, error_kind error,
+                   std::string problem)
 {
     statement_answer answer;
     answer.error = error;
     answer.problem = std::move(problem);
-    finish(turn, handle, std::move(answer));
+    finishStatement(context, handle, std::move(answer));
 }
 
-void pump(owner_context &turn)
+void dispatchQueued(owner_context &context)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     // Statements that wait for a connection to one member must not keep the others in the queue,
     // but taking more of them out than there are connections would defeat the queue's order.
     while (owner.readyCount < owner.pool.limit && countFree(owner.pool) > 0
@@ -337,7 +340,7 @@
         const auto next = dequeue(owner.queue);
         if (!next)
             return;
-        route(turn, next->handle);
+        routeToMember(context, next->handle);
     }
 }
 
--- a/src/core/owner_control.cpp
+++ b/src/core/owner_control.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-control_kind kindOf(failover_step step)
+control_kind controlKindFor(failover_step step)
 {
     switch (step) {
     case failover_step::AcceptTerm:
@@ -28,87 +28,91 @@
     return control_kind::Status;
 }
 
-void callMember(owner_context &turn, const failover_action &action)
+void callMember(owner_context &context, const failover_action &action)
 {
-    const auto member = turn.owner.view.members.find(action.member);
-    if (member == turn.owner.view.members.end())
+    const auto member = context.owner.view.members.find(action.member);
+    if (member == context.owner.view.members.end())
         return;
-    control_call order;
-    order.kind = kindOf(action.step);
-    order.member = action.member;
-    order.position.term = action.term;
-    order.deadline = turn.now + action.timeout;
+    control_call request;
+    request.kind = controlKindFor(action.step);
+    request.member = action.member;
+    request.position.term = action.term;
+    request.deadline = context.now + action.timeout;
     if (action.step == failover_step::Follow) {
-        const auto primary = turn.owner.view.members.find(action.primary);
-        order.primary = action.primary;
-        if (primary != turn.owner.view.members.end())
-            order.primaryAddress = primary->second.address;
+        const auto primary = context.owner.view.members.find(action.primary);
+        request.primary = action.primary;
+        if (primary != context.owner.view.members.end())
+            request.primaryAddress = primary->second.address;
     }
     if (action.step == failover_step::Lead)
-        turn.actions.emplace_back(
+        context.actions.emplace_back(
                 owner_notice{ owner_event::PromotionStarted, action.member, action.term, {}, 0 });
-    call(turn, std::move(order));
+    sendControlRequest(context, std::move(request));
 }
 
-void perform(owner_context &turn, const failover_actions &actions)
+void performActions(owner_context &context, const failover_actions &actions)
 {
     for (const failover_action &each : actions) {
         if (each.step == failover_step::PublishView)
-            turn.actions.emplace_back(
-                    publish_to_owners{ publishView(turn.owner.view, each.suspects, turn.now) });
+            context.actions.emplace_back(publish_to_owners{
+                    publishView(context.owner.view, each.suspects, context.now) });
         else if (each.step == failover_step::Claim)
-            turn.actions.emplace_back(claim_promotion{ each.term });
+            context.actions.emplace_back(claim_promotion{ each.term });
         else
-            callMember(turn, each);
+            callMember(context, each);
     }
 }
 
-bool leads(const member_status &status, term_number term)
+bool isLeading(const member_status &status, term_number term)
 {
     return status.role == member_role::Primary && status.term == term;
 }
 
-void takeStatus(owner_context &turn, const control_call &asked, const control_answer &answer)
+void processStatus(owner_context &context, const control_call &request,
+                   const control_answer &answer)
 {
-    group_owner &owner = turn.owner;
-    const term_number term = asked.position.term;
+    group_owner &owner = context.owner;
+    const term_number term = request.position.term;
     failover_state &failover = owner.failover;
-    switch (asked.kind) {
+    switch (request.kind) {
     case control_kind::AcceptTerm:
-        perform(turn, onAcceptTerm(failover, owner.view, { answer.accepted, *answer.status }, term,
-                                   asked.sentAt, turn.now, turn.random));
+        performActions(context,
+                       onAcceptTerm(failover, owner.view, { answer.accepted, *answer.status }, term,
+                                    request.sentAt, context.now, context.random));
         return;
     case control_kind::Lead:
-        perform(turn, onStatus(failover, owner.view, *answer.status, asked.sentAt, turn.now,
-                               turn.random));
-        perform(turn, onLead(failover, owner.view, asked.member, term, leads(*answer.status, term),
-                             turn.now, turn.random));
+        performActions(context, onStatus(failover, owner.view, *answer.status, request.sentAt,
+                                         context.now, context.random));
+        performActions(context,
+                       onLead(failover, owner.view, request.member, term,
+                              isLeading(*answer.status, term), context.now, context.random));
         return;
     case control_kind::Follow:
-        perform(turn, onStatus(failover, owner.view, *answer.status, asked.sentAt, turn.now,
-                               turn.random));
-        onFollow(failover, asked.member, term, answer.status->term == term);
+        performActions(context, onStatus(failover, owner.view, *answer.status, request.sentAt,
+                                         context.now, context.random));
+        onFollow(failover, request.member, term, answer.status->term == term);
         return;
     case control_kind::Status:
     case control_kind::Wait:
-        perform(turn, onStatus(failover, owner.view, *answer.status, asked.sentAt, turn.now,
-                               turn.random));
+        performActions(context, onStatus(failover, owner.view, *answer.status, request.sentAt,
+                                         context.now, context.random));
         return;
     }
 }
 
-void takeFailure(owner_context &turn, const control_call &asked)
+void processFailure(owner_context &context, const control_call &request)
 {
-    group_owner &owner = turn.owner;
-    const bool wasSilent = turn.now >= asked.deadline;
+    group_owner &owner = context.owner;
+    const bool wasSilent = context.now >= request.deadline;
     const member_failure failure = wasSilent ? member_failure::Silence : member_failure::Refused;
-    if (asked.kind == control_kind::Status)
-        onProbeFailed(owner.failover, owner.view, asked.member, failure, turn.now, turn.random);
-    else if (asked.kind == control_kind::Lead)
-        perform(turn, onLead(owner.failover, owner.view, asked.member, asked.position.term, false,
-                             turn.now, turn.random));
-    else if (asked.kind == control_kind::Follow)
-        onFollow(owner.failover, asked.member, asked.position.term, false);
+    if (request.kind == control_kind::Status)
+        onProbeFailed(owner.failover, owner.view, request.member, failure, context.now,
+                      context.random);
+    else if (request.kind == control_kind::Lead)
+        performActions(context, onLead(owner.failover, owner.view, request.member,
+                                       request.position.term, false, context.now, context.random));
+    else if (request.kind == control_kind::Follow)
+        onFollow(owner.failover, request.member, request.position.term, false);
 }
 
 } // namespace
@@ -116,31 +120,31 @@
 void onControlAnswer(group_owner &owner, const control_answer &answer, time_point now,
                      random_engine &random, owner_actions &actions)
 {
-    owner_context turn{ owner, now, random, actions };
+    owner_context context{ owner, now, random, actions };
     const auto entry = owner.calls.find(answer.number);
     if (entry == owner.calls.end())
         return;
-    const control_call asked = entry->second;
+    const control_call request = entry->second;
     owner.calls.erase(entry);
-    if (asked.kind == control_kind::Wait)
-        onWaitEnded(owner.pending, asked.member, asked.deadline);
+    if (request.kind == control_kind::Wait)
+        onWaitEnded(owner.pending, request.member, request.deadline);
     if (answer.status)
-        takeStatus(turn, asked, answer);
+        processStatus(context, request, answer);
     else
-        takeFailure(turn, asked);
-    reportPrimary(turn);
-    settle(turn);
-    pump(turn);
+        processFailure(context, request);
+    reportPrimary(context);
+    resolvePending(context);
+    dispatchQueued(context);
 }
 
 void onPeerView(group_owner &owner, const published_view &peer, time_point now,
                 random_engine &random, owner_actions &actions)
 {
-    owner_context turn{ owner, now, random, actions };
-    perform(turn, onPeerView(owner.failover, owner.view, peer, now, random));
-    reportPrimary(turn);
-    settle(turn);
-    pump(turn);
+    owner_context context{ owner, now, random, actions };
+    performActions(context, onPeerView(owner.failover, owner.view, peer, now, random));
+    reportPrimary(context);
+    resolvePending(context);
+    dispatchQueued(context);
 }
 
 void onClaim(group_owner &owner, bool granted, time_point now)
@@ -150,8 +154,8 @@
 
 void promote(group_owner &owner, time_point now, random_engine &random, owner_actions &actions)
 {
-    owner_context turn{ owner, now, random, actions };
-    perform(turn, promoteManually(owner.failover, owner.view, now, random));
+    owner_context context{ owner, now, random, actions };
+    performActions(context, promoteManually(owner.failover, owner.view, now, random));
 }
 
 } // namespace fuchsiagw::core
@@ -160,34 +164,36 @@
 
 using namespace core;
 
-void watch(owner_context &turn)
+void monitorMembers(owner_context &context)
 {
-    group_owner &owner = turn.owner;
-    if (!owner.isMonitoringMembers || turn.now < owner.failover.lastTickAt + failoverTickInterval)
+    group_owner &owner = context.owner;
+    if (!owner.isMonitoringMembers
+        || context.now < owner.failover.lastTickAt + failoverTickInterval)
         return;
     failover_load load = makeFailoverLoad(owner.pending, owner.view, !owner.statements.empty());
-    load.wantedAge = wantedAge(owner.interest, turn.now);
-    core::perform(turn, core::onTick(owner.failover, owner.view, load, turn.now, turn.random));
-    reportPrimary(turn);
+    load.wantedAge = wantedAge(owner.interest, context.now);
+    core::performActions(
+            context, core::onTick(owner.failover, owner.view, load, context.now, context.random));
+    reportPrimary(context);
 }
 
-void call(owner_context &turn, control_call order)
+void sendControlRequest(owner_context &context, control_call request)
 {
-    order.number = turn.owner.nextCall++;
-    order.address = turn.owner.view.members.at(order.member).address;
-    order.sentAt = turn.now;
-    turn.owner.calls.emplace(order.number, order);
-    turn.actions.emplace_back(std::move(order));
+    request.number = context.owner.nextCall++;
+    request.address = context.owner.view.members.at(request.member).address;
+    request.sentAt = context.now;
+    context.owner.calls.emplace(request.number, request);
+    context.actions.emplace_back(std::move(request));
 }
 
-void reportPrimary(owner_context &turn)
+void reportPrimary(owner_context &context)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     if (owner.reportedPrimary == owner.view.primary)
         return;
     owner.reportedPrimary = owner.view.primary;
     const member_id primary = owner.view.primary.value_or(member_id{});
-    turn.actions.emplace_back(
+    context.actions.emplace_back(
             owner_notice{ owner_event::PrimaryChanged, primary, owner.view.highestTerm, {}, 0 });
 }
 
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-member_failure failureOf(bool wasSilent)
+member_failure silenceOrClosed(bool wasSilent)
 {
     return wasSilent ? member_failure::Silence : member_failure::Closed;
 }
 
-void noteFailure(owner_context &turn, const member_id &member, member_failure failure)
+void recordMemberFailure(owner_context &context, const member_id &member, member_failure failure)
 {
-    observeFailure(turn.owner.view, member, failure, turn.now, turn.random);
-    turn.actions.emplace_back(owner_notice{ owner_event::MemberFailed, member, 0, failure, 0 });
+    observeFailure(context.owner.view, member, failure, context.now, context.random);
+    context.actions.emplace_back(owner_notice{ owner_event::MemberFailed, member, 0, failure, 0 });
 }
 
-answer_verdict checkStatementAnswer(owner_context &turn, const owned_statement &statement,
+answer_verdict checkStatementAnswer(owner_context &context, const owned_statement &statement,
                                     const execute_answer &answer)
 {
     if (answer.id != statement.progress.attempt)
@@ -32,13 +32,13 @@
     if (answer.status != execute_status::Ok || statement.request.kind != statement_kind::Read)
         return answer_verdict::Accept;
     const routing_request request =
-            routingRequestOf(statement.request, statement.maxAge, turn.owner.zone);
-    return checkAnswer(turn.owner.view, request, statement.progress.attempt, answer,
-                       statement.route.fromReplica, turn.now);
+            routingRequestOf(statement.request, statement.maxAge, context.owner.zone);
+    return checkAnswer(context.owner.view, request, statement.progress.attempt, answer,
+                       statement.route.fromReplica, context.now);
 }
 
 /// The statement that was sent on a connection; nothing if it has ended meanwhile.
-std::optional<std::uint64_t> sentOn(const group_owner &owner, connection_id id)
+std::optional<std::uint64_t> findSentStatement(const group_owner &owner, connection_id id)
 {
     const auto connection = owner.pool.connections.find(id);
     if (connection == owner.pool.connections.end() || connection->second.statement == 0)
@@ -55,13 +55,13 @@
 /// Without a usable session no position tells whether the answer is new enough. It is, if a
 /// majority had not accepted a later term when the read was sent: then no other primary can have
 /// acknowledged a write before.
-bool needsProof(const statement_request &request, const execute_answer &answer)
+bool needsMajorityCheck(const statement_request &request, const execute_answer &answer)
 {
     return request.sessionUnusable && request.kind == statement_kind::Read
            && answer.status == execute_status::Ok;
 }
 
-bool isProven(const group_view &view, const owned_statement &read)
+bool isMajorityConfirmed(const group_view &view, const owned_statement &read)
 {
     const auto count =
             std::count_if(view.members.begin(), view.members.end(), [&read](const auto &each) {
@@ -71,120 +71,121 @@
     return static_cast<std::size_t>(count) >= majorityOf(view.members.size());
 }
 
-void askForProof(owner_context &turn, const member_id &except)
+void requestMajorityCheck(owner_context &context, const member_id &except)
 {
-    for (const auto &[id, member] : turn.owner.view.members) {
+    for (const auto &[id, member] : context.owner.view.members) {
         if (id == except)
             continue;
-        control_call order;
-        order.kind = control_kind::Status;
-        order.member = id;
-        order.deadline = turn.now + probeTimeout;
-        call(turn, std::move(order));
+        control_call request;
+        request.kind = control_kind::Status;
+        request.member = id;
+        request.deadline = context.now + probeTimeout;
+        sendControlRequest(context, std::move(request));
     }
 }
 
 /// The transaction of a member that was replaced can't be committed any more.
-void loseTransaction(owner_context &turn, std::uint64_t handle, std::uint64_t number)
+void failLostTransaction(owner_context &context, std::uint64_t handle, std::uint64_t number)
 {
-    const auto transaction = turn.owner.transactions.find(number);
-    if (transaction != turn.owner.transactions.end() && !transaction->second.isBusy)
-        drop(turn, transaction->second.connection);
-    fail(turn, handle, error_kind::TransactionLost);
+    const auto transaction = context.owner.transactions.find(number);
+    if (transaction != context.owner.transactions.end() && !transaction->second.isBusy)
+        closeConnection(context, transaction->second.connection);
+    failStatement(context, handle, error_kind::TransactionLost);
 }
 
 /// Ends the reads whose proof has come, and asks again for the others.
-void settleReads(owner_context &turn)
+void resolveReads(owner_context &context)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     std::vector<std::uint64_t> decided;
-    for (auto &[handle, askAt] : owner.readsAwaitingMajority) {
+    for (auto &[handle, nextCheckAt] : owner.readsAwaitingMajority) {
         const owned_statement &read = owner.statements.at(handle);
         const bool isReplaced =
                 owner.view.highestTerm > read.progress.term && owner.view.primary.has_value();
-        if (isReplaced || isProven(owner.view, read)) {
+        if (isReplaced || isMajorityConfirmed(owner.view, read)) {
             decided.push_back(handle);
-        } else if (turn.now >= askAt) {
-            askAt = turn.now + majorityCheckInterval;
-            askForProof(turn, read.progress.member);
+        } else if (context.now >= nextCheckAt) {
+            nextCheckAt = context.now + majorityCheckInterval;
+            requestMajorityCheck(context, read.progress.member);
         }
     }
     for (const std::uint64_t handle : decided) {
         owned_statement &read = owner.statements.at(handle);
         owner.readsAwaitingMajority.erase(handle);
-        if (isProven(owner.view, read))
-            follow(turn, handle, onConfirmed(read.progress));
+        if (isMajorityConfirmed(owner.view, read))
+            applyExchangeAction(context, handle, onConfirmed(read.progress));
         else if (read.request.transaction)
-            loseTransaction(turn, handle, read.request.transaction->number);
+            failLostTransaction(context, handle, read.request.transaction->number);
         else
-            follow(turn, handle, onSuperseded(read.progress, turn.now));
+            applyExchangeAction(context, handle, onSuperseded(read.progress, context.now));
     }
 }
 
-void takeAnswer(owner_context &turn, std::uint64_t handle, connection_id id,
-                const execute_answer &answer)
+void processAnswer(owner_context &context, std::uint64_t handle, connection_id id,
+                   const execute_answer &answer)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     owned_statement &statement = owner.statements.at(handle);
-    const answer_verdict verdict = checkStatementAnswer(turn, statement, answer);
+    const answer_verdict verdict = checkStatementAnswer(context, statement, answer);
     if (verdict == answer_verdict::Drop) {
-        turn.actions.emplace_back(
+        context.actions.emplace_back(
                 owner_notice{ owner_event::ForeignAnswer, statement.progress.member, 0, {}, 0 });
     } else {
         observeAnswer(owner.view, statement.progress.member, answer, statement.progress.term,
-                      statement.sentAt, turn.now);
-        reportPrimary(turn);
-        recordService(owner.meter, turn.now - statement.sentAt);
+                      statement.sentAt, context.now);
+        reportPrimary(context);
+        recordService(owner.meter, context.now - statement.sentAt);
     }
     if (verdict == answer_verdict::AskPrimaryAge)
-        noteFailure(turn, statement.progress.member, member_failure::FarBehind);
-    const exchange_action action = onAnswer(statement.progress, answer, verdict, turn.now);
-    const bool isOwn = verdict != answer_verdict::Drop;
-    if (isOwn)
+        recordMemberFailure(context, statement.progress.member, member_failure::FarBehind);
+    const exchange_action action = onAnswer(statement.progress, answer, verdict, context.now);
+    const bool isMatching = verdict != answer_verdict::Drop;
+    if (isMatching)
         statement.result = answer;
 
-    const bool succeeded = isOwn && answer.status == execute_status::Ok;
+    const bool succeeded = isMatching && answer.status == execute_status::Ok;
     const bool ended = action.step == exchange_step::Answer
                        || action.step == exchange_step::WaitForConfirmation;
     std::optional<std::uint64_t> begun;
     if (ended || action.closeConnection)
-        begun = finishTransactionStatement(turn, statement, id, succeeded && !action.error);
+        begun = finishTransactionStatement(context, statement, id, succeeded && !action.error);
     if (action.closeConnection)
-        drop(turn, id);
+        closeConnection(context, id);
     else if (!begun && owner.pool.connections.count(id) != 0)
-        release(turn, id);
+        releaseConnection(context, id);
     if (begun && statement.request.kind == statement_kind::Begin) {
         statement_answer done;
         done.member = statement.progress.member;
         done.applied = answer.applied;
         done.transaction = transaction_id{ owner.incarnation, *begun };
-        finish(turn, handle, std::move(done));
+        finishStatement(context, handle, std::move(done));
         return;
     }
-    if (verdict == answer_verdict::Accept && needsProof(statement.request, answer)) {
+    if (verdict == answer_verdict::Accept && needsMajorityCheck(statement.request, answer)) {
         statement.progress.state = exchange_state::Waiting;
-        statement.place = statement_stage::Confirming;
-        owner.readsAwaitingMajority.emplace(handle, turn.now);
+        statement.stage = statement_stage::Confirming;
+        owner.readsAwaitingMajority.emplace(handle, context.now);
         return; // the caller settles
     }
-    follow(turn, handle, action);
+    applyExchangeAction(context, handle, action);
 }
 
-void loseConnection(owner_context &turn, std::uint64_t handle, connection_id id, bool wasSent)
+void handleConnectionLoss(owner_context &context, std::uint64_t handle, connection_id id,
+                          bool wasSent)
 {
-    owned_statement &statement = turn.owner.statements.at(handle);
-    finishTransactionStatement(turn, statement, id, false);
-    drop(turn, id);
+    owned_statement &statement = context.owner.statements.at(handle);
+    finishTransactionStatement(context, statement, id, false);
+    closeConnection(context, id);
     exchange_action action;
     if (wasSent) {
-        action = onConnectionLost(statement.progress, turn.now);
+        action = onConnectionLost(statement.progress, context.now);
     } else {
         // onSent() was called before the bytes were handed over, and none of them left.
         statement.progress.state = exchange_state::Queued;
         --statement.progress.unresolved;
-        action = onNotSent(statement.progress, turn.now);
+        action = onNotSent(statement.progress, context.now);
     }
-    follow(turn, handle, action);
+    applyExchangeAction(context, handle, action);
 }
 
 } // namespace
@@ -192,7 +193,7 @@
 void onConnected(group_owner &owner, connection_id id, bool isOpen, time_point now,
                  random_engine &random, owner_actions &actions)
 {
-    owner_context turn{ owner, now, random, actions };
+    owner_context context{ owner, now, random, actions };
     const auto entry = owner.pool.connections.find(id);
     if (entry == owner.pool.connections.end())
         return;
@@ -200,59 +201,59 @@
     const member_id member = entry->second.member;
     const auto statement = owner.statements.find(handle);
     const bool isAwaited = statement != owner.statements.end()
-                           && statement->second.place == statement_stage::Connecting;
+                           && statement->second.stage == statement_stage::Connecting;
     entry->second.state = connection_state::Idle;
     entry->second.statement = 0;
-    detectPause(turn);
+    detectPause(context);
     if (!isOpen) {
-        noteFailure(turn, member, member_failure::Refused);
+        recordMemberFailure(context, member, member_failure::Refused);
         owner.pool.connections.erase(entry);
         if (isAwaited)
-            follow(turn, handle, onNotSent(statement->second.progress, now));
+            applyExchangeAction(context, handle, onNotSent(statement->second.progress, now));
     } else if (isAwaited && owner.pool.connections.size() <= owner.pool.limit
-               && takesNewWork(owner, member)) {
-        send(turn, handle, id);
+               && acceptsNewStatements(owner, member)) {
+        sendOnConnection(context, handle, id);
     } else {
-        release(turn, id);
+        releaseConnection(context, id);
         if (isAwaited)
-            follow(turn, handle, onNotSent(statement->second.progress, now));
+            applyExchangeAction(context, handle, onNotSent(statement->second.progress, now));
     }
-    pump(turn);
+    dispatchQueued(context);
 }
 
 void onExecuted(group_owner &owner, connection_id id, const std::optional<execute_answer> &answer,
                 bool wasSent, bool wasSilent, time_point now, random_engine &random,
                 owner_actions &actions)
 {
-    owner_context turn{ owner, now, random, actions };
+    owner_context context{ owner, now, random, actions };
     const auto entry = owner.pool.connections.find(id);
     if (entry == owner.pool.connections.end())
         return;
     const member_id member = entry->second.member;
-    const auto handle = sentOn(owner, id);
+    const auto handle = findSentStatement(owner, id);
     if (!answer && wasSent)
-        noteFailure(turn, member, failureOf(wasSilent));
+        recordMemberFailure(context, member, silenceOrClosed(wasSilent));
     if (!handle)
-        drop(turn, id);
+        closeConnection(context, id);
     else if (answer)
-        takeAnswer(turn, *handle, id, *answer);
+        processAnswer(context, *handle, id, *answer);
     else
-        loseConnection(turn, *handle, id, wasSent);
-    detail::settle(turn);
-    pump(turn);
+        handleConnectionLoss(context, *handle, id, wasSent);
+    detail::resolvePending(context);
+    dispatchQueued(context);
 }
 
 void onConnectionClosed(group_owner &owner, connection_id id, time_point now, random_engine &random,
                         owner_actions &actions)
 {
-    owner_context turn{ owner, now, random, actions };
+    owner_context context{ owner, now, random, actions };
     const auto entry = owner.pool.connections.find(id);
     if (entry == owner.pool.connections.end())
         return;
-    noteFailure(turn, entry->second.member, member_failure::Closed);
+    recordMemberFailure(context, entry->second.member, member_failure::Closed);
     owner.transactions.erase(entry->second.transaction);
-    drop(turn, id);
-    pump(turn);
+    closeConnection(context, id);
+    dispatchQueued(context);
 }
 
 } // namespace fuchsiagw::core
@@ -261,18 +262,18 @@
 
 using namespace core;
 
-void send(owner_context &turn, std::uint64_t handle, connection_id id)
+void sendOnConnection(owner_context &context, std::uint64_t handle, connection_id id)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     owned_statement &statement = owner.statements.at(handle);
     pooled_connection &connection = owner.pool.connections.at(id);
     assert(connection.state != connection_state::Busy
            && connection.state != connection_state::Opening);
-    const request_id attempt{ turn.random(), turn.random() };
+    const request_id attempt{ context.random(), context.random() };
     onSent(statement.progress, attempt, connection.member, statement.route.term);
-    statement.place = statement_stage::Sent;
+    statement.stage = statement_stage::Sent;
     statement.connection = id;
-    statement.sentAt = turn.now;
+    statement.sentAt = context.now;
     connection.state = connection_state::Busy;
     connection.statement = handle;
     ++owner.view.members.at(connection.member).inFlight;
@@ -286,8 +287,8 @@
     request.parameters = statement.request.parameters;
     request.idempotencyKey = statement.request.idempotencyKey;
     const time_point limit =
-            std::min(statement.request.deadline, turn.now + owner.limits.answerLimit);
-    turn.actions.emplace_back(send_statement{ id, std::move(request), limit });
+            std::min(statement.request.deadline, context.now + owner.limits.answerLimit);
+    context.actions.emplace_back(send_statement{ id, std::move(request), limit });
 }
 
 void endMemberExchange(group_owner &owner, const pooled_connection &connection)
@@ -297,28 +298,28 @@
         --member->second.inFlight;
 }
 
-void release(owner_context &turn, connection_id id)
+void releaseConnection(owner_context &context, connection_id id)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     pooled_connection &connection = owner.pool.connections.at(id);
     endMemberExchange(owner, connection);
     connection.state = connection_state::Idle;
     connection.statement = 0;
-    connection.idleSince = turn.now;
+    connection.idleSince = context.now;
     if (owner.pool.connections.size() > owner.pool.limit) {
-        drop(turn, id);
+        closeConnection(context, id);
         return;
     }
-    auto &line = owner.ready[connection.member];
-    if (!line.empty()) {
-        const std::uint64_t next = line.front();
-        line.pop_front();
+    auto &readyQueue = owner.ready[connection.member];
+    if (!readyQueue.empty()) {
+        const std::uint64_t next = readyQueue.front();
+        readyQueue.pop_front();
         --owner.readyCount;
-        detectPause(turn);
-        if (takesNewWork(owner, connection.member))
-            send(turn, next, id);
+        detectPause(context);
+        if (acceptsNewStatements(owner, connection.member))
+            sendOnConnection(context, next, id);
         else
-            route(turn, next);
+            routeToMember(context, next);
         return;
     }
     // Statements for a member without any connection may wait for this one to be given up.
@@ -328,48 +329,48 @@
         const std::uint64_t next = waiting.front();
         waiting.pop_front();
         --owner.readyCount;
-        route(turn, next);
+        routeToMember(context, next);
         return;
     }
 }
 
-void drop(owner_context &turn, connection_id id)
+void closeConnection(owner_context &context, connection_id id)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     const auto entry = owner.pool.connections.find(id);
     if (entry == owner.pool.connections.end())
         return;
     endMemberExchange(owner, entry->second);
     owner.transactions.erase(entry->second.transaction);
     owner.pool.connections.erase(entry);
-    turn.actions.emplace_back(close_connection{ id });
+    context.actions.emplace_back(close_connection{ id });
 }
 
-void settle(owner_context &turn)
+void resolvePending(owner_context &context)
 {
-    group_owner &owner = turn.owner;
-    settleReads(turn);
+    group_owner &owner = context.owner;
+    resolveReads(context);
     for (const settled_write &each :
-         settleWrites(owner.pending, owner.view, owner.policy, turn.now)) {
+         settleWrites(owner.pending, owner.view, owner.policy, context.now)) {
         const auto entry = owner.statements.find(each.number);
         if (entry == owner.statements.end())
             continue;
         exchange &progress = entry->second.progress;
         if (each.fate == write_fate::Acknowledged)
-            follow(turn, each.number, onConfirmed(progress));
+            applyExchangeAction(context, each.number, onConfirmed(progress));
         else if (each.fate == write_fate::Superseded)
-            follow(turn, each.number, onSuperseded(progress, turn.now));
+            applyExchangeAction(context, each.number, onSuperseded(progress, context.now));
         else
-            follow(turn, each.number, onNotConfirmed(progress));
+            applyExchangeAction(context, each.number, onNotConfirmed(progress));
     }
-    for (const wait_request &each : openWaits(owner.pending, owner.view, turn.now)) {
-        control_call order;
-        order.kind = control_kind::Wait;
-        order.member = each.member;
-        order.position = each.position;
-        order.held = each.held;
-        order.deadline = each.deadline;
-        call(turn, std::move(order));
+    for (const wait_request &each : openWaits(owner.pending, owner.view, context.now)) {
+        control_call request;
+        request.kind = control_kind::Wait;
+        request.member = each.member;
+        request.position = each.position;
+        request.held = each.held;
+        request.deadline = each.deadline;
+        sendControlRequest(context, std::move(request));
     }
 }
 
--- a/src/core/owner_transaction.cpp
+++ b/src/core/owner_transaction.cpp
@@ -25,23 +25,23 @@
 
 } // namespace
 
-void startTransactionStatement(owner_context &turn, std::uint64_t handle)
+void startTransactionStatement(owner_context &context, std::uint64_t handle)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     owned_statement &statement = owner.statements.at(handle);
     const transaction_id id = *statement.request.transaction;
     const auto entry = owner.transactions.find(id.number);
     if (id.owner != owner.incarnation || entry == owner.transactions.end()) {
-        fail(turn, handle, error_kind::TransactionUnknown);
+        failStatement(context, handle, error_kind::TransactionUnknown);
         return;
     }
     owned_transaction &transaction = entry->second;
     if (transaction.workspace != statement.request.workspace) {
-        fail(turn, handle, error_kind::TransactionForeign);
+        failStatement(context, handle, error_kind::TransactionForeign);
         return;
     }
     if (transaction.isBusy) {
-        fail(turn, handle, error_kind::TransactionBusy);
+        failStatement(context, handle, error_kind::TransactionBusy);
         return;
     }
     transaction.isBusy = true;
@@ -50,21 +50,21 @@
     statement.route.reason = route_reason::PrimaryRequired;
     statement.route.term = transaction.term;
     statement.route.fromReplica = false;
-    turn.actions.emplace_back(route_decided{ handle, statement.request.id,
-                                             statement.request.workspace, statement.request.kind,
-                                             statement.route });
-    send(turn, handle, transaction.connection);
+    context.actions.emplace_back(route_decided{ handle, statement.request.id,
+                                                statement.request.workspace, statement.request.kind,
+                                                statement.route });
+    sendOnConnection(context, handle, transaction.connection);
 }
 
-std::optional<std::uint64_t> finishTransactionStatement(owner_context &turn,
+std::optional<std::uint64_t> finishTransactionStatement(owner_context &context,
                                                         const owned_statement &statement,
                                                         connection_id id, bool succeeded)
 {
-    group_owner &owner = turn.owner;
+    group_owner &owner = context.owner;
     const auto connection = owner.pool.connections.find(id);
     if (connection == owner.pool.connections.end())
         return std::nullopt;
-    const time_point idleUntil = turn.now + owner.limits.transactionIdleTimeout;
+    const time_point idleUntil = context.now + owner.limits.transactionIdleTimeout;
     if (startsTransaction(statement.request)) {
         if (!succeeded)
             return std::nullopt;
@@ -79,13 +79,13 @@
     const auto transaction = owner.transactions.find(number);
     if (transaction == owner.transactions.end())
         return std::nullopt;
-    const bool goesOn = succeeded && !endsTransaction(statement.request);
-    if (!goesOn) {
+    const bool continues = succeeded && !endsTransaction(statement.request);
+    if (!continues) {
         owner.transactions.erase(transaction);
         connection->second.transaction = 0;
         // What is left of a transaction that failed is rolled back with its connection.
         if (!succeeded)
-            drop(turn, id);
+            closeConnection(context, id);
         return std::nullopt;
     }
     assert(transaction->second.connection == id);
@@ -97,15 +97,15 @@
     return number;
 }
 
-void rollBackIdleTransactions(owner_context &turn)
+void rollBackIdleTransactions(owner_context &context)
 {
     std::vector<connection_id> overdue;
-    for (const auto &[number, transaction] : turn.owner.transactions) {
-        if (!transaction.isBusy && transaction.idleUntil <= turn.now)
+    for (const auto &[number, transaction] : context.owner.transactions) {
+        if (!transaction.isBusy && transaction.idleUntil <= context.now)
             overdue.push_back(transaction.connection);
     }
     for (const connection_id id : overdue)
-        drop(turn, id);
+        closeConnection(context, id);
 }
 
 } // namespace fuchsiagw::detail
--- a/tests/unit-failover.cpp
+++ b/tests/unit-failover.cpp
@@ -179,7 +179,7 @@
         for (const auto &each : onTick(state, view, load, now, random))
             CHECK_TRUE(each.step != failover_step::Lead || each.member == member_id{ "b" });
     }
-    CHECK_TRUE(state.suspected == member_id{ "b" });
+    CHECK_TRUE(state.suspectedPrimary == member_id{ "b" });
     CHECK_TRUE(!state.attempt || state.attempt->term > asked);
 }
 
