--- a/include/fuchsiagw/core/failover.hpp
+++ b/include/fuchsiagw/core/failover.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// @brief When and how the primary of a group is replaced.
+/// @brief Failure detection and promotion of a new primary in a database group.
 ///
-/// Safety rests on the members alone: a member grants a term once, a promotion needs grants of a
-/// majority, and a promoter sends `lead` for a term to one member only. Everything else in this
-/// file (probes, ranks, peers' views, the claim in the platform's table) only decides how soon and
-/// how seldom a promotion starts. docs/failover.md explains the times.
+/// Safety depends on the members alone: a member grants a term once, a promotion needs the grants
+/// of a majority, and an owner sends `lead` for a term to one member only. The rest of this file
+/// (probes, ranks, the views of peers, the claim in the platform's table) only affects when and how
+/// often promotions start. docs/failover.md explains the timing constants.
 
 #pragma once
 
@@ -23,70 +23,81 @@
 
 namespace fuchsiagw::core {
 
-/// Longest time between two calls of onTick().
+/// Maximum time between two calls of onTick().
 inline constexpr duration failoverTickInterval = std::chrono::milliseconds(25);
-/// A longer gap between ticks means that the owner itself was stopped: silence seen across it says
-/// nothing about the members.
+/// A longer gap between two ticks means that the owner's process was paused. Silence of a member
+/// across such a gap is no evidence of a failure.
 inline constexpr duration ownerPauseThreshold = std::chrono::milliseconds(250);
 
-/// Silence of the primary after which it is probed while the group has work.
+/// Silence after which the primary is probed while the group has work (failover_load::hasWork).
 inline constexpr duration primaryProbeAfterSilence = std::chrono::milliseconds(100);
-/// Time between probes of a silent primary. Probes overlap, so that a primary which answers slowly
-/// is still heard at this rate.
+/// Interval between probes of a silent primary. A new probe is sent before the previous one is
+/// answered, so that a slow primary is still heard from at this rate.
 inline constexpr duration suspectProbeInterval = std::chrono::milliseconds(75);
-/// Silence after which a replica, or the primary of a group without work, is probed. An owner of 20
-/// idle groups of 3 members then sends 60 probes/s at most.
+/// Silence after which a replica, or the primary of a group without work, is probed. It limits an
+/// owner of 20 idle groups of 3 members to 60 probes/s.
 inline constexpr duration idleProbeAfterSilence = std::chrono::seconds(1);
-/// Silence after which a replica is probed while the group has work, to keep its position fresh.
+/// Silence after which a replica is probed while the group has work, so that its known log position
+/// stays recent.
 inline constexpr duration replicaProbeAfterSilence = std::chrono::milliseconds(250);
-/// Each member is heard three times within the age that reads accept, so that neither the samples
-/// nor their confirmation use up the age, but not more often than this.
+/// Lower bound of the probe interval that the maximum age of reads demands. The interval is a third
+/// of that age, because taking a sample of the primary and confirming it by a majority each use a
+/// part of the age.
 inline constexpr duration minFreshProbeInterval = std::chrono::milliseconds(50);
-/// When a probe counts as unanswered for the connection that carried it.
+/// Timeout of a single probe request on its connection.
 inline constexpr duration probeTimeout = std::chrono::seconds(1);
 
-/// Silence from the first unanswered probe to suspicion. With probes each 75 ms, four are lost
-/// before that; at 5 % loss each way that happens about once in 10,000 silences.
+/// Time from the first unanswered probe to suspicion of the primary. At a probe interval of 75 ms,
+/// four probes are lost within this time; with a packet loss of 5 % in each direction that happens
+/// by chance about once in 10,000 periods of silence.
 inline constexpr duration suspectAfter = std::chrono::milliseconds(300);
-/// Refused connections over this time also lead to suspicion: the process is gone.
+/// The primary is also suspected if it refuses connections for this long, because its process has
+/// then ended.
 inline constexpr duration suspectAfterRefused = std::chrono::milliseconds(150);
 inline constexpr std::uint32_t probesBeforeSuspicion = 3;
-/// Hysteresis: each promotion in the last promotionHistoryWindow doubles the patience, up to this
-/// factor.
+/// Hysteresis: each change of the primary within promotionHistoryWindow doubles the timeouts of
+/// failure detection, up to this factor.
 inline constexpr std::int64_t maxTimeoutFactor = 4;
 inline constexpr duration promotionHistoryWindow = std::chrono::seconds(30);
 
-/// Writes that no member confirms for this long (and for twice the usual delay of a confirmation)
-/// lead to the replacement of a primary that is cut off from its group.
+/// A primary whose writes are confirmed by no member for this long, and for twice the usual
+/// confirmation delay, is treated as partitioned from its group and replaced.
 inline constexpr duration unconfirmedTimeout = std::chrono::milliseconds(500);
-/// A member heard within this time counts as reachable.
+/// A member that has answered within this time counts as reachable.
 inline constexpr duration reachabilityWindow = std::chrono::milliseconds(300);
 
-/// Time without any primary of the highest term after which an owner starts a promotion itself. A
-/// rival that is at work needs some 20 ms, or 100 ms when a message is lost.
+/// Time without a primary for the highest term after which an owner starts a promotion itself. A
+/// promotion by another owner takes about 20 ms, or 100 ms if a message is lost.
 inline constexpr duration noPrimaryTimeout = std::chrono::milliseconds(150);
-/// The same after this owner has started or was stopped: it has to hear members and peers first.
+/// Minimum time between the start or resumption of this owner and a promotion for lack of a
+/// primary. The owner needs answers from members and peers first.
 inline constexpr duration startupGracePeriod = std::chrono::milliseconds(500);
-/// Each rank starts later by this time, so that the first usually finishes alone.
+/// Start delay per rank, so that the owner of the lowest rank usually finishes before another one
+/// starts.
 inline constexpr duration staggerPerRank = std::chrono::milliseconds(50);
 inline constexpr duration staggerJitter = std::chrono::milliseconds(20);
-/// Postponement by a rival's claim. The claim is advisory and never stops a promotion for longer.
+/// Delay of a promotion when another owner holds the claim. The claim is advisory and delays a
+/// promotion by no more than this.
 inline constexpr duration rivalClaimDelay = std::chrono::milliseconds(150);
 
-/// Answer time allowed for accept_term and lead; doubles with each failed attempt in a row.
+/// Timeout of accept_term and lead. The timeout of accept_term doubles with each consecutive failed
+/// attempt.
 inline constexpr duration attemptTimeout = std::chrono::milliseconds(60);
 inline constexpr duration maxAttemptTimeout = std::chrono::milliseconds(500);
 inline constexpr std::uint32_t maxLeadAttempts = 3;
 
-/// A member that should follow but does not grow is told again after this time.
+/// A replica whose log is behind the primary and does not advance for this long is sent `follow`
+/// again.
 inline constexpr duration replicationStallTimeout = std::chrono::milliseconds(250);
-/// Owners that did not promote leave it to the promoter to tell members for this long.
+/// Owners that did not run the promotion wait this long before they send `accept_term` and `follow`
+/// to members that are still under an older term.
 inline constexpr duration followTakeoverDelay = std::chrono::milliseconds(300);
 inline constexpr duration followRetryInterval = std::chrono::milliseconds(100);
 inline constexpr duration maxFollowRetryInterval = std::chrono::seconds(2);
-/// A stale member is told only if it was heard within this time; otherwise probes look for it.
+/// A member under an older term is sent requests only if it has answered within this time. Until
+/// then it is only probed.
 inline constexpr duration followReachabilityWindow = std::chrono::seconds(1);
-/// A promotion by hand is repeated for this long.
+/// Time for which a promotion ordered by an operator is retried.
 inline constexpr duration manualPromotionTimeout = std::chrono::seconds(5);
 
 /// Low bits of a term number that hold the promoter's rank.
@@ -98,7 +109,7 @@
     Lead, ///< `POST /lead`, then onLead()
     Follow, ///< `POST /follow` with `primary`, then onFollow()
     PublishView, ///< publishView() to the group's other owners
-    Claim, ///< advisory claim in the platform's table, then onClaim()
+    Claim, ///< write the advisory claim into the platform's table, then onClaim()
 };
 
 inline constexpr std::array<std::string_view, 6> failoverStepNames{ "probe",        "accept_term",
@@ -126,13 +137,14 @@
     member_id member; ///< empty for PublishView and Claim
     term_number term = 0;
     member_id primary; ///< only for Follow
-    duration timeout = probeTimeout; ///< of the request; only a failed probe must be reported
+    duration timeout =
+            probeTimeout; ///< of the request; of failed requests only probes need to be reported
     bool suspects = false; ///< only for PublishView
 };
 
 using failover_actions = std::vector<failover_action>;
 
-/// What the owner's own traffic says about the group.
+/// Input from the owner's own traffic with the group.
 struct failover_load
 {
     bool hasWork = false; ///< statements are queued, in flight or unconfirmed
@@ -141,34 +153,35 @@
     duration wantedAge = duration::zero(); ///< see wantedAge() of read_age.hpp; zero: no reads
 };
 
-/// @return the load of an owner
+/// @return the load of an owner, with failover_load::wantedAge left at zero
 /// @param hasStatements statements are queued or in flight
 [[nodiscard]] failover_load makeFailoverLoad(const pending_writes &pending, const group_view &view,
                                              bool hasStatements);
 
-/// A promotion under way. Invariant: `lead` for `term` is only ever sent to `chosen`.
+/// A promotion in progress. Invariant: `lead` for `term` is sent to `chosen` only.
 struct promotion_attempt
 {
     term_number term = 0;
     failover_cause cause = failover_cause::Silence;
-    std::optional<member_id> excluded; ///< not to be chosen if a majority exists without it
+    std::optional<member_id>
+            excluded; ///< not chosen if the other members that granted the term form a majority
     std::optional<member_id> preferred; ///< chosen among members with equal positions
-    std::map<member_id, member_status> grants; ///< as granted
+    std::map<member_id, member_status> grants; ///< the status that each member sent with its grant
     std::optional<member_id> chosen;
     std::uint32_t leadAttempts = 0;
-    time_point deadline; ///< of the present step
+    time_point deadline; ///< of the current step (accept_term or lead)
     time_point startedAt;
 };
 
 struct probe_schedule
 {
     time_point lastSentAt = time_point::min();
-    std::uint32_t unanswered = 0; ///< since the member was last heard
+    std::uint32_t unanswered = 0; ///< probes since the member's last answer
 };
 
 struct follow_task
 {
-    term_number term = 0; ///< term that the rest of the task is about
+    term_number term = 0; ///< the term of the primary to follow; the other members belong to it
     bool isPromoter = false; ///< this owner has promoted the primary
     bool isConfirmed = false; ///< the member has answered to /follow
     std::uint32_t attempts = 0;
@@ -178,91 +191,95 @@
 /// Failover state of one owner for one group. The first block is set by the caller.
 struct failover_state
 {
-    std::uint8_t rank = 0; ///< unique among the owners as far as possible, lowest starts first
-    bool promotes = true; ///< switch `promotion`
-    bool probes = true; ///< switch `probing`: replicas that failed are probed for their return
+    std::uint8_t rank = 0; ///< unique among the owners where possible; the lowest starts first
+    bool promotes = true; ///< setting `promotion`
+    bool probes = true; ///< setting `probing`: whether failed replicas are probed for recovery
     acknowledgement_policy policy = acknowledgement_policy::Majority;
 
     std::optional<promotion_attempt> attempt;
-    std::optional<failover_cause> suspicion; ///< a cause holds, the stagger is running
-    time_point attemptStartAt = noDeadline; ///< when the suspicion becomes an attempt
-    time_point earliestAttemptAt = time_point::min(); ///< no attempt before, set after a failed one
-    bool isPostponedByClaim = false; ///< by a rival's claim, once for each suspicion
+    std::optional<failover_cause>
+            suspicion; ///< reason to replace the primary; set while the start delay runs
+    time_point attemptStartAt = noDeadline; ///< when the suspicion turns into an attempt
+    time_point earliestAttemptAt = time_point::min(); ///< set after a failed attempt
+    bool isPostponedByClaim = false; ///< happens at most once per suspicion
     time_point silentSince = noDeadline; ///< first unanswered probe of the primary
     time_point refusedSince = noDeadline; ///< first refused connection to it
-    time_point lastHeardByPeer = time_point::min(); ///< newest time at which a peer heard it
+    time_point lastHeardByPeer =
+            time_point::min(); ///< newest time at which a peer heard from the primary
     time_point lastTickAt = time_point::min();
     time_point lastPublishedAt = time_point::min();
     time_point resumedAt = time_point::min();
     time_point manualPromotionDeadline = time_point::min();
-    std::optional<member_id> preferred; ///< named with the newest promotion by hand
-    term_number highestAttemptedTerm = 0; ///< highest term of an own attempt
-    std::uint32_t failedAttempts = 0; ///< in a row
+    std::optional<member_id> preferred; ///< member named by the operator's last promotion
+    term_number highestAttemptedTerm = 0; ///< highest term of an attempt by this owner
+    std::uint32_t failedAttempts = 0; ///< consecutive
     std::vector<time_point> promotions; ///< changes of primary within promotionHistoryWindow
-    std::optional<member_id> suspectedPrimary; ///< primary that the next attempt passes over
-    term_number lastPrimaryTerm = 0; ///< term of the primary seen last
+    std::optional<member_id> suspectedPrimary; ///< primary that the next attempt excludes
+    term_number lastPrimaryTerm = 0; ///< term of the last known primary
     std::map<member_id, probe_schedule> probeSchedules;
     std::map<member_id, follow_task> followTasks;
 };
 
-/// @return the lowest term of @p rank that is above @p highest
+/// @return the lowest term that carries @p rank and is above @p highest
 /// @complexity constant
 [[nodiscard]] term_number nextTerm(term_number highest, std::uint8_t rank);
 
 /// @brief Selects the member to promote among those that granted a term.
 ///
-/// It is the one with the greatest last position, which holds every write that a majority held.
-/// @param isFinal no further grants are expected: the excluded member is passed over only if the
-/// others are a majority; otherwise wait until they are
-/// @return nothing while there is no majority, or, under known_position, while no granting member
-/// holds the highest acknowledged position
+/// Selects the greatest last position: as a majority has granted the term, that log contains every
+/// write that a majority held.
+/// @param isFinal whether no further grants are expected. If true, the excluded member is eligible
+/// unless the other members form a majority; if false, nothing is selected until they do.
+/// @return nothing if there is no majority or, under known_position, if no granting member holds
+/// the highest acknowledged position
 /// @complexity linear in the number of members
 [[nodiscard]] std::optional<member_id> choosePrimary(const promotion_attempt &attempt,
                                                      const group_view &view,
                                                      acknowledgement_policy policy, bool isFinal);
 
-/// @brief Does what is due. Called at least each failoverTickInterval, and at once when a member or
-/// the list says that the primary is leaving.
+/// @brief Runs the due steps: probes, detection, promotion and follow requests. Called at least
+/// every failoverTickInterval, and immediately when a member or the list of instances reports that
+/// the primary is leaving.
 /// @complexity O(m log m) for m members, as are all events below
 [[nodiscard]] failover_actions onTick(failover_state &state, group_view &view,
                                       const failover_load &load, time_point now,
                                       random_engine &random);
 
-/// @brief A member's status arrived, from a probe or a wait. Observes it.
+/// @brief Processes a member's status from a probe or a wait, including observeStatus().
 [[nodiscard]] failover_actions onStatus(failover_state &state, group_view &view,
                                         const member_status &status, time_point askedAt,
                                         time_point now, random_engine &random);
 
-/// @brief A probe failed. Observes the failure.
+/// @brief Processes a failed probe, including observeFailure().
 void onProbeFailed(failover_state &state, group_view &view, const member_id &member,
                    member_failure failure, time_point now, random_engine &random);
 
-/// @brief The answer to accept_term arrived. Observes its status.
-/// @param term term that was asked for
+/// @brief Processes the answer to accept_term, including observeStatus().
+/// @param term term of the request
 [[nodiscard]] failover_actions onAcceptTerm(failover_state &state, group_view &view,
                                             const accept_term_answer &answer, term_number term,
                                             time_point askedAt, time_point now,
                                             random_engine &random);
 
-/// @brief The answer to lead arrived, or the request failed.
-/// @param leads whether the member leads @p term now; false repeats the request to the same member,
-/// and gives the attempt up after maxLeadAttempts
+/// @brief Processes the answer to lead, or the failure of the request.
+/// @param leads whether the member now leads @p term. If false, the request is repeated to the same
+/// member, and the attempt is given up after maxLeadAttempts.
 [[nodiscard]] failover_actions onLead(failover_state &state, group_view &view,
                                       const member_id &member, term_number term, bool leads,
                                       time_point now, random_engine &random);
 
-/// @brief The answer to follow arrived.
+/// @brief Processes the answer to follow, or the failure of the request.
 void onFollow(failover_state &state, const member_id &member, term_number term, bool follows);
 
-/// @brief Another owner has published its view.
+/// @brief Processes the view that another owner has published.
 [[nodiscard]] failover_actions onPeerView(failover_state &state, group_view &view,
                                           const published_view &peer, time_point now,
                                           random_engine &random);
 
-/// @brief The answer to the advisory claim arrived; no answer means granted.
+/// @brief Processes the answer to the advisory claim. A missing answer counts as granted.
 void onClaim(failover_state &state, bool granted, time_point now);
 
-/// @brief Starts a promotion on an operator's command, whatever the switch says.
+/// @brief Starts a promotion on an operator's command, even if automatic promotion is off.
 [[nodiscard]] failover_actions promoteManually(failover_state &state, group_view &view,
                                                time_point now, random_engine &random);
 
--- a/include/fuchsiagw/core/member_protocol.hpp
+++ b/include/fuchsiagw/core/member_protocol.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// @brief What the proxy and a member of a database group say to each other.
+/// @brief Messages between the proxy and a member of a database group.
 ///
-/// This is the whole interface to upstreams. The JSON form is in wire/member_json.hpp, the
-/// transport in net/; another transport or a test bench can stand behind these structs.
+/// This is the complete interface to upstreams. wire/member_json.hpp holds the JSON encoding and
+/// net/ the transport; another transport or a test harness can use the same structs.
 
 #pragma once
 
@@ -31,20 +31,20 @@
     member_id member;
     group_id group;
     member_role role = member_role::Replica;
-    term_number term = 0; ///< the highest term that it has accepted
+    term_number term = 0; ///< the highest term that the member has accepted
     log_position last; ///< end of its log
-    log_position applied; ///< end of what reads can see
+    log_position applied; ///< end of the log that is visible to reads
     bool leaving = false;
 
     friend bool operator==(const member_status &, const member_status &) = default;
 };
 
-/// Body of `POST /execute`. It carries nothing of the caller's headers.
+/// Body of `POST /execute`. None of the caller's headers are forwarded.
 struct execute_request
 {
     request_id id;
     workspace_id workspace;
-    term_number term = 0; ///< the term that the sender believes in
+    term_number term = 0; ///< the term under which the sender routed the statement
     statement_kind kind = statement_kind::Read;
     std::string statement;
     std::vector<std::string> parameters;
@@ -53,8 +53,8 @@
 
 enum class execute_status : std::uint8_t {
     Ok,
-    Refused, ///< nothing ran
-    Failed, ///< ran and was rolled back
+    Refused, ///< the statement was not executed
+    Failed, ///< the statement was executed and rolled back
 };
 
 inline constexpr std::array<std::string_view, 3> executeStatusNames{ "ok", "refused", "failed" };
@@ -67,7 +67,7 @@
     std::string problem;
     std::vector<std::vector<std::string>> rows;
     log_position position; ///< of the write; zero for reads
-    log_position applied; ///< what reads of this member could see at execution
+    log_position applied; ///< end of the log that was visible to reads of the member at execution
     term_number term = 0; ///< the highest term that the member has accepted
 };
 
--- a/include/fuchsiagw/core/owner_action.hpp
+++ b/include/fuchsiagw/core/owner_action.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the owner of a group asks its surroundings to do.
+/// @brief Actions that the owner of a group asks its caller to perform.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace fuchsiagw::core {
 
-/// Open a data connection; report onConnected() until the deadline.
+/// Open a data connection; call onConnected() by the deadline.
 struct open_connection
 {
     connection_id id = 0;
@@ -29,7 +29,7 @@
     time_point deadline;
 };
 
-/// Send a statement on an open connection; report onExecuted() until the deadline.
+/// Send a statement on an open connection; call onExecuted() by the deadline.
 struct send_statement
 {
     connection_id id = 0;
@@ -53,29 +53,29 @@
 inline constexpr std::array<std::string_view, 5> controlKindNames{ "status", "wait", "accept_term",
                                                                    "lead", "follow" };
 
-/// Send a control request to a member; report onControlAnswer() until the deadline.
+/// Send a control request to a member; call onControlAnswer() by the deadline.
 struct control_call
 {
     std::uint64_t number = 0;
     control_kind kind = control_kind::Status;
     member_id member;
     std::string address;
-    log_position position; ///< Wait: what is waited for; otherwise `term` is the term
-    duration held{ 0 }; ///< Wait: how long the member may hold the answer back
-    member_id primary; ///< Follow: whose log is copied
+    log_position position; ///< Wait: the position to wait for; other kinds use only its `term`
+    duration held{ 0 }; ///< Wait: how long the member may delay its answer
+    member_id primary; ///< Follow: the member to replicate from
     std::string primaryAddress;
     time_point sentAt;
     time_point deadline;
 };
 
-/// A statement has its final answer.
+/// The final answer to a statement.
 struct statement_done
 {
     std::uint64_t handle = 0;
     statement_answer answer;
 };
 
-/// One line for each routing decision.
+/// A routing decision to log.
 struct route_decided
 {
     std::uint64_t handle = 0;
@@ -85,7 +85,7 @@
     route_decision decision;
 };
 
-/// Events that deserve a log line of their own.
+/// Events that are logged individually.
 enum class owner_event : std::uint8_t {
     PromotionStarted,
     PrimaryChanged,
@@ -107,13 +107,13 @@
     std::uint32_t connections = 0; ///< of ConnectionLimit
 };
 
-/// Tell the owners of the group in other zones what this one knows.
+/// Send this owner's view to the group's owners in other zones.
 struct publish_to_owners
 {
     published_view view;
 };
 
-/// Write the advisory claim `promotion/<group>`; promotion goes on without it.
+/// Write the advisory claim `promotion/<group>`. The promotion does not depend on it.
 struct claim_promotion
 {
     term_number term = 0;
--- a/include/fuchsiagw/detail/failover_steps.hpp
+++ b/include/fuchsiagw/detail/failover_steps.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Steps shared by the source files of failover. For the core package only.
+/// @brief Functions shared by the source files of failover; internal to core.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace fuchsiagw::detail {
 
-/// @return whether any answer of the member came within the window
+/// @return whether the member has answered within @p window before @p now
 [[nodiscard]] bool isHeardWithin(const core::member_view &member, core::duration window,
                                  core::time_point now);
 
@@ -15,8 +15,8 @@
 [[nodiscard]] core::duration exponentialDelay(core::duration first, std::uint32_t times,
                                               core::duration longest);
 
-/// @return whether a probe of the primary went unanswered; the first one after a quiet time says
-/// nothing yet
+/// @return whether a probe of the primary is unanswered for at least one probe interval. A shorter
+/// wait is no evidence, because the probe may still be on its way.
 [[nodiscard]] bool isProbeOverdue(const core::failover_state &state, core::time_point now);
 
 void clearSilence(core::failover_state &state);
@@ -26,9 +26,8 @@
                                                core::term_number term,
                                                core::duration timeout = core::probeTimeout);
 
-/// @brief Probes the members that are due: silent ones, and those whose position must be known
-/// better.
-/// @complexity logarithmic in the probes for each member
+/// @brief Probes silent members and members whose known position is older than reads allow.
+/// @complexity logarithmic in the number of scheduled members, for each member
 void probeMembers(core::failover_state &state, core::group_view &view,
                   const core::failover_load &load, core::time_point now,
                   core::random_engine &random, core::failover_actions &actions);
--- a/include/fuchsiagw/detail/owner_steps.hpp
+++ b/include/fuchsiagw/detail/owner_steps.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Steps shared by the source files of group_owner. For the core package only.
+/// @brief Functions shared by the source files of group_owner; internal to core.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace fuchsiagw::detail {
 
-/// What every step of an owner needs.
+/// The owner, the current time and the outputs that every step of an owner uses.
 struct owner_context
 {
     core::group_owner &owner;
@@ -16,67 +16,69 @@
     core::owner_actions &actions;
 };
 
-/// @brief Doubts what is believed of the members if this process was paused before this step.
+/// @brief Marks the members as unverified if this process was paused before the current step.
 void detectPause(owner_context &context);
 
-/// @return whether a statement may be sent to a member that was chosen earlier
+/// @return whether a statement that was routed earlier may still be sent to @p member
 [[nodiscard]] bool acceptsNewStatements(const core::group_owner &owner,
                                         const core::member_id &member);
 
-/// @brief Routes a statement that has no place and gives it one.
+/// @brief Routes a statement that is in no container and moves it to its next stage.
 void routeToMember(owner_context &context, std::uint64_t handle);
 
 /// @brief Sends a statement on an open connection.
 void sendOnConnection(owner_context &context, std::uint64_t handle, core::connection_id id);
 
-/// @brief Does what an exchange asks for after an event.
+/// @brief Performs the action that an exchange has returned for an event.
 void applyExchangeAction(owner_context &context, std::uint64_t handle,
                          const core::exchange_action &action);
 
-/// @brief Gives the final answer and forgets the statement.
+/// @brief Emits the final answer of a statement and removes the statement.
 void finishStatement(owner_context &context, std::uint64_t handle, core::statement_answer answer);
 
-/// @brief Ends a statement with an error.
+/// @brief Finishes a statement with an error.
 void failStatement(owner_context &context, std::uint64_t handle, core::error_kind error,
                    std::string problem = {});
 
-/// @brief Takes a statement out of the place where it waits.
+/// @brief Removes a statement from the container of its current stage.
 void detachStatement(owner_context &context, std::uint64_t handle);
 
-/// @brief Gives a connection that has become free to the next statement.
+/// @brief Marks a connection as idle and assigns it to the next waiting statement.
 void releaseConnection(owner_context &context, core::connection_id id);
 
-/// @brief Counts the exchange on a connection as ended; the member may have left the configuration.
+/// @brief Decrements the member's in-flight count if the connection is busy. The member may no
+/// longer be in the configuration.
 void endMemberExchange(core::group_owner &owner, const core::pooled_connection &connection);
 
-/// @brief Closes a connection and forgets it.
+/// @brief Closes a connection and removes it from the pool.
 void closeConnection(owner_context &context, core::connection_id id);
 
-/// @brief Starts waiting statements as long as there are connections for them.
+/// @brief Dispatches queued statements while connections are available.
 void dispatchQueued(owner_context &context);
 
-/// @brief Opens the waits that the pending writes need and ends those that are settled.
+/// @brief Finishes pending reads and writes whose outcome is decided, and opens the waits that the
+/// remaining writes need.
 void resolvePending(owner_context &context);
 
-/// @brief Watches the members if this instance is the zone's owner.
+/// @brief Runs failover for the group if this instance is the zone's owner.
 void monitorMembers(owner_context &context);
 
 /// @brief Sends a control request to a member.
 void sendControlRequest(owner_context &context, core::control_call request);
 
-/// @brief Reports a change of the primary, once.
+/// @brief Emits one PrimaryChanged notice per change of the primary.
 void reportPrimary(owner_context &context);
 
-/// @brief Starts a statement of an open transaction on the transaction's connection.
+/// @brief Sends a statement of an open transaction on the transaction's connection.
 void startTransactionStatement(owner_context &context, std::uint64_t handle);
 
-/// @brief Takes in the end of a statement of a transaction, or of a begin.
-/// @return the transaction's number if it goes on
+/// @brief Updates the transaction after a statement of it, or a begin, has ended.
+/// @return the transaction's number if the transaction remains open
 std::optional<std::uint64_t> finishTransactionStatement(owner_context &context,
                                                         const core::owned_statement &statement,
                                                         core::connection_id id, bool succeeded);
 
-/// @brief Rolls back transactions whose caller has been silent for too long.
+/// @brief Rolls back transactions that have been idle for longer than transactionIdleTimeout.
 void rollBackIdleTransactions(owner_context &context);
 
 } // namespace fuchsiagw::detail
