--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief When and how the primary of a group is replaced.
+/// @brief Failure detection and promotion of a new primary in a database group.
 
 #include <fuchsiagw/core/failover.hpp>
 #include <fuchsiagw/detail/failover_steps.hpp>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Answers to peers that suspect the primary are at most this frequent.
+/// Minimum interval between views that are published in reply to peers.
 constexpr duration minPublishInterval = std::chrono::milliseconds(50);
 std::int64_t timeoutFactor(const failover_state &state)
 {
@@ -46,7 +46,7 @@
     state.lastPublishedAt = now;
 }
 
-/// Members that can grant a term now, without the one that is to be replaced.
+/// Counts the members that can grant a term now, without the primary to be replaced.
 std::size_t countReachable(const group_view &view, const std::optional<member_id> &except,
                            time_point now)
 {
@@ -57,14 +57,15 @@
     return static_cast<std::size_t>(count);
 }
 
-// ---- silence and other causes ----
+// ---- causes of a promotion ----
 
 bool isSilent(const failover_state &state, time_point now)
 {
     const std::int64_t factor = timeoutFactor(state);
     const duration patience = suspectAfter * factor;
-    // A peer that has heard the primary since knows better: only the way from here is cut. A
-    // refusal is a sign of the member's own host, so only what a peer heard after it counts.
+    // If a peer has heard from the primary recently, only the path between this owner and the
+    // primary is cut. A refused connection is an answer of the primary's host, so it is outweighed
+    // only by an answer that a peer received later.
     if (state.refusedSince != noDeadline && now >= state.refusedSince + suspectAfterRefused * factor
         && state.lastHeardByPeer < state.refusedSince)
         return true;
@@ -84,7 +85,8 @@
             std::max(unconfirmedTimeout, load.confirmDelay * 2) * timeoutFactor(state);
     if (now < load.oldestUnconfirmed + patience || now < state.resumedAt + patience)
         return false;
-    // Slow replication still grows; a replica that is only far behind is no reason to promote.
+    // With slow replication the logs of the replicas still advance. Replicas that only lag are no
+    // reason for a promotion.
     return std::none_of(view.members.begin(), view.members.end(), [&](const auto &each) {
         const member_view &member = each.second;
         return each.first != *view.primary && member.lastAdvancedAt != time_point::min()
@@ -117,8 +119,8 @@
             return failover_cause::Unconfirmed;
         return std::nullopt;
     }
-    // An own attempt has fenced the old primary: it is finished even if the switch was turned off
-    // meanwhile, else the group would stay without a primary.
+    // An attempt of this owner has fenced the old primary. It is completed even if automatic
+    // promotion has been turned off since, as the group would otherwise stay without a primary.
     if (isOwnTerm)
         return failover_cause::NoPrimary;
     const bool isOverdue = now >= view.primarySince + noPrimaryTimeout
@@ -126,10 +128,11 @@
     return state.promotes && isOverdue ? std::optional(failover_cause::NoPrimary) : std::nullopt;
 }
 
-// ---- following ----
+// ---- follow requests ----
 
-/// Tells members that are under an old term, or don't grow, whom to follow. The promoter does so at
-/// once, the other owners only after it had its chance.
+/// Sends accept_term to members under an old term and `follow` to members whose log does not
+/// advance. The owner that ran the promotion does so at once, the other owners only after
+/// followTakeoverDelay and a delay for their rank.
 void followMembers(failover_state &state, const group_view &view, time_point now,
                    failover_actions &actions)
 {
@@ -215,7 +218,8 @@
     clearSuspicion(state);
 }
 
-/// Drops an attempt that a higher term has overtaken and finishes one that has its primary.
+/// Drops the attempt if a higher term was seen, and finishes it if its term has a primary. Resets
+/// the failure detection when the primary has changed.
 void reconcileAttempt(failover_state &state, group_view &view, time_point now,
                       failover_actions &actions)
 {
@@ -270,7 +274,8 @@
         failAttempt(state, now, random);
 }
 
-/// Under the policies without a majority, a promotion must wait for more than reachable members.
+/// Under the policies that acknowledge without a majority, a promotion also has to wait for the end
+/// of the lease, or for a reachable member that holds the highest acknowledged position.
 bool isPromotionBlocked(const failover_state &state, const group_view &view,
                         const std::optional<member_id> &except, time_point now)
 {
@@ -308,7 +313,7 @@
     const bool isReachable =
             countReachable(view, except, now) >= needed
             || (!view.primary && countReachable(view, std::nullopt, now) >= needed);
-    // An attempt that can't succeed would only take the members that it reaches out of service.
+    // An attempt without a chance of success would only fence the members that it reaches.
     if (cause != failover_cause::Manual
         && (!isReachable || isPromotionBlocked(state, view, view.primary, now)))
         return;
@@ -423,8 +428,8 @@
     observeStatus(view, answer.status, askedAt, now);
     reconcileAttempt(state, view, now, actions);
     const member_id &member = answer.status.member;
-    // Only a grant counts. A refusal with the same term may be the answer to a repeated request,
-    // but also to that of an earlier run of this instance.
+    // Only a grant counts. A refusal that carries the same term may answer a duplicate of this
+    // request, but also a request from an earlier run of this instance.
     const bool isGrant =
             answer.accepted && answer.status.term == term && view.members.contains(member);
     if (state.attempt && state.attempt->term == term && !state.attempt->chosen) {
@@ -448,7 +453,7 @@
         observePrimary(view, member, term, now);
     reconcileAttempt(state, view, now, actions);
     if (!leads && isCurrentAttempt && state.attempt) {
-        // Repeats the request, or gives the attempt up after the last try.
+        // Repeats the request, or gives the attempt up after maxLeadAttempts.
         state.attempt->deadline = now;
         advanceAttempt(state, view, now, random, actions);
     }
--- a/src/core/failover_probe.cpp
+++ b/src/core/failover_probe.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief When which member is probed.
+/// @brief Scheduling of the probes.
 
 #include <fuchsiagw/core/failover.hpp>
 #include <fuchsiagw/detail/failover_steps.hpp>
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// Probes of a primary without an answer after which their interval starts to grow.
+/// Number of unanswered urgent probes after which the interval between them grows.
 constexpr std::uint32_t probesAtFullRate = 8;
 constexpr duration maxSilentProbeInterval = std::chrono::seconds(1);
 
-/// @return how long after the last sign or probe the next probe is due
+/// @return the minimum time between two probes of a member
 duration probeInterval(const probe_schedule &schedule, bool isUrgent, duration silence)
 {
     const std::uint32_t unanswered = schedule.unanswered;
@@ -44,7 +44,7 @@
     if (!isPrimary && !isUrgent && member.pause.failures > 0) {
         if (isBackedOff(member.pause, now))
             return;
-        // Moves the next probe; an answer clears the backoff.
+        // Postpones the next probe. An answer of the member clears the backoff.
         recordFailure(member.pause, now, random);
     }
     schedule.lastSentAt = now;
@@ -63,7 +63,7 @@
 
 duration exponentialDelay(duration first, std::uint32_t times, duration longest)
 {
-    constexpr std::uint32_t longestExponent = 16; // keeps the shift defined
+    constexpr std::uint32_t longestExponent = 16; // keeps the shift within the width of the type
     return std::min(first * (std::int64_t{ 1 } << std::min(times, longestExponent)), longest);
 }
 
@@ -105,7 +105,7 @@
         if (isPrimary && load.hasWork)
             silence = primaryProbeAfterSilence;
         if (load.wantedAge > duration::zero()) {
-            // What a replica holds but does not show yet will be visible very soon.
+            // Entries that a replica holds but has not applied will be visible to reads soon.
             const bool isApplying = member.applied < member.last;
             const duration fresh = isApplying ? minFreshProbeInterval : load.wantedAge / 3;
             silence = std::min(silence, std::max(fresh, minFreshProbeInterval));
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The waiting side of an owner: admission, routing, parking and deadlines.
+/// @brief Group owner: admission, routing, parking and deadlines of statements.
 
 #include <fuchsiagw/core/group_owner.hpp>
 #include <fuchsiagw/detail/owner_steps.hpp>
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// Pause before a statement for which no member was found is routed again. Views change with every
-/// answer, and advance() runs on each change, so this only bounds the wait without any news.
+/// Delay before a statement without an available member is routed again. Bounds the wait when no
+/// answer changes the view of the group in the meantime.
 constexpr duration parkedRetryInterval = std::chrono::milliseconds(10);
-/// Steps come every few milliseconds while there is work. After a longer gap a member may have
-/// begun to leave without the knowledge of this process.
+/// A longer gap between two steps means that this process was paused: with work to do, steps run
+/// every few milliseconds. A member may have started to leave during the pause unnoticed.
 constexpr duration maxStepGap = std::chrono::seconds(1);
 
 queued_statement makeQueuedStatement(std::uint64_t handle, const owned_statement &statement)
@@ -34,7 +34,8 @@
     context.owner.parked.emplace(until, handle);
 }
 
-/// One connection stays free of transactions, so that they can't hold up every other statement.
+/// One connection is kept free of transactions, if the limit allows more than one, so that
+/// transactions cannot block all other statements.
 bool canBeginTransaction(const group_owner &owner)
 {
     const std::uint32_t maxTransactions =
@@ -65,7 +66,7 @@
         const connection_id id = statement.connection;
         const bool isSent = statement.stage == statement_stage::Sent;
         const exchange_action action = onDeadline(statement.progress, statement.unsentReason);
-        // The exchange is in flight; its connection can't be told from one whose answer comes late.
+        // The answer to the exchange may still arrive late, so its connection must not be reused.
         if (isSent && action.closeConnection)
             closeConnection(context, id);
         applyExchangeAction(context, handle, action);
@@ -170,7 +171,7 @@
     const bool wasPaused =
             owner.lastStepAt != time_point::min() && context.now - owner.lastStepAt > maxStepGap;
     owner.lastStepAt = context.now;
-    // Only an owner that watches the members gets the answers that end the doubt.
+    // Only an owner that monitors the members receives the answers that verify them again.
     if (wasPaused && owner.isMonitoringMembers)
         markMembersUnverified(owner.view, context.now);
 }
@@ -199,7 +200,7 @@
             !decision.member && statement.route.candidates.size() == decision.candidates.size()
             && !statement.route.member && statement.route.reason == decision.reason;
     statement.route = std::move(decision);
-    // A parked statement is routed again every few milliseconds; only a change is worth a line.
+    // A parked statement is routed again every few milliseconds. Only a changed decision is logged.
     if (!isUnchanged)
         context.actions.emplace_back(route_decided{ handle, statement.request.id,
                                                     statement.request.workspace,
@@ -333,8 +334,8 @@
 void dispatchQueued(owner_context &context)
 {
     group_owner &owner = context.owner;
-    // Statements that wait for a connection to one member must not keep the others in the queue,
-    // but taking more of them out than there are connections would defeat the queue's order.
+    // Statements that wait for a connection to one member must not block the rest of the queue.
+    // Dequeueing more of them than there are connections would defeat the fair order of the queue.
     while (owner.readyCount < owner.pool.limit && countFree(owner.pool) > 0
            && owner.parked.size() < owner.queue.bound) {
         const auto next = dequeue(owner.queue);
--- a/src/core/group_view.cpp
+++ b/src/core/group_view.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What an owner knows about a group of members.
+/// @brief State of a database group and its members as an owner has observed it.
 
 #include <fuchsiagw/core/group_view.hpp>
 
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Samples of the primary are usable up to the time when a majority was last under its term.
+/// Confirms the samples of the primary up to the latest time at which a majority was still under
+/// its term.
 void confirmSamplesByMajority(group_view &view)
 {
     std::vector<time_point> asked;
@@ -27,7 +28,7 @@
     confirmSamples(view.ages, asked[needed - 1]);
 }
 
-/// @return false if the term is below what the member has already accepted
+/// @return false if the term is below the one that the member has already accepted
 bool updateTerm(group_view &view, member_view &member, term_number term, time_point askedAt,
                 time_point now)
 {
@@ -45,7 +46,7 @@
 
 void updateLastPosition(member_view &member, log_position last, time_point now)
 {
-    // Only entries of a lower term than the accepted one can be truncated.
+    // A member can only truncate entries of a term below the one that it has accepted.
     const bool mayShrink = member.last.term < member.acceptedTerm;
     if (last > member.last)
         member.lastAdvancedAt = now;
@@ -118,12 +119,13 @@
         recordSuccess(known.pause);
         return;
     }
-    // What was executed is in the log, so the log ends there or later.
+    // An executed statement is in the log, so the log ends at its position or later.
     const log_position atLeast = std::max(answer.position, answer.applied);
     if (atLeast > known.last)
         updateLastPosition(known, atLeast, now);
     updateAppliedPosition(known, std::max(known.applied, answer.applied));
-    // The age is measured against what reads of the primary show, so an answer to a read will do.
+    // Ages are relative to the data that reads of the primary return, so an answer to a read is a
+    // valid sample as well.
     const bool isPrimary = view.primary == member && answer.term == view.highestTerm;
     if (isPrimary && askedTerm == answer.term && answer.status == execute_status::Ok
         && atLeast.index > 0)
@@ -138,7 +140,7 @@
     if (found == view.members.end())
         return;
     member_view &known = found->second;
-    // Statements that fail together count as one failure.
+    // Concurrent failures of several statements count as one.
     if (isBackedOff(known.pause, now))
         return;
     recordFailure(known.pause, now, random);
@@ -179,7 +181,7 @@
     const auto found = view.members.find(member);
     if (term != view.highestTerm || found == view.members.end() || view.primary == member)
         return;
-    // A term has one primary for ever.
+    // A term never has more than one primary.
     if (view.primary)
         return;
     view.primary = member;
@@ -187,7 +189,7 @@
     member_view &known = found->second;
     if (known.acceptedTerm < term) {
         known.acceptedTerm = term;
-        known.termQueriedAt = time_point::min(); // it has not answered under this term yet
+        known.termQueriedAt = time_point::min(); // the member has not answered under this term yet
     }
     known.role = member_role::Primary;
 }
--- a/src/core/owner_control.cpp
+++ b/src/core/owner_control.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The watching side of an owner: probes, promotion and confirmations.
+/// @brief Group owner: control requests for probes, promotion and confirmations.
 
 #include <fuchsiagw/core/failover.hpp>
 #include <fuchsiagw/core/group_owner.hpp>
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The sending side of an owner: connections, answers and confirmations.
+/// @brief Group owner: connections, answers of members and confirmations.
 
 #include <fuchsiagw/core/group_owner.hpp>
 #include <fuchsiagw/detail/owner_steps.hpp>
@@ -37,7 +37,7 @@
                        statement.route.fromReplica, context.now);
 }
 
-/// The statement that was sent on a connection; nothing if it has ended meanwhile.
+/// @return the statement that was sent on a connection; nothing if the statement has ended
 std::optional<std::uint64_t> findSentStatement(const group_owner &owner, connection_id id)
 {
     const auto connection = owner.pool.connections.find(id);
@@ -49,12 +49,12 @@
     return statement->first;
 }
 
-/// Pause before the members are asked again whether a read's term still has a majority.
+/// Interval between status requests that check whether a majority is still under a read's term.
 constexpr duration majorityCheckInterval = std::chrono::milliseconds(100);
 
-/// Without a usable session no position tells whether the answer is new enough. It is, if a
-/// majority had not accepted a later term when the read was sent: then no other primary can have
-/// acknowledged a write before.
+/// Without a usable session there is no position to check the freshness of an answer against. The
+/// answer is fresh enough if a majority was still under the read's term after the read was sent: no
+/// other primary can then have acknowledged a write before that time.
 bool needsMajorityCheck(const statement_request &request, const execute_answer &answer)
 {
     return request.sessionUnusable && request.kind == statement_kind::Read
@@ -84,7 +84,7 @@
     }
 }
 
-/// The transaction of a member that was replaced can't be committed any more.
+/// Fails a statement whose primary was replaced. Its transaction can no longer be committed.
 void failLostTransaction(owner_context &context, std::uint64_t handle, std::uint64_t number)
 {
     const auto transaction = context.owner.transactions.find(number);
@@ -93,7 +93,8 @@
     failStatement(context, handle, error_kind::TransactionLost);
 }
 
-/// Ends the reads whose proof has come, and asks again for the others.
+/// Finishes the reads whose term is confirmed or superseded, and repeats the majority check for the
+/// others.
 void resolveReads(owner_context &context)
 {
     group_owner &owner = context.owner;
@@ -165,7 +166,7 @@
         statement.progress.state = exchange_state::Waiting;
         statement.stage = statement_stage::Confirming;
         owner.readsAwaitingMajority.emplace(handle, context.now);
-        return; // the caller settles
+        return; // the caller runs resolvePending()
     }
     applyExchangeAction(context, handle, action);
 }
@@ -180,7 +181,8 @@
     if (wasSent) {
         action = onConnectionLost(statement.progress, context.now);
     } else {
-        // onSent() was called before the bytes were handed over, and none of them left.
+        // onSent() was called before the request was handed to the connection, and no byte of it
+        // was sent.
         statement.progress.state = exchange_state::Queued;
         --statement.progress.unresolved;
         action = onNotSent(statement.progress, context.now);
@@ -322,7 +324,7 @@
             routeToMember(context, next);
         return;
     }
-    // Statements for a member without any connection may wait for this one to be given up.
+    // Statements for a member without any connection may be waiting to replace this one.
     for (auto &[member, waiting] : owner.ready) {
         if (waiting.empty() || countConnections(owner.pool, member) != 0)
             continue;
--- a/src/core/owner_transaction.cpp
+++ b/src/core/owner_transaction.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Transactions of an owner: each stays on one connection and ends with it.
+/// @brief Group owner: transactions. Each is bound to one connection and ends with it.
 
 #include <fuchsiagw/core/group_owner.hpp>
 #include <fuchsiagw/detail/owner_steps.hpp>
@@ -12,7 +12,6 @@
 
 namespace {
 
-/// Begin and end of transactions change who holds a connection.
 bool startsTransaction(const statement_request &request)
 {
     return request.kind == statement_kind::Begin;
@@ -45,7 +44,8 @@
         return;
     }
     transaction.isBusy = true;
-    // The transaction was begun under this term; a member that has accepted another one refuses.
+    // The statement carries the term of the transaction's begin. A member that has accepted a later
+    // term refuses it.
     statement.route.member = transaction.member;
     statement.route.reason = route_reason::PrimaryRequired;
     statement.route.term = transaction.term;
@@ -83,7 +83,7 @@
     if (!continues) {
         owner.transactions.erase(transaction);
         connection->second.transaction = 0;
-        // What is left of a transaction that failed is rolled back with its connection.
+        // Closing the connection makes the member roll back the failed transaction.
         if (!succeeded)
             closeConnection(context, id);
         return std::nullopt;
--- a/tests/unit-failover-matrix.cpp
+++ b/tests/unit-failover-matrix.cpp
@@ -24,24 +24,24 @@
 namespace {
 
 constexpr std::uint64_t seed = 20240611;
-constexpr duration lossTime = 1s;
-constexpr duration faultLasts = 2500ms;
-constexpr duration runLasts = 10s;
+constexpr duration firstFaultAt = 1s;
+constexpr duration faultDuration = 2500ms;
+constexpr duration runDuration = 10s;
 
-/// A fault that starts when called and ends by itself after faultLasts.
+/// A fault that starts when `begin` is called and ends after faultDuration.
 struct fault
 {
     std::string_view name;
     void (*begin)(fake_group &);
 };
 
-void endLater(fake_group &group, std::function<void()> what)
+void scheduleEnd(fake_group &group, std::function<void()> what)
 {
-    group.at(group.now().time_since_epoch() + faultLasts, std::move(what));
+    group.at(group.now().time_since_epoch() + faultDuration, std::move(what));
 }
 
-/// The present primary, or the member that a promotion under way has chosen.
-std::size_t target(fake_group &group)
+/// The current primary; the last member if the group has none.
+std::size_t primaryOrLastMember(fake_group &group)
 {
     return std::min(group.primary(), group.members.size() - 1);
 }
@@ -49,7 +49,7 @@
 void stopMember(fake_group &group, std::size_t member, bool refuses)
 {
     group.stop(member, refuses);
-    endLater(group, [&group, member] { group.start(member); });
+    scheduleEnd(group, [&group, member] { group.start(member); });
 }
 
 void cutFrom(fake_group &group, std::size_t member, bool fromMembers, bool fromOwners)
@@ -63,13 +63,13 @@
             group.cut(member, group.ownerNode(i), isCut);
     };
     set(true);
-    endLater(group, [set] { set(false); });
+    scheduleEnd(group, [set] { set(false); });
 }
 
-/// Cuts the zone of the primary and its owner from the others.
+/// Cuts the zone of the primary, including the zone's owner, off from the other zones.
 void cutZone(fake_group &group)
 {
-    const std::size_t zone = target(group);
+    const std::size_t zone = primaryOrLastMember(group);
     const std::size_t own = group.ownerNode(zone);
     const auto set = [&group, zone, own](bool isCut) {
         for (std::size_t i = 0; i < group.owners.size(); ++i) {
@@ -82,10 +82,10 @@
         }
     };
     set(true);
-    endLater(group, [set] { set(false); });
+    scheduleEnd(group, [set] { set(false); });
 }
 
-/// The owner dies; the one that takes its place has the same rank and knows nothing.
+/// Replaces an owner by a new one with the same rank and without any observed state.
 void replaceOwner(fake_group &group, std::size_t index)
 {
     testing::fake_owner &owner = group.owners[index];
@@ -103,19 +103,21 @@
     owner.writes.clear();
 }
 
-/// Owner 0 starts first and is normally the one that promotes.
+/// Pauses an owner. Owner 0 has the lowest start delay and normally runs the promotion.
 void pauseOwner(fake_group &group, std::size_t owner)
 {
     group.pause(owner);
-    endLater(group, [&group, owner] { group.resume(owner); });
+    scheduleEnd(group, [&group, owner] { group.resume(owner); });
 }
 
 const std::array<fault, 16> faults{ {
-        { "primary_stopped", [](fake_group &g) { stopMember(g, target(g), false); } },
-        { "primary_refuses", [](fake_group &g) { stopMember(g, target(g), true); } },
-        { "cut_from_group", [](fake_group &g) { cutFrom(g, target(g), true, false); } },
-        { "cut_from_owners", [](fake_group &g) { cutFrom(g, target(g), false, true); } },
-        { "cut_from_all", [](fake_group &g) { cutFrom(g, target(g), true, true); } },
+        { "primary_stopped", [](fake_group &g) { stopMember(g, primaryOrLastMember(g), false); } },
+        { "primary_refuses", [](fake_group &g) { stopMember(g, primaryOrLastMember(g), true); } },
+        { "cut_from_group",
+          [](fake_group &g) { cutFrom(g, primaryOrLastMember(g), true, false); } },
+        { "cut_from_owners",
+          [](fake_group &g) { cutFrom(g, primaryOrLastMember(g), false, true); } },
+        { "cut_from_all", [](fake_group &g) { cutFrom(g, primaryOrLastMember(g), true, true); } },
         { "owner_paused", [](fake_group &g) { pauseOwner(g, 0); } },
         { "owners_paused",
           [](fake_group &g) {
@@ -131,21 +133,22 @@
                   g.cut(g.ownerNode(0), g.ownerNode(2), isCut);
               };
               set(true);
-              endLater(g, [set] { set(false); });
+              scheduleEnd(g, [set] { set(false); });
           } },
         { "messages_lost",
           [](fake_group &g) {
               g.loss = 0.2;
-              endLater(g, [&g] { g.loss = 0; });
+              scheduleEnd(g, [&g] { g.loss = 0; });
           } },
         { "messages_doubled",
           [](fake_group &g) {
               g.duplication = 0.5;
-              endLater(g, [&g] { g.duplication = 0; });
+              scheduleEnd(g, [&g] { g.duplication = 0; });
           } },
         { "owners_race",
           [](fake_group &g) {
-              // With one rank and one sequence of random numbers all ask for the same term at once.
+              // With equal ranks and random sequences, all owners request the same term at the same
+              // time.
               for (auto &owner : g.owners) {
                   owner.failover.rank = 0;
                   owner.random.seed(seed);
@@ -153,32 +156,34 @@
           } },
         { "replica_behind",
           [](fake_group &g) {
-              const std::size_t member = (target(g) + 1) % g.members.size();
+              const std::size_t member = (primaryOrLastMember(g) + 1) % g.members.size();
               g.members[member].lag = 600ms;
-              endLater(g, [&g, member] { g.members[member].lag = duration::zero(); });
+              scheduleEnd(g, [&g, member] { g.members[member].lag = duration::zero(); });
           } },
         { "replica_stopped",
-          [](fake_group &g) { stopMember(g, (target(g) + 1) % g.members.size(), false); } },
+          [](fake_group &g) {
+              stopMember(g, (primaryOrLastMember(g) + 1) % g.members.size(), false);
+          } },
         { "primary_slow",
           [](fake_group &g) {
-              const std::size_t member = target(g);
+              const std::size_t member = primaryOrLastMember(g);
               g.members[member].slowness = 200ms;
-              endLater(g, [&g, member] { g.members[member].slowness = duration::zero(); });
+              scheduleEnd(g, [&g, member] { g.members[member].slowness = duration::zero(); });
           } },
 } };
 
-/// A moment of a promotion at which a further fault starts.
-struct promotion_moment
+/// A point of a promotion at which a second fault starts.
+struct promotion_point
 {
     std::string_view name;
     void (*arrange)(fake_group &, std::function<void()>);
 };
 
-const std::array<promotion_moment, 9> moments{ {
+const std::array<promotion_point, 9> promotionPoints{ {
         { "before",
-          [](fake_group &g, std::function<void()> f) { g.at(lossTime - 5ms, std::move(f)); } },
-        { "at_probe",
-          [](fake_group &g, std::function<void()> f) { g.at(lossTime + 150ms, std::move(f)); } },
+          [](fake_group &g, std::function<void()> f) { g.at(firstFaultAt - 5ms, std::move(f)); } },
+        { "at_probe", [](fake_group &g,
+                         std::function<void()> f) { g.at(firstFaultAt + 150ms, std::move(f)); } },
         { "at_claim",
           [](fake_group &g, std::function<void()> f) {
               g.onStep(failover_step::Claim, std::move(f));
@@ -198,7 +203,7 @@
           } },
         { "after_first_write",
           [](fake_group &g, std::function<void()> f) {
-              g.at(lossTime + 10ms, [&g, f] { g.onAcknowledged(f); });
+              g.at(firstFaultAt + 10ms, [&g, f] { g.onAcknowledged(f); });
           } },
 } };
 
@@ -227,7 +232,7 @@
 {
     fake_group group(settings);
     arrange(group);
-    group.runUntil(runLasts);
+    group.runUntil(runDuration);
     return group.finish();
 }
 
@@ -250,8 +255,9 @@
 
 TEST_GROUP(failover_matrix){};
 
-// Guards against a fault-free group that loses, repeats or delays writes, or promotes at all.
-TEST(failover_matrix, withoutFaultNothingHappens)
+// Guards against a group without faults that loses, repeats or delays writes, or promotes a new
+// primary.
+TEST(failover_matrix, noPromotionWithoutFault)
 {
     const fake_findings findings = runCell(settingsFor(0), [](fake_group &) {});
     CHECK_TRUE(findings.problems.empty());
@@ -259,26 +265,27 @@
     CHECK_TRUE(findings.acknowledged > 1000);
 }
 
-// Guards against a promotion that is unsafe or hangs when a second fault hits one of its steps.
+// Guards against a promotion that becomes unsafe or hangs when a second fault occurs at one of its
+// steps.
 TEST(failover_matrix, everyFaultAtEveryStepOfAPromotion)
 {
     cell_count count;
     std::uint64_t cell = 0;
     for (const fault &second : faults) {
-        for (const promotion_moment &moment : moments) {
+        for (const promotion_point &point : promotionPoints) {
             const bool keys = ++cell % 2 == 0;
             const fake_findings findings = runCell(settingsFor(cell, keys), [&](fake_group &g) {
-                g.at(lossTime, [&g] { faults[0].begin(g); });
-                moment.arrange(g, [&g, &second] { second.begin(g); });
+                g.at(firstFaultAt, [&g] { faults[0].begin(g); });
+                point.arrange(g, [&g, &second] { second.begin(g); });
             });
-            count.add(std::string(second.name) + "/" + std::string(moment.name), findings);
+            count.add(std::string(second.name) + "/" + std::string(point.name), findings);
         }
     }
     count.print("faults x steps");
     LONGS_EQUAL(0, count.failed);
 }
 
-// Guards against faults that are survived alone but not together or twice.
+// Guards against pairs of faults that are tolerated separately but not together, or not twice.
 TEST(failover_matrix, allPairsOfFaults)
 {
     cell_count count;
@@ -287,8 +294,8 @@
         for (const fault &second : faults) {
             const bool keys = ++cell % 2 == 0;
             const fake_findings findings = runCell(settingsFor(cell, keys), [&](fake_group &g) {
-                g.at(lossTime, [&g, &first] { first.begin(g); });
-                g.at(lossTime + 300ms, [&g, &second] { second.begin(g); });
+                g.at(firstFaultAt, [&g, &first] { first.begin(g); });
+                g.at(firstFaultAt + 300ms, [&g, &second] { second.begin(g); });
             });
             count.add(std::string(first.name) + "+" + std::string(second.name), findings);
         }
@@ -297,7 +304,8 @@
     LONGS_EQUAL(0, count.failed);
 }
 
-// Guards against what only several faults in a row bring about, in groups of 3 and 5.
+// Guards against failures that only a sequence of several faults causes, in groups of 3 and 5
+// members.
 TEST(failover_matrix, randomSchedulesOfFaults)
 {
     cell_count count;
@@ -310,10 +318,10 @@
         settings.replicaLag = i % 4 == 0 ? 60ms : duration::zero();
         std::string name = std::to_string(settings.seed);
         const fake_findings findings = runCell(settings, [&](fake_group &g) {
-            for (std::uint64_t faultsLeft = 2 + drawBelow(random, 5); faultsLeft > 0;
-                 --faultsLeft) {
+            for (std::uint64_t remainingFaults = 2 + drawBelow(random, 5); remainingFaults > 0;
+                 --remainingFaults) {
                 const fault &each = faults[drawBelow(random, faults.size())];
-                const auto when = lossTime + duration(drawBelow(random, 4000000));
+                const auto when = firstFaultAt + duration(drawBelow(random, 4000000));
                 name += " " + std::string(each.name);
                 g.at(when, [&g, &each] { each.begin(g); });
             }
@@ -324,7 +332,8 @@
     LONGS_EQUAL(0, count.failed);
 }
 
-// Guards against a gap above the target of section 1.5: p99 under 1 s, bound 5 s, with losses.
+// Guards against a write gap above the target of section 1.5 when the primary stops: p99 below 1 s
+// and maximum below 5 s at 1 % packet loss.
 TEST(failover_matrix, gapMeetsTheTarget)
 {
     std::vector<duration> gaps;
@@ -334,7 +343,7 @@
         settings.delay = i % 2 == 0 ? 3ms : 4ms;
         fake_group group(settings);
         group.loss = 0.01;
-        group.at(lossTime + duration(i * 1000), [&group] {
+        group.at(firstFaultAt + duration(i * 1000), [&group] {
             group.markLoss();
             group.stop(group.primary(), false);
         });
@@ -358,7 +367,7 @@
 
 namespace {
 
-/// Runs cells with a sabotaged decision until a checker reports @p text.
+/// Runs cells with one deliberately wrong decision until a checker reports @p text.
 bool isCaught(sabotage deliberate, std::string_view text,
               const std::function<void(fake_group &)> &arrange)
 {
@@ -374,12 +383,13 @@
 
 void stopPrimaryOnce(fake_group &group)
 {
-    group.at(lossTime, [&group] { faults[0].begin(group); });
+    group.at(firstFaultAt, [&group] { faults[0].begin(group); });
 }
 
 } // namespace
 
-// Guards against a check for lost writes that sees nothing.
+// Guards against a check for lost writes that never fires, here when writes are acknowledged
+// without a majority.
 TEST(failover_matrix, catchesAcknowledgementWithoutMajority)
 {
     CHECK_TRUE(isCaught(sabotage::AcknowledgeAtOnce, "acknowledged writes missing at promotion",
@@ -387,7 +397,7 @@
     CHECK_FALSE(isCaught(sabotage::None, "", stopPrimaryOnce));
 }
 
-// Guards against a check for lost writes that misses the choice of the wrong member.
+// Guards against a check for lost writes that does not detect the promotion of the shortest log.
 TEST(failover_matrix, catchesPromotionOfTheShortestLog)
 {
     const auto arrange = [](fake_group &group) {
@@ -399,11 +409,12 @@
     CHECK_FALSE(isCaught(sabotage::None, "", arrange));
 }
 
-// Guards against a check of M2 that overlooks two primaries: the old one with an owner of its own.
-TEST(failover_matrix, catchesTwoHistories)
+// Guards against a check of requirement M2 that misses two primaries which both acknowledge writes:
+// the old primary is cut off together with one owner, and the other owners promote a new one.
+TEST(failover_matrix, catchesDivergingHistories)
 {
     const auto arrange = [](fake_group &group) {
-        group.at(lossTime, [&group] {
+        group.at(firstFaultAt, [&group] {
             const std::size_t old = group.primary();
             cutFrom(group, old, true, false);
             for (std::size_t owner = 1; owner < group.owners.size(); ++owner) {
@@ -418,18 +429,19 @@
     CHECK_FALSE(isCaught(sabotage::None, "", arrange));
 }
 
-// Guards against a gap check that never fires.
-TEST(failover_matrix, catchesAGroupThatIsNeverPromoted)
+// Guards against a check of the write gap that never fires, here when no owner promotes.
+TEST(failover_matrix, catchesAMissingPromotion)
 {
     const auto arrange = [](fake_group &group) {
-        group.at(lossTime, [&group] { group.stop(group.primary(), false); });
+        group.at(firstFaultAt, [&group] { group.stop(group.primary(), false); });
     };
     CHECK_TRUE(isCaught(sabotage::NeverPromote, "no write acknowledged for", arrange));
     CHECK_FALSE(isCaught(sabotage::None, "", arrange));
 }
 
-// Guards against checks of M9 and M10 that never fire.
-TEST(failover_matrix, catchesWrongOutcomesAndSecondRuns)
+// Guards against checks of requirements M9 and M10 that never fire, here when writes are reported
+// as not run or repeated without a key.
+TEST(failover_matrix, catchesWrongOutcomesAndRepeatedWrites)
 {
     const auto arrange = [](fake_group &group) { group.loss = 0.05; };
     CHECK_TRUE(isCaught(sabotage::ClaimNotRun, "ran but was answered not_run", arrange));
--- a/tests/unit-failover.cpp
+++ b/tests/unit-failover.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of single decisions of the failover; unit-failover-matrix runs them together.
+/// @brief Tests of single failover decisions; unit-failover-matrix runs whole failovers.
 
 #include <fuchsiagw/core/failover.hpp>
 
@@ -43,10 +43,10 @@
         for (const char *id : { "a", "b", "c" })
             settings.members[{ id }] = {};
         applySettings(view, { "g" }, settings);
-        hear({ "a", "b", "c" });
+        observeMembers({ "a", "b", "c" });
     }
 
-    void hear(std::initializer_list<const char *> members)
+    void observeMembers(std::initializer_list<const char *> members)
     {
         for (const char *id : members) {
             const auto role = *id == 'a' ? member_role::Primary : member_role::Replica;
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Ticks for a time while only @p members answer; stops at the first attempt.
+    /// Runs ticks for @p time while only @p members answer; stops when an attempt starts.
     failover_actions tickFor(duration time, std::initializer_list<const char *> members)
     {
         failover_actions all;
         for (const time_point end = now + time; now < end && !state.attempt;
              now += failoverTickInterval) {
-            hear(members);
+            observeMembers(members);
             const auto actions = onTick(state, view, load, now, random);
             all.insert(all.end(), actions.begin(), actions.end());
         }
@@ -69,14 +69,16 @@
 
     failover_actions grant(const char *id, bool accepted, log_position last)
     {
-        const term_number asked = state.attempt->term;
-        return onAcceptTerm(state, view, { accepted, makeStatus(id, asked, last) }, asked, now, now,
-                            random);
+        const term_number requestedTerm = state.attempt->term;
+        return onAcceptTerm(state, view, { accepted, makeStatus(id, requestedTerm, last) },
+                            requestedTerm, now, now, random);
     }
 };
 
-// Guards against promoters that use the same term, and terms that don't grow.
-TEST(failover, termsHoldTheRank)
+// Guards against two owners that promote under the same term, and against terms that do not
+// increase. Both happen if the rank is missing from the term number or overflows into its upper
+// part.
+TEST(failover, termsContainTheRank)
 {
     CHECK_TRUE(nextTerm(0, 3) != nextTerm(0, 4));
     for (const std::uint8_t rank : { 0, 3, 255 }) {
@@ -85,20 +87,22 @@
     }
 }
 
-// Guards against promotions while the primary answers, and against owners that never notice.
+// Guards against a promotion while the primary answers, and against a silent primary that is not
+// detected in time.
 TEST(failover, silenceLeadsToAnAttempt)
 {
     tickFor(5s, { "a", "b", "c" });
     CHECK_FALSE(state.attempt.has_value());
-    const time_point lost = now;
+    const time_point stoppedAt = now;
     const failover_actions actions = tickFor(5s, { "b", "c" });
     CHECK_TRUE(state.attempt && state.attempt->cause == failover_cause::Silence);
-    CHECK_TRUE(now - lost < 600ms);
+    CHECK_TRUE(now - stoppedAt < 600ms);
     CHECK_TRUE(count(actions, failover_step::Probe) >= probesBeforeSuspicion);
     UNSIGNED_LONGS_EQUAL(3, count(actions, failover_step::AcceptTerm));
 }
 
-// Guards against attempts that can't succeed and only fence the members that are reached.
+// Guards against an attempt that cannot reach a majority: it would only fence the reachable
+// members.
 TEST(failover, noAttemptWithoutAReachableMajority)
 {
     tickFor(5s, { "b" });
@@ -106,8 +110,9 @@
     CHECK_TRUE(state.suspicion == failover_cause::Silence);
 }
 
-// Guards against an owner that was stopped and takes its own silence for that of the members.
-TEST(failover, resumedOwnerAsksFirst)
+// Guards against an owner that resumes after a pause and takes the gap for a failure of the
+// members, because it received no answers while it was paused.
+TEST(failover, resumedOwnerProbesBeforeSuspicion)
 {
     tickFor(1s, { "a", "b", "c" });
     now += 10s;
@@ -116,8 +121,9 @@
     CHECK_FALSE(state.suspicion.has_value());
 }
 
-// Guards against a promotion because of one cut way while a peer still hears the primary.
-TEST(failover, peerThatHearsThePrimaryPreventsAPromotion)
+// Guards against a promotion because the path from one owner to the primary is cut, while a peer
+// can still reach the primary.
+TEST(failover, peerThatReachesThePrimaryPreventsAPromotion)
 {
     for (int i = 0; i < 50; ++i) {
         published_view peer{ { "g" }, term, { "a" }, false, true, 1000 };
@@ -129,7 +135,8 @@
     CHECK_TRUE(state.attempt.has_value());
 }
 
-// Guards against flapping: slow replication grows, a primary that is cut off has none that does.
+// Guards against repeated promotions under slow replication: unconfirmed writes lead to a promotion
+// only if no replica's log advances, as with a primary that is cut off from its group.
 TEST(failover, unconfirmedWritesCountOnlyWithoutProgress)
 {
     load.oldestUnconfirmed = now;
@@ -144,8 +151,9 @@
     CHECK_TRUE(state.attempt->excluded == member_id{ "a" });
 }
 
-// Guards against a promotion while the switch is off, and against a command that does nothing.
-TEST(failover, switchedOffPromotesOnlyByHand)
+// Guards against an automatic promotion while promotion is switched off, and against an operator's
+// command that is ignored in that state.
+TEST(failover, switchedOffPromotesOnlyManually)
 {
     state.promotes = false;
     tickFor(10s, { "b", "c" });
@@ -154,7 +162,8 @@
     CHECK_TRUE(state.attempt->cause == failover_cause::Manual);
 }
 
-// Guards against M11: a leaving primary is replaced at once, not when it falls silent.
+// Guards against a leaving primary that is replaced only after it stops answering (requirement
+// M11).
 TEST(failover, leavingPrimaryIsReplaced)
 {
     tickFor(1s, { "a", "b", "c" });
@@ -163,66 +172,71 @@
     CHECK_TRUE(state.attempt && state.attempt->cause == failover_cause::Leaving);
 }
 
-// Guards against a second lead under one term: only real grants count, and each term has one
-// choice.
-TEST(failover, leadsOneMemberWithTheGreatestPosition)
+// Guards against `lead` for one term being sent to two members: refusals must not count as grants,
+// and a retry must go to the member that was chosen first.
+TEST(failover, promotesOneMemberWithTheGreatestPosition)
 {
     tickFor(5s, { "b", "c" });
-    const term_number asked = state.attempt->term;
+    const term_number requestedTerm = state.attempt->term;
     CHECK_TRUE(grant("b", false, { term, 9 }).empty());
     CHECK_TRUE(grant("a", true, { term, 9 }).empty());
     CHECK_TRUE(grant("c", true, { term, 6 }).empty());
     const failover_actions actions = grant("b", true, { term, 7 });
     UNSIGNED_LONGS_EQUAL(1, count(actions, failover_step::Lead));
     CHECK_TRUE((actions.front().member == member_id{ "b" }));
-    for (now += attemptTimeout; state.attempt && state.attempt->term == asked; now += 25ms) {
+    for (now += attemptTimeout; state.attempt && state.attempt->term == requestedTerm;
+         now += 25ms) {
         for (const auto &each : onTick(state, view, load, now, random))
             CHECK_TRUE(each.step != failover_step::Lead || each.member == member_id{ "b" });
     }
     CHECK_TRUE(state.suspectedPrimary == member_id{ "b" });
-    CHECK_TRUE(!state.attempt || state.attempt->term > asked);
+    CHECK_TRUE(!state.attempt || state.attempt->term > requestedTerm);
 }
 
-// Guards against members that keep their old primary: at once, and when they return late.
-TEST(failover, othersFollowTheNewPrimary)
+// Guards against members that keep following the old primary, both right after the promotion and
+// when they return later.
+TEST(failover, otherMembersFollowTheNewPrimary)
 {
     tickFor(5s, { "b", "c" });
-    const term_number asked = state.attempt->term;
+    const term_number requestedTerm = state.attempt->term;
     grant("b", true, { term, 7 });
     grant("c", true, { term, 6 });
-    failover_actions actions = onLead(state, view, { "b" }, asked, true, now, random);
+    failover_actions actions = onLead(state, view, { "b" }, requestedTerm, true, now, random);
     CHECK_FALSE(state.attempt.has_value());
     CHECK_TRUE(view.primary == member_id{ "b" });
     UNSIGNED_LONGS_EQUAL(1, count(actions, failover_step::Follow));
     UNSIGNED_LONGS_EQUAL(1, count(actions, failover_step::PublishView));
-    onFollow(state, { "c" }, asked, true);
+    onFollow(state, { "c" }, requestedTerm, true);
     now += 10s;
-    hear({ "a" });
+    observeMembers({ "a" });
     actions = onTick(state, view, load, now, random);
     UNSIGNED_LONGS_EQUAL(1, count(actions, failover_step::AcceptTerm));
-    actions = onAcceptTerm(state, view, { true, makeStatus("a", asked, { term, 9 }) }, asked, now,
-                           now, random);
+    actions = onAcceptTerm(state, view, { true, makeStatus("a", requestedTerm, { term, 9 }) },
+                           requestedTerm, now, now, random);
     UNSIGNED_LONGS_EQUAL(1, count(actions, failover_step::Follow));
     CHECK_TRUE((actions.front().primary == member_id{ "b" }));
 }
 
-// Guards against a duel of two promoters that ask for ever higher terms at the same time.
+// Guards against two owners that keep overtaking each other with ever higher terms, so that neither
+// promotion completes.
 TEST(failover, higherTermOvertakesAnAttempt)
 {
     tickFor(5s, { "b", "c" });
-    const term_number rival = nextTerm(state.attempt->term, 9);
-    const accept_term_answer refusal{ false, makeStatus("b", rival, { term, 7 }) };
+    const term_number rivalTerm = nextTerm(state.attempt->term, 9);
+    const accept_term_answer refusal{ false, makeStatus("b", rivalTerm, { term, 7 }) };
     CHECK_TRUE(onAcceptTerm(state, view, refusal, state.attempt->term, now, now, random).empty());
     CHECK_FALSE(state.attempt.has_value());
-    // The rival gets its time; only then, and if a majority is reachable, it is this owner's turn.
+    // The other owner has noPrimaryTimeout to finish. After it, this owner starts an attempt if a
+    // majority is reachable.
     tickFor(noPrimaryTimeout, { "b", "c" });
     CHECK_FALSE(state.attempt.has_value());
     tickFor(1s, { "b", "c" });
-    CHECK_TRUE(state.attempt && state.attempt->term > rival);
+    CHECK_TRUE(state.attempt && state.attempt->term > rivalTerm);
 }
 
-// Guards against replicas of a quiet group that look too old for the reads which come now and then.
-TEST(failover, quietGroupIsProbedAsOftenAsReadsNeed)
+// Guards against replicas of a group without traffic that look too old for occasional reads,
+// because they are probed less often than the reads' maximum age demands.
+TEST(failover, idleGroupIsProbedAsOftenAsReadsNeed)
 {
     load.hasWork = false;
     const auto probesIn = [&](duration wanted) {
@@ -231,7 +245,7 @@
         for (const time_point end = now + 3s; now < end; now += failoverTickInterval) {
             for (const auto &each : onTick(state, view, load, now, random)) {
                 probes += each.step == failover_step::Probe ? 1 : 0;
-                hear({ each.member.value.c_str() });
+                observeMembers({ each.member.value.c_str() });
             }
         }
         return probes;
@@ -245,8 +259,9 @@
     CHECK_TRUE(wantedAge(interest, now + readInterestLasts) == duration::zero());
 }
 
-// Guards against an operator's wish that outweighs the log: the greatest position always leads.
-TEST(failover, namedMemberLeadsOnlyAmongEqualPositions)
+// Guards against a member named by an operator being promoted over a member with a longer log,
+// which would lose writes.
+TEST(failover, preferredMemberIsChosenOnlyAmongEqualPositions)
 {
     promotion_attempt attempt;
     attempt.excluded = member_id{ "a" };
--- a/tests/unit-group-view.cpp
+++ b/tests/unit-group-view.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of what an owner knows about a group.
+/// @brief Tests of an owner's view of a group.
 
 #include <fuchsiagw/core/group_view.hpp>
 
@@ -36,8 +36,8 @@
     random_engine random{ 1 };
 };
 
-// Guards against knowledge that goes back to an old term after a late status.
-TEST(group_view, termNeverGoesBack)
+// Guards against a view that returns to an old term or an old primary when a status arrives late.
+TEST(group_view, termNeverDecreases)
 {
     observeStatus(view, makeStatus("a", 1, { 1, 5 }, member_role::Primary), now, now);
     CHECK_TRUE(view.primary == member_id{ "a" });
@@ -53,8 +53,9 @@
     UNSIGNED_LONGS_EQUAL(2, view.highestTerm);
 }
 
-// Guards against a member that still counts as holding entries which it has truncated.
-TEST(group_view, truncatedLogShrinks)
+// Guards against a member being credited with entries that it has truncated, because a reported
+// position can also decrease.
+TEST(group_view, truncationDecreasesTheLastPosition)
 {
     observeStatus(view, makeStatus("a", 2, { 1, 9 }), now, now);
     observeStatus(view, makeStatus("a", 2, { 1, 7 }), now, now);
@@ -64,7 +65,8 @@
     CHECK_TRUE((view.members[{ "a" }].last == log_position{ 2, 8 }));
 }
 
-// Guards against ages computed from a primary that a majority may already have left.
+// Guards against ages that are computed from samples of a deposed primary: they count only after a
+// majority has answered under the primary's term.
 TEST(group_view, samplesNeedAMajority)
 {
     observeStatus(view, makeStatus("a", 1, { 1, 5 }, member_role::Primary), now, now);
@@ -73,8 +75,8 @@
     CHECK_TRUE(ageOf(view.ages, { 1, 5 }, now + 1s) == duration(1s));
 }
 
-// Guards against statements that fail together and push a member out for seconds, and against a
-// member that stays out after it answered.
+// Guards against concurrent failures that each double the backoff and exclude a member for seconds,
+// and against a member that stays backed off after it has answered.
 TEST(group_view, failuresBackOffExponentially)
 {
     for (int i = 0; i < 10; ++i)
@@ -92,8 +94,8 @@
     CHECK_FALSE(isBackedOff(pause, now));
 }
 
-// Guards against a member that is far behind and returns with its next answer.
-TEST(group_view, memberFarBehindStaysOutUntilItHasCaughtUp)
+// Guards against a lagging member that is used again at its next answer, before it has caught up.
+TEST(group_view, laggingMemberStaysBackedOffUntilCaughtUp)
 {
     observeStatus(view, makeStatus("a", 1, { 1, 9 }, member_role::Primary), now, now);
     observeFailure(view, { "b" }, member_failure::FarBehind, now, random);
