--- a/include/fuchsiagw/core/failover.hpp
+++ b/include/fuchsiagw/core/failover.hpp
@@ -89,13 +89,13 @@
 /// A replica whose log is behind the primary and does not advance for this long is sent `follow`
 /// again.
 inline constexpr duration replicationStallTimeout = std::chrono::milliseconds(250);
-/// Owners that did not run the promotion wait this long before they send `accept_term` and `follow`
-/// to members that are still under an older term.
+/// Owners that did not run the promotion wait this long, plus a delay for their rank, before they
+/// send `accept_term` and `follow` to members that do not follow the new primary yet.
 inline constexpr duration followTakeoverDelay = std::chrono::milliseconds(300);
 inline constexpr duration followRetryInterval = std::chrono::milliseconds(100);
 inline constexpr duration maxFollowRetryInterval = std::chrono::seconds(2);
-/// A member under an older term is sent requests only if it has answered within this time. Until
-/// then it is only probed.
+/// `accept_term` and `follow` are sent only to a member that has answered within this time; other
+/// members are only probed.
 inline constexpr duration followReachabilityWindow = std::chrono::seconds(1);
 /// Time for which a promotion ordered by an operator is retried.
 inline constexpr duration manualPromotionTimeout = std::chrono::seconds(5);
@@ -181,7 +181,7 @@
 
 struct follow_task
 {
-    term_number term = 0; ///< the term of the primary to follow; the other members belong to it
+    term_number term = 0; ///< term of the primary to follow; the other fields refer to this term
     bool isPromoter = false; ///< this owner has promoted the primary
     bool isConfirmed = false; ///< the member has answered to /follow
     std::uint32_t attempts = 0;
--- a/include/fuchsiagw/detail/owner_steps.hpp
+++ b/include/fuchsiagw/detail/owner_steps.hpp
@@ -51,7 +51,7 @@
 void endMemberExchange(core::group_owner &owner, const core::pooled_connection &connection);
 
 /// @brief Closes a connection and removes it from the pool.
-void closeConnection(owner_context &context, core::connection_id id);
+void discardConnection(owner_context &context, core::connection_id id);
 
 /// @brief Dispatches queued statements while connections are available.
 void dispatchQueued(owner_context &context);
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -68,7 +68,7 @@
         const exchange_action action = onDeadline(statement.progress, statement.unsentReason);
         // The answer to the exchange may still arrive late, so its connection must not be reused.
         if (isSent && action.closeConnection)
-            closeConnection(context, id);
+            discardConnection(context, id);
         applyExchangeAction(context, handle, action);
     }
 }
@@ -136,7 +136,7 @@
     owner.pool.limit = limit;
     actions.emplace_back(owner_notice{ owner_event::ConnectionLimit, {}, 0, {}, limit });
     for (const connection_id id : surplusConnections(owner.pool))
-        closeConnection(context, id);
+        discardConnection(context, id);
     dispatchQueued(context);
 }
 
@@ -225,7 +225,7 @@
         return;
     }
     if (choice.step == connection_step::Replace)
-        closeConnection(context, choice.id);
+        discardConnection(context, choice.id);
     statement.stage = statement_stage::Connecting;
     statement.connection = addConnection(owner.pool, member, handle);
     const time_point limit = context.now + owner.limits.connectLimit;
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-member_failure silenceOrClosed(bool wasSilent)
+member_failure connectionFailure(bool wasSilent)
 {
     return wasSilent ? member_failure::Silence : member_failure::Closed;
 }
@@ -89,7 +89,7 @@
 {
     const auto transaction = context.owner.transactions.find(number);
     if (transaction != context.owner.transactions.end() && !transaction->second.isBusy)
-        closeConnection(context, transaction->second.connection);
+        discardConnection(context, transaction->second.connection);
     failStatement(context, handle, error_kind::TransactionLost);
 }
 
@@ -151,7 +151,7 @@
     if (ended || action.closeConnection)
         begun = finishTransactionStatement(context, statement, id, succeeded && !action.error);
     if (action.closeConnection)
-        closeConnection(context, id);
+        discardConnection(context, id);
     else if (!begun && owner.pool.connections.count(id) != 0)
         releaseConnection(context, id);
     if (begun && statement.request.kind == statement_kind::Begin) {
@@ -176,7 +176,7 @@
 {
     owned_statement &statement = context.owner.statements.at(handle);
     finishTransactionStatement(context, statement, id, false);
-    closeConnection(context, id);
+    discardConnection(context, id);
     exchange_action action;
     if (wasSent) {
         action = onConnectionLost(statement.progress, context.now);
@@ -234,9 +234,9 @@
     const member_id member = entry->second.member;
     const auto handle = findSentStatement(owner, id);
     if (!answer && wasSent)
-        recordMemberFailure(context, member, silenceOrClosed(wasSilent));
+        recordMemberFailure(context, member, connectionFailure(wasSilent));
     if (!handle)
-        closeConnection(context, id);
+        discardConnection(context, id);
     else if (answer)
         processAnswer(context, *handle, id, *answer);
     else
@@ -254,7 +254,7 @@
         return;
     recordMemberFailure(context, entry->second.member, member_failure::Closed);
     owner.transactions.erase(entry->second.transaction);
-    closeConnection(context, id);
+    discardConnection(context, id);
     dispatchQueued(context);
 }
 
@@ -309,7 +309,7 @@
     connection.statement = 0;
     connection.idleSince = context.now;
     if (owner.pool.connections.size() > owner.pool.limit) {
-        closeConnection(context, id);
+        discardConnection(context, id);
         return;
     }
     auto &readyQueue = owner.ready[connection.member];
@@ -336,7 +336,7 @@
     }
 }
 
-void closeConnection(owner_context &context, connection_id id)
+void discardConnection(owner_context &context, connection_id id)
 {
     group_owner &owner = context.owner;
     const auto entry = owner.pool.connections.find(id);
--- a/src/core/owner_transaction.cpp
+++ b/src/core/owner_transaction.cpp
@@ -85,7 +85,7 @@
         connection->second.transaction = 0;
         // Closing the connection makes the member roll back the failed transaction.
         if (!succeeded)
-            closeConnection(context, id);
+            discardConnection(context, id);
         return std::nullopt;
     }
     assert(transaction->second.connection == id);
@@ -105,7 +105,7 @@
             overdue.push_back(transaction.connection);
     }
     for (const connection_id id : overdue)
-        closeConnection(context, id);
+        discardConnection(context, id);
 }
 
 } // namespace fuchsiagw::detail
--- a/tests/unit-failover-matrix.cpp
+++ b/tests/unit-failover-matrix.cpp
@@ -285,7 +285,8 @@
     LONGS_EQUAL(0, count.failed);
 }
 
-// Guards against pairs of faults that are tolerated separately but not together, or not twice.
+// Guards against pairs of faults that are tolerated separately but not in combination, including
+// the same fault twice.
 TEST(failover_matrix, allPairsOfFaults)
 {
     cell_count count;
--- a/tests/unit-failover.cpp
+++ b/tests/unit-failover.cpp
@@ -76,8 +76,8 @@
 };
 
 // Guards against two owners that promote under the same term, and against terms that do not
-// increase. Both happen if the rank is missing from the term number or overflows into its upper
-// part.
+// increase. The former happens if the term does not contain the owner's rank, the latter if the
+// rank alters the upper bits of the term.
 TEST(failover, termsContainTheRank)
 {
     CHECK_TRUE(nextTerm(0, 3) != nextTerm(0, 4));
