--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief When and how the primary of a group is replaced.
+/// @brief Failure detection and promotion of a new primary in a database group.
 
 #include <fuchsiagw/core/failover.hpp>
 #include <fuchsiagw/detail/failover_steps.hpp>
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Answers to peers that suspect the primary are at most this frequent.
-constexpr duration publishEvery = std::chrono::milliseconds(50);
+/// Minimum interval between views that are published in reply to peers.
+constexpr duration minPublishInterval = std::chrono::milliseconds(50);
 std::int64_t timeoutFactor(const failover_state &state)
 {
     std::int64_t factor = 1;
@@ -26,7 +26,7 @@
 void clearSuspicion(failover_state &state)
 {
     state.suspicion.reset();
-    state.startAt = noDeadline;
+    state.attemptStartAt = noDeadline;
     state.isPostponedByClaim = false;
 }
 
@@ -46,7 +46,7 @@
     state.lastPublishedAt = now;
 }
 
-/// Members that can grant a term now, without the one that is to be replaced.
+/// Counts the members that can grant a term now, without the primary to be replaced.
 std::size_t countReachable(const group_view &view, const std::optional<member_id> &except,
                            time_point now)
 {
@@ -57,14 +57,15 @@
     return static_cast<std::size_t>(count);
 }
 
-// ---- silence and other causes ----
+// ---- causes of a promotion ----
 
 bool isSilent(const failover_state &state, time_point now)
 {
     const std::int64_t factor = timeoutFactor(state);
     const duration patience = suspectAfter * factor;
-    // A peer that has heard the primary since knows better: only the way from here is cut. A
-    // refusal is a sign of the member's own host, so only what a peer heard after it counts.
+    // If a peer has heard from the primary recently, only the path between this owner and the
+    // primary is cut. A refused connection is an answer of the primary's host, so it is outweighed
+    // only by an answer that a peer received later.
     if (state.refusedSince != noDeadline && now >= state.refusedSince + suspectAfterRefused * factor
         && state.lastHeardByPeer < state.refusedSince)
         return true;
@@ -84,7 +85,8 @@
             std::max(unconfirmedTimeout, load.confirmDelay * 2) * timeoutFactor(state);
     if (now < load.oldestUnconfirmed + patience || now < state.resumedAt + patience)
         return false;
-    // Slow replication still grows; a replica that is only far behind is no reason to promote.
+    // With slow replication the logs of the replicas still advance. Replicas that only lag are no
+    // reason for a promotion.
     return std::none_of(view.members.begin(), view.members.end(), [&](const auto &each) {
         const member_view &member = each.second;
         return each.first != *view.primary && member.lastAdvancedAt != time_point::min()
@@ -117,8 +119,8 @@
             return failover_cause::Unconfirmed;
         return std::nullopt;
     }
-    // An own attempt has fenced the old primary: it is finished even if the switch was turned off
-    // meanwhile, else the group would stay without a primary.
+    // An attempt of this owner has fenced the old primary. It is completed even if automatic
+    // promotion has been turned off since, as the group would otherwise stay without a primary.
     if (isOwnTerm)
         return failover_cause::NoPrimary;
     const bool isOverdue = now >= view.primarySince + noPrimaryTimeout
@@ -126,10 +128,11 @@
     return state.promotes && isOverdue ? std::optional(failover_cause::NoPrimary) : std::nullopt;
 }
 
-// ---- following ----
+// ---- follow requests ----
 
-/// Tells members that are under an old term, or don't grow, whom to follow. The promoter does so at
-/// once, the other owners only after it had its chance.
+/// Sends accept_term to members under an old term and `follow` to members whose log does not
+/// advance. The owner that ran the promotion does so at once, the other owners only after
+/// followTakeoverDelay and a delay for their rank.
 void followMembers(failover_state &state, const group_view &view, time_point now,
                    failover_actions &actions)
 {
@@ -140,26 +143,27 @@
     for (const auto &[id, member] : view.members) {
         if (id == *view.primary)
             continue;
-        follow_task &task = state.follows[id];
+        follow_task &task = state.followTasks[id];
         if (task.term != view.highestTerm) {
             task = follow_task{};
             task.term = view.highestTerm;
-            task.next = now + takeover;
+            task.nextAttemptAt = now + takeover;
         }
         const bool isStale = member.acceptedTerm < view.highestTerm;
         const bool isStalled =
                 member.last < primary->last
                 && std::max(member.lastAdvancedAt, view.primarySince) + replicationStallTimeout
                            <= now;
-        if (!isStale && !isStalled && (task.isConfirmed || !task.isOwn)) {
-            task.tries = 0;
-            task.next = task.isOwn ? now : now + takeover;
+        if (!isStale && !isStalled && (task.isConfirmed || !task.isPromoter)) {
+            task.attempts = 0;
+            task.nextAttemptAt = task.isPromoter ? now : now + takeover;
             continue;
         }
-        if (now < task.next || !isHeardWithin(member, followReachabilityWindow, now))
+        if (now < task.nextAttemptAt || !isHeardWithin(member, followReachabilityWindow, now))
             continue;
-        task.next = now + doubled(followRetryInterval, task.tries, maxFollowRetryInterval);
-        task.tries += 1;
+        task.nextAttemptAt =
+                now + exponentialDelay(followRetryInterval, task.attempts, maxFollowRetryInterval);
+        task.attempts += 1;
         if (isStale)
             actions.push_back(makeAction(failover_step::AcceptTerm, id, view.highestTerm));
         else
@@ -172,21 +176,24 @@
 void failAttempt(failover_state &state, time_point now, random_engine &random)
 {
     assert(state.attempt);
-    state.suspected = state.attempt->chosen ? state.attempt->chosen : state.attempt->excluded;
-    const duration spread = doubled(staggerJitter, state.failedAttempts, maxAttemptTimeout);
-    state.notBefore =
+    state.suspectedPrimary =
+            state.attempt->chosen ? state.attempt->chosen : state.attempt->excluded;
+    const duration spread =
+            exponentialDelay(staggerJitter, state.failedAttempts, maxAttemptTimeout);
+    state.earliestAttemptAt =
             now + duration(drawBelow(random, static_cast<std::uint64_t>(spread.count()) + 1));
     state.failedAttempts += 1;
     state.attempt.reset();
     clearSuspicion(state);
 }
 
-void lead(failover_state &state, const member_id &member, time_point now, failover_actions &actions)
+void requestLead(failover_state &state, const member_id &member, time_point now,
+                 failover_actions &actions)
 {
     promotion_attempt &attempt = *state.attempt;
     assert(!attempt.chosen || *attempt.chosen == member);
     attempt.chosen = member;
-    attempt.tries += 1;
+    attempt.leadAttempts += 1;
     attempt.deadline = now + attemptTimeout;
     actions.push_back(makeAction(failover_step::Lead, member, attempt.term, attemptTimeout));
 }
@@ -197,11 +204,12 @@
     promotion_attempt attempt;
     attempt.term = nextTerm(std::max(view.highestTerm, state.highestAttemptedTerm), state.rank);
     attempt.cause = cause;
-    attempt.excluded = view.primary ? view.primary : state.suspected;
+    attempt.excluded = view.primary ? view.primary : state.suspectedPrimary;
     if (cause == failover_cause::Manual)
         attempt.preferred = state.preferred;
     attempt.startedAt = now;
-    const duration timeout = doubled(attemptTimeout, state.failedAttempts, maxAttemptTimeout);
+    const duration timeout =
+            exponentialDelay(attemptTimeout, state.failedAttempts, maxAttemptTimeout);
     attempt.deadline = now + timeout;
     state.highestAttemptedTerm = attempt.term;
     for (const auto &[id, member] : view.members)
@@ -210,7 +218,8 @@
     clearSuspicion(state);
 }
 
-/// Drops an attempt that a higher term has overtaken and finishes one that has its primary.
+/// Drops the attempt if a higher term was seen, and finishes it if its term has a primary. Resets
+/// the failure detection when the primary has changed.
 void reconcileAttempt(failover_state &state, group_view &view, time_point now,
                       failover_actions &actions)
 {
@@ -225,7 +234,7 @@
             state.promotions.push_back(now);
         state.lastPrimaryTerm = view.highestTerm;
         state.failedAttempts = 0;
-        state.suspected.reset();
+        state.suspectedPrimary.reset();
         state.manualPromotionDeadline = time_point::min();
         state.lastHeardByPeer = time_point::min();
         clearSilence(state);
@@ -237,9 +246,9 @@
     for (const auto &[id, member] : view.members) {
         follow_task task;
         task.term = view.highestTerm;
-        task.isOwn = true;
-        task.next = now;
-        state.follows[id] = task;
+        task.isPromoter = true;
+        task.nextAttemptAt = now;
+        state.followTasks[id] = task;
     }
     publish(state, false, now, actions);
     followMembers(state, view, now, actions);
@@ -253,19 +262,20 @@
     if (attempt.chosen) {
         if (!isFinal)
             return;
-        if (attempt.tries < maxLeadAttempts)
-            lead(state, *attempt.chosen, now, actions);
+        if (attempt.leadAttempts < maxLeadAttempts)
+            requestLead(state, *attempt.chosen, now, actions);
         else
             failAttempt(state, now, random);
         return;
     }
     if (const auto member = choosePrimary(attempt, view, state.policy, isFinal))
-        lead(state, *member, now, actions);
+        requestLead(state, *member, now, actions);
     else if (isFinal)
         failAttempt(state, now, random);
 }
 
-/// Under the policies without a majority, a promotion must wait for more than reachable members.
+/// Under the policies that acknowledge without a majority, a promotion also has to wait for the end
+/// of the lease, or for a reachable member that holds the highest acknowledged position.
 bool isPromotionBlocked(const failover_state &state, const group_view &view,
                         const std::optional<member_id> &except, time_point now)
 {
@@ -279,8 +289,8 @@
     });
 }
 
-void watch(failover_state &state, const group_view &view, const failover_load &load, time_point now,
-           random_engine &random, failover_actions &actions)
+void evaluateSuspicion(failover_state &state, const group_view &view, const failover_load &load,
+                       time_point now, random_engine &random, failover_actions &actions)
 {
     const std::optional<failover_cause> cause = findCause(state, view, load, now);
     if (!cause) {
@@ -289,20 +299,21 @@
     }
     if (!state.suspicion) {
         const auto jitter = static_cast<std::uint64_t>(staggerJitter.count());
-        state.startAt = now + staggerPerRank * state.rank + duration(drawBelow(random, jitter));
+        state.attemptStartAt =
+                now + staggerPerRank * state.rank + duration(drawBelow(random, jitter));
         const term_number next =
                 nextTerm(std::max(view.highestTerm, state.highestAttemptedTerm), state.rank);
         actions.push_back(makeAction(failover_step::Claim, {}, next));
     }
     state.suspicion = cause;
-    if (now < state.startAt || now < state.notBefore)
+    if (now < state.attemptStartAt || now < state.earliestAttemptAt)
         return;
-    const std::optional<member_id> except = view.primary ? view.primary : state.suspected;
+    const std::optional<member_id> except = view.primary ? view.primary : state.suspectedPrimary;
     const std::size_t needed = majorityOf(view.members.size());
     const bool isReachable =
             countReachable(view, except, now) >= needed
             || (!view.primary && countReachable(view, std::nullopt, now) >= needed);
-    // An attempt that can't succeed would only take the members that it reaches out of service.
+    // An attempt without a chance of success would only fence the members that it reaches.
     if (cause != failover_cause::Manual
         && (!isReachable || isPromotionBlocked(state, view, view.primary, now)))
         return;
@@ -381,7 +392,7 @@
     if (state.attempt)
         advanceAttempt(state, view, now, random, actions);
     else
-        watch(state, view, load, now, random, actions);
+        evaluateSuspicion(state, view, load, now, random, actions);
     followMembers(state, view, now, actions);
     const bool asksPeers = !view.primary || isProbeOverdue(state, now);
     if (asksPeers && state.lastPublishedAt + suspectProbeInterval <= now)
@@ -417,8 +428,8 @@
     observeStatus(view, answer.status, askedAt, now);
     reconcileAttempt(state, view, now, actions);
     const member_id &member = answer.status.member;
-    // Only a grant counts. A refusal with the same term may be the answer to a repeated request,
-    // but also to that of an earlier run of this instance.
+    // Only a grant counts. A refusal that carries the same term may answer a duplicate of this
+    // request, but also a request from an earlier run of this instance.
     const bool isGrant =
             answer.accepted && answer.status.term == term && view.members.contains(member);
     if (state.attempt && state.attempt->term == term && !state.attempt->chosen) {
@@ -436,13 +447,13 @@
                         term_number term, bool leads, time_point now, random_engine &random)
 {
     failover_actions actions;
-    const bool isOwn =
+    const bool isCurrentAttempt =
             state.attempt && state.attempt->term == term && state.attempt->chosen == member;
     if (leads)
         observePrimary(view, member, term, now);
     reconcileAttempt(state, view, now, actions);
-    if (!leads && isOwn && state.attempt) {
-        // Repeats the request, or gives the attempt up after the last try.
+    if (!leads && isCurrentAttempt && state.attempt) {
+        // Repeats the request, or gives the attempt up after maxLeadAttempts.
         state.attempt->deadline = now;
         advanceAttempt(state, view, now, random, actions);
     }
@@ -451,8 +462,8 @@
 
 void onFollow(failover_state &state, const member_id &member, term_number term, bool follows)
 {
-    const auto task = state.follows.find(member);
-    if (task != state.follows.end() && task->second.term == term)
+    const auto task = state.followTasks.find(member);
+    if (task != state.followTasks.end() && task->second.term == term)
         task->second.isConfirmed = task->second.isConfirmed || follows;
 }
 
@@ -478,7 +489,7 @@
         state.lastHeardByPeer = std::max(state.lastHeardByPeer, now - heardAgo);
     const bool canHelp = peer.term < view.highestTerm
                          || (peer.suspects && isHeardWithin(*primary, suspectAfter, now));
-    if (canHelp && state.lastPublishedAt + publishEvery <= now)
+    if (canHelp && state.lastPublishedAt + minPublishInterval <= now)
         publish(state, false, now, actions);
     return actions;
 }
@@ -487,7 +498,7 @@
 {
     if (granted || !state.suspicion || state.isPostponedByClaim)
         return;
-    state.startAt = std::max(state.startAt, now + rivalClaimDelay);
+    state.attemptStartAt = std::max(state.attemptStartAt, now + rivalClaimDelay);
     state.isPostponedByClaim = true;
 }
 
@@ -497,7 +508,7 @@
     failover_actions actions;
     state.manualPromotionDeadline = now + manualPromotionTimeout;
     if (!state.attempt) {
-        state.notBefore = time_point::min();
+        state.earliestAttemptAt = time_point::min();
         startAttempt(state, view, failover_cause::Manual, now, actions);
         actions.push_back(makeAction(failover_step::Claim, {}, state.attempt->term));
     } else {
--- a/src/core/failover_probe.cpp
+++ b/src/core/failover_probe.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief When which member is probed.
+/// @brief Scheduling of the probes.
 
 #include <fuchsiagw/core/failover.hpp>
 #include <fuchsiagw/detail/failover_steps.hpp>
@@ -12,41 +12,42 @@
 
 namespace {
 
-/// Probes of a primary without an answer after which their interval starts to grow.
+/// Number of unanswered urgent probes after which the interval between them grows.
 constexpr std::uint32_t probesAtFullRate = 8;
 constexpr duration maxSilentProbeInterval = std::chrono::seconds(1);
 
-/// @return how long after the last sign or probe the next probe is due
+/// @return the minimum time between two probes of a member
 duration probeInterval(const probe_schedule &schedule, bool isUrgent, duration silence)
 {
     const std::uint32_t unanswered = schedule.unanswered;
     if (!isUrgent)
-        return doubled(silence, unanswered, backoffLongest);
-    const std::uint32_t beyond =
+        return exponentialDelay(silence, unanswered, backoffLongest);
+    const std::uint32_t excessProbes =
             unanswered > probesAtFullRate ? (unanswered - probesAtFullRate) / 2 : 0;
-    return doubled(suspectProbeInterval, beyond, maxSilentProbeInterval);
+    return exponentialDelay(suspectProbeInterval, excessProbes, maxSilentProbeInterval);
 }
 
 void probeMember(failover_state &state, const member_id &id, member_view &member, bool isPrimary,
                  bool isUrgent, duration silence, time_point now, random_engine &random,
                  failover_actions &actions)
 {
-    probe_schedule &schedule = state.schedule[id];
-    if (member.lastHeard >= schedule.sent)
+    probe_schedule &schedule = state.probeSchedules[id];
+    if (member.lastHeard >= schedule.lastSentAt)
         schedule.unanswered = 0;
-    const bool isQuiet = !isHeardWithin(member, silence, now) || member.pause.failures > 0
-                         || member.unverifiedSince != time_point::min();
-    const bool isSpaced = schedule.sent == time_point::min()
-                          || schedule.sent + probeInterval(schedule, isUrgent, silence) <= now;
-    if (!isQuiet || !isSpaced)
+    const bool needsProbe = !isHeardWithin(member, silence, now) || member.pause.failures > 0
+                            || member.unverifiedSince != time_point::min();
+    const bool isIntervalElapsed =
+            schedule.lastSentAt == time_point::min()
+            || schedule.lastSentAt + probeInterval(schedule, isUrgent, silence) <= now;
+    if (!needsProbe || !isIntervalElapsed)
         return;
     if (!isPrimary && !isUrgent && member.pause.failures > 0) {
         if (isBackedOff(member.pause, now))
             return;
-        // Moves the next probe; an answer clears the backoff.
+        // Postpones the next probe. An answer of the member clears the backoff.
         recordFailure(member.pause, now, random);
     }
-    schedule.sent = now;
+    schedule.lastSentAt = now;
     schedule.unanswered += 1;
     if (isPrimary && state.silentSince == noDeadline)
         state.silentSince = now;
@@ -60,9 +61,9 @@
     return member.lastHeard != time_point::min() && member.lastHeard + window >= now;
 }
 
-duration doubled(duration first, std::uint32_t times, duration longest)
+duration exponentialDelay(duration first, std::uint32_t times, duration longest)
 {
-    constexpr std::uint32_t longestExponent = 16; // keeps the shift defined
+    constexpr std::uint32_t longestExponent = 16; // keeps the shift within the width of the type
     return std::min(first * (std::int64_t{ 1 } << std::min(times, longestExponent)), longest);
 }
 
@@ -94,25 +95,25 @@
     if (primary != nullptr && state.silentSince != noDeadline
         && primary->lastHeard >= state.silentSince)
         clearSilence(state);
-    const bool isAlarmed =
+    const bool isPrimaryUncertain =
             state.suspicion || state.attempt || primary == nullptr || isProbeOverdue(state, now);
     for (auto &[id, member] : view.members) {
         const bool isPrimary = view.primary == id;
-        if (!isPrimary && !state.probes && !isAlarmed && member.pause.failures > 0)
+        if (!isPrimary && !state.probes && !isPrimaryUncertain && member.pause.failures > 0)
             continue;
         duration silence = load.hasWork ? replicaProbeAfterSilence : idleProbeAfterSilence;
         if (isPrimary && load.hasWork)
             silence = primaryProbeAfterSilence;
         if (load.wantedAge > duration::zero()) {
-            // What a replica holds but does not show yet will be visible very soon.
+            // Entries that a replica holds but has not applied will be visible to reads soon.
             const bool isApplying = member.applied < member.last;
             const duration fresh = isApplying ? minFreshProbeInterval : load.wantedAge / 3;
             silence = std::min(silence, std::max(fresh, minFreshProbeInterval));
         }
-        if (isAlarmed && !isPrimary)
+        if (isPrimaryUncertain && !isPrimary)
             silence = suspectProbeInterval;
-        probeMember(state, id, member, isPrimary, isAlarmed || (isPrimary && load.hasWork), silence,
-                    now, random, actions);
+        probeMember(state, id, member, isPrimary, isPrimaryUncertain || (isPrimary && load.hasWork),
+                    silence, now, random, actions);
     }
 }
 
