--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -9,7 +9,7 @@
 #include <fuchsiagw/core/gateway_action.hpp>
 #include <fuchsiagw/core/group_owner.hpp>
 #include <fuchsiagw/core/key_check.hpp>
-#include <fuchsiagw/core/limit_keeper.hpp>
+#include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/session.hpp>
 
 #include <cstdint>
@@ -71,7 +71,7 @@
 
     std::map<instance_id, peer_instance> peers; ///< without this instance
     std::map<group_id, group_owner> owners;
-    limit_keeper keeper; ///< rates, bursts and connections over all instances
+    limit_manager keeper; ///< rates, bursts and connections over all instances
     std::set<incarnation_id> ownIncarnations; ///< all that this process has had
     std::map<std::uint64_t, entry_statement> entries; ///< by handle
     std::set<std::pair<time_point, std::uint64_t>> deadlines;
@@ -91,19 +91,19 @@
 
 /// @brief Prepares a gateway without configuration.
 /// @param self its zone and instance; the incarnation is a fresh random number
-[[nodiscard]] gateway makeGateway(const peer_ref &self, const keeper_settings &settings,
+[[nodiscard]] gateway makeGateway(const peer_ref &self, const limit_manager_settings &settings,
                                   time_point now);
 
 /// @brief Takes in which entry instances are live.
 void onLivePeers(gateway_turn &turn, std::vector<peer_ref> live);
 
 /// @brief Hands an event to the keeper of the limits and passes its actions on.
-/// @param step calls one of the functions of limit_keeper.hpp
+/// @param step calls one of the functions of limit_manager.hpp
 template <typename function>
 void withKeeper(gateway_turn &turn, function &&step);
 
 /// @brief Turns the keeper's actions into the gateway's.
-void passOn(gateway_turn &turn, keeper_actions &&actions);
+void passOn(gateway_turn &turn, limit_manager_actions &&actions);
 
 /// @brief Puts a configuration in force. Versions only go forward.
 /// @return false if @p config is not newer than the one in force
@@ -157,7 +157,7 @@
 template <typename function>
 void withKeeper(gateway_turn &turn, function &&step)
 {
-    keeper_actions actions;
+    limit_manager_actions actions;
     step(turn.state.keeper, actions);
     passOn(turn, std::move(actions));
 }
--- a/include/fuchsiagw/core/gateway_action.hpp
+++ b/include/fuchsiagw/core/gateway_action.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <fuchsiagw/core/ids.hpp>
-#include <fuchsiagw/core/limit_keeper.hpp>
+#include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/owner_action.hpp>
 #include <fuchsiagw/core/session.hpp>
 #include <fuchsiagw/core/statement.hpp>
@@ -58,7 +58,7 @@
 };
 
 using gateway_action = std::variant<group_action, caller_reply, forward_statement, forward_result,
-                                    keeper_send, keeper_call, incarnation_changed>;
+                                    limit_message, limit_platform_call, incarnation_changed>;
 
 using gateway_actions = std::vector<gateway_action>;
 
--- a/include/fuchsiagw/core/limit_keeper.hpp
+++ b/include/fuchsiagw/core/limit_manager.hpp
@@ -36,7 +36,7 @@
 /// @return settings of loans of connections: they are extended well before connectionWindDown
 [[nodiscard]] loan_settings connectionLoanSettings();
 
-struct keeper_settings
+struct limit_manager_settings
 {
     lease_times leases;
     loan_settings rates; ///< of loans of workspaces' shares
@@ -44,31 +44,31 @@
 };
 
 /// What keepers say to each other.
-using keeper_body = std::variant<lease_request, lease_promise, vote_request, expiry_vote,
-                                 loan_request, loan_grant, loan_returns>;
+using limit_message_body = std::variant<lease_request, lease_promise, vote_request, expiry_vote,
+                                        loan_request, loan_grant, loan_returns>;
 
-struct keeper_send
+struct limit_message
 {
     incarnation_id to = 0;
-    keeper_body body;
+    limit_message_body body;
 };
 
 /// A call to the platform, answered by onScan() or onTransact().
-struct keeper_call
+struct limit_platform_call
 {
     std::uint64_t number = 0;
     std::variant<std::string, transact_request> order; ///< the prefix of a scan, or a transaction
 };
 
 /// End of an admission that had to wait.
-struct keeper_admitted
+struct admission_outcome
 {
     std::uint64_t ticket = 0;
     bool granted = false;
 };
 
 /// Connections that this instance may have open from now on.
-struct keeper_connections
+struct connection_limit_change
 {
     group_id group;
     std::uint32_t limit = 0;
@@ -76,12 +76,12 @@
 
 /// The incarnation was voted expired: nothing is granted any more. The caller starts a new keeper
 /// with a new incarnation.
-struct keeper_expired
+struct limit_manager_expired
 { };
 
-using keeper_action =
-        std::variant<keeper_send, keeper_call, keeper_admitted, keeper_connections, keeper_expired>;
-using keeper_actions = std::vector<keeper_action>;
+using limit_manager_action = std::variant<limit_message, limit_platform_call, admission_outcome,
+                                          connection_limit_change, limit_manager_expired>;
+using limit_manager_actions = std::vector<limit_manager_action>;
 
 /// A statement that waits for a token.
 struct waiting_admission
@@ -159,15 +159,15 @@
 
 /// Invariants: nothing is granted once isExpired; home shares are used only if hasJoined; one call
 /// to the platform is under way at most.
-struct limit_keeper
+struct limit_manager
 {
     peer_ref self;
-    keeper_settings settings;
+    limit_manager_settings settings;
     std::vector<peer_ref> live; ///< ascending by instance, this one included
     lease_holder lease;
     lease_witness witness;
-    loan_desk rates; ///< workspaces
-    loan_desk connections; ///< groups
+    loan_manager rates; ///< workspaces
+    loan_manager connections; ///< groups
     std::map<resource_id, keeper_limit> limits;
     std::map<group_id, std::uint32_t> groups; ///< connections by the configuration
     std::set<group_id> owned;
@@ -198,25 +198,25 @@
 };
 
 /// @brief Prepares the keeper of a new incarnation. It has no limits before onConfiguration().
-[[nodiscard]] limit_keeper makeKeeper(const peer_ref &self, const keeper_settings &settings,
-                                      time_point now);
+[[nodiscard]] limit_manager
+makeLimitManager(const peer_ref &self, const limit_manager_settings &settings, time_point now);
 
 /// @brief Takes in which entry instances are live. An instance whose incarnation is not known (0)
 /// counts for the fair parts only. This instance need not be listed.
 /// @complexity linear in the peers; the fair parts follow during the next ticks
-void onPeers(limit_keeper &keeper, std::vector<peer_ref> live, time_point now,
-             random_engine &random, keeper_actions &actions);
+void onPeers(limit_manager &keeper, std::vector<peer_ref> live, time_point now,
+             random_engine &random, limit_manager_actions &actions);
 
 /// @brief Takes in a new configuration: rates, bursts, connections and switches.
 /// @complexity linear in the workspaces and groups, times logarithm
-void onConfiguration(limit_keeper &keeper, const configuration &config, time_point now,
-                     random_engine &random, keeper_actions &actions);
+void onConfiguration(limit_manager &keeper, const configuration &config, time_point now,
+                     random_engine &random, limit_manager_actions &actions);
 
 /// @brief Takes in which groups this instance owns for its zone. The connections of a group that
 /// it owns no longer are returned once they are closed.
 /// @complexity linear in the limits, times logarithm
-void onOwnedGroups(limit_keeper &keeper, const std::set<group_id> &owned, time_point now,
-                   random_engine &random, keeper_actions &actions);
+void onOwnedGroups(limit_manager &keeper, const std::set<group_id> &owned, time_point now,
+                   random_engine &random, limit_manager_actions &actions);
 
 /// @brief Sets the demand for a group's connections. Call it before any other function whenever a
 /// connection was opened or closed: shares of open connections are not given away.
@@ -224,53 +224,53 @@
 /// @param idle open connections that can be closed at once; the limit is lowered for a peer that
 /// asks for them, and if they are borrowed
 /// @complexity logarithmic in the limits
-void setGroupDemand(limit_keeper &keeper, const group_id &group, std::uint32_t inUse,
+void setGroupDemand(limit_manager &keeper, const group_id &group, std::uint32_t inUse,
                     std::uint32_t waiting, time_point now, std::uint32_t idle = 0);
 
-/// @brief Decides on a statement. After admission::Wait a keeper_admitted action with its ticket
+/// @brief Decides on a statement. After admission::Wait a admission_outcome action with its ticket
 /// follows, at the latest after the admission wait.
 /// @complexity logarithmic in the limits
-[[nodiscard]] admission admitStatement(limit_keeper &keeper, const workspace_id &workspace,
+[[nodiscard]] admission admitStatement(limit_manager &keeper, const workspace_id &workspace,
                                        std::uint64_t ticket, time_point now,
-                                       keeper_actions &actions);
+                                       limit_manager_actions &actions);
 
 /// @brief Forgets a statement that waits, because its caller has gone.
 /// @complexity linear in the workspace's waiting statements
-void abandonStatement(limit_keeper &keeper, const workspace_id &workspace, std::uint64_t ticket);
+void abandonStatement(limit_manager &keeper, const workspace_id &workspace, std::uint64_t ticket);
 
 /// @brief Takes in a message of another keeper. One that names another sender is ignored.
 /// @complexity linear in the message
-void onMessage(limit_keeper &keeper, incarnation_id from, const keeper_body &body, time_point now,
-               random_engine &random, keeper_actions &actions);
+void onMessage(limit_manager &keeper, incarnation_id from, const limit_message_body &body,
+               time_point now, random_engine &random, limit_manager_actions &actions);
 
 /// @brief A scan was answered, or not.
 /// @complexity linear in the rows
-void onScan(limit_keeper &keeper, std::uint64_t number, const std::optional<scan_answer> &answer,
-            time_point now, random_engine &random, keeper_actions &actions);
+void onScan(limit_manager &keeper, std::uint64_t number, const std::optional<scan_answer> &answer,
+            time_point now, random_engine &random, limit_manager_actions &actions);
 
 /// @brief A transaction was answered, or not; without an answer it may have been committed.
 /// @complexity linear in the transaction
-void onTransact(limit_keeper &keeper, std::uint64_t number,
+void onTransact(limit_manager &keeper, std::uint64_t number,
                 const std::optional<transact_answer> &answer, time_point now, random_engine &random,
-                keeper_actions &actions);
+                limit_manager_actions &actions);
 
-/// @brief Does what is due. Call it at nextKeeperTick().
+/// @brief Does what is due. Call it at nextLimitManagerTick().
 /// @complexity linear in the active limits and the watched leases
-void tickKeeper(limit_keeper &keeper, time_point now, random_engine &random,
-                keeper_actions &actions);
+void tickLimitManager(limit_manager &keeper, time_point now, random_engine &random,
+                      limit_manager_actions &actions);
 
-/// @return when tickKeeper() must be called again at the latest
+/// @return when tickLimitManager() must be called again at the latest
 /// @complexity linear in the workspaces
-[[nodiscard]] time_point nextKeeperTick(const limit_keeper &keeper);
+[[nodiscard]] time_point nextLimitManagerTick(const limit_manager &keeper);
 
 /// @brief Begins a planned stop: lends nothing more, admits nothing new and returns the shares,
 /// those of connections once they are closed. Call it when no statement comes any more; those that
-/// wait are still decided. The caller bounds the time and continues to call tickKeeper().
+/// wait are still decided. The caller bounds the time and continues to call tickLimitManager().
 /// @complexity linear in the limits
-void startLeaving(limit_keeper &keeper, time_point now, random_engine &random,
-                  keeper_actions &actions);
+void startLeaving(limit_manager &keeper, time_point now, random_engine &random,
+                  limit_manager_actions &actions);
 
 /// @return whether the stop is complete: no share is recorded for this incarnation
-[[nodiscard]] bool hasLeft(const limit_keeper &keeper);
+[[nodiscard]] bool hasLeft(const limit_manager &keeper);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/loan_message.hpp
+++ b/include/fuchsiagw/core/loan_message.hpp
@@ -11,7 +11,7 @@
 
 namespace fuchsiagw::core {
 
-struct loan_ask
+struct loan_request_item
 {
     resource_id resource;
     loan_kind kind = loan_kind::Rate;
@@ -29,7 +29,7 @@
     incarnation_id borrower = 0;
     std::uint64_t number = 0; ///< increases with every request of the borrower
     std::int64_t sentAt = 0; ///< on the borrower's clock; meaningless to the lender
-    std::vector<loan_ask> asks;
+    std::vector<loan_request_item> asks;
 
     template <typename archive>
     void serialize(archive &ar)
--- a/include/fuchsiagw/core/loan_policy.hpp
+++ b/include/fuchsiagw/core/loan_policy.hpp
@@ -25,7 +25,7 @@
 {
     loan_times times;
     /// Covers several round trips between zones; a statement above the rate is delayed by it once.
-    duration admissionWait = std::chrono::milliseconds(200);
+    duration maxAdmissionWait = std::chrono::milliseconds(200);
     duration scanEvery = std::chrono::milliseconds(100);
     duration renewLead = std::chrono::seconds(1); ///< before the end of a loan
     duration renewRetry = std::chrono::milliseconds(300);
@@ -60,7 +60,7 @@
 };
 
 /// Invariant: a limit is in active while it has demand, loans in or waiting statements.
-struct loan_desk
+struct loan_manager
 {
     peer_ref self;
     loan_settings settings;
@@ -76,51 +76,51 @@
 
 enum class admission : std::uint8_t {
     Granted,
-    Wait, ///< for a token, at most settings.admissionWait
+    Wait, ///< for a token, at most settings.maxAdmissionWait
     Refused, ///< error_kind::RateLimited
 };
 
 /// @brief Prepares a desk; its limits are added by openLimit().
-[[nodiscard]] loan_desk makeDesk(const peer_ref &self, const loan_settings &settings,
-                                 time_point now);
+[[nodiscard]] loan_manager makeLoanManager(const peer_ref &self, const loan_settings &settings,
+                                           time_point now);
 
 /// @brief Adds a limit or changes its rate and burst.
 /// @complexity logarithmic in the limits
-limit_entry &openLimit(loan_desk &desk, const resource_id &resource, std::int64_t rate,
+limit_entry &openLimit(loan_manager &desk, const resource_id &resource, std::int64_t rate,
                        token_amount burst, share_count total, time_point now);
 
 /// @brief Removes a limit that was withdrawn. Its loans end by themselves.
 /// @complexity logarithmic in the limits
-void closeLimit(loan_desk &desk, const resource_id &resource);
+void closeLimit(loan_manager &desk, const resource_id &resource);
 
 /// @brief Sets which peers may be asked for loans of @p resource, usually its shareHolders().
 /// @complexity linear in the peers, times logarithm
-void setCandidates(loan_desk &desk, const resource_id &resource,
+void setCandidates(loan_manager &desk, const resource_id &resource,
                    const std::vector<incarnation_id> &holders, const std::vector<peer_ref> &live,
                    random_engine &random);
 
 /// @brief Applies the lease's deadline to the home shares of all limits.
 /// @complexity linear in the limits
-void setHomeUntil(loan_desk &desk, time_point until, time_point now);
+void setHomeUntil(loan_manager &desk, time_point until, time_point now);
 
 /// @brief Decides on a statement that arrives. After admission::Wait the caller polls the desk at
 /// once and tries admitWaiting() when a grant comes and at nextTokenAt().
 /// @complexity logarithmic in the limits
-[[nodiscard]] admission admit(loan_desk &desk, const resource_id &resource, time_point now);
+[[nodiscard]] admission admit(loan_manager &desk, const resource_id &resource, time_point now);
 
 /// @brief Takes a token for the statement that has waited longest.
 /// @complexity logarithmic in the limits
-[[nodiscard]] bool admitWaiting(loan_desk &desk, const resource_id &resource, time_point now);
+[[nodiscard]] bool admitWaiting(loan_manager &desk, const resource_id &resource, time_point now);
 
 /// @brief Notes that a waiting statement was refused or its caller has gone.
-void abandonWaiting(loan_desk &desk, const resource_id &resource);
+void abandonWaiting(loan_manager &desk, const resource_id &resource);
 
 /// @return when the limit will have a token without any loan; noDeadline if never
-[[nodiscard]] time_point nextTokenAt(const loan_desk &desk, const resource_id &resource);
+[[nodiscard]] time_point nextTokenAt(const loan_manager &desk, const resource_id &resource);
 
 /// @brief Sets the demand for a group's connections.
 /// @complexity logarithmic in the limits
-void setConnections(loan_desk &desk, const resource_id &group, std::uint32_t inUse,
+void setConnections(loan_manager &desk, const resource_id &group, std::uint32_t inUse,
                     std::uint32_t waiting);
 
 /// @brief Shares that this instance needs for its own demand, at most the total.
@@ -130,25 +130,25 @@
 /// @brief Sends the requests and returns that are due. Call it at nextPollAt() and after
 /// admission::Wait.
 /// @complexity linear in the active limits once per scanEvery, else in the urgent ones
-[[nodiscard]] std::vector<loan_message> poll(loan_desk &desk, time_point now);
+[[nodiscard]] std::vector<loan_message> poll(loan_manager &desk, time_point now);
 
 /// @return when poll() has something to do, at the latest after scanEvery
 /// @complexity linear in the urgent limits
-[[nodiscard]] time_point nextPollAt(const loan_desk &desk);
+[[nodiscard]] time_point nextPollAt(const loan_manager &desk);
 
 /// @brief Answers a borrower. Loans that this instance does not need itself any more are returned
 /// at once, because somebody asks for the resource.
 /// @complexity linear in the asks
-[[nodiscard]] std::vector<loan_message> onLoanRequest(loan_desk &desk, const loan_request &request,
-                                                      time_point now);
+[[nodiscard]] std::vector<loan_message> onLoanRequest(loan_manager &desk,
+                                                      const loan_request &request, time_point now);
 
 /// @return the resources that have more shares or tokens now
 /// @complexity linear in the loans
-std::vector<resource_id> onLoanGrant(loan_desk &desk, const loan_grant &grant, time_point now);
+std::vector<resource_id> onLoanGrant(loan_manager &desk, const loan_grant &grant, time_point now);
 
 /// @return the resources that have more shares or tokens now
 /// @complexity linear in the loans
-std::vector<resource_id> onLoanReturns(loan_desk &desk, const loan_returns &returns,
+std::vector<resource_id> onLoanReturns(loan_manager &desk, const loan_returns &returns,
                                        time_point now);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/daemon/decide.hpp
+++ b/include/fuchsiagw/daemon/decide.hpp
@@ -93,10 +93,10 @@
     void log(const core::group_id &group, const core::owner_notice &notice);
     void log(const core::caller_reply &reply);
     void callPlatform(platform::platform_order order, platform_handler done);
-    void callKeeperOrder(core::keeper_call &&call);
+    void callKeeperOrder(core::limit_platform_call &&call);
     void onMembers();
     void claim(const core::group_id &group, core::term_number term);
-    void send(core::keeper_send &&message);
+    void send(core::limit_message &&message);
     void send(core::forward_statement &&forward);
     void send(core::forward_result &&result);
     void send(const core::group_id &group, const core::publish_to_owners &view);
--- a/include/fuchsiagw/testing/limits_world.hpp
+++ b/include/fuchsiagw/testing/limits_world.hpp
@@ -108,7 +108,7 @@
     core::duration clockOffset{ 0 };
     core::lease_holder lease;
     core::lease_witness witness;
-    core::loan_desk desk;
+    core::loan_manager desk;
     core::time_point homeUntil{};
     std::vector<core::peer_ref> knownPeers;
     std::shared_ptr<platform_call> call; ///< at most one at a time
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -272,7 +272,7 @@
         owner.failover.promotes = isAutomatic(state.config, automatic_action::Promotion);
         owner.failover.probes = isAutomatic(state.config, automatic_action::Probing);
     }
-    withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
+    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
         onOwnedGroups(keeper, owned, turn.now, turn.random, actions);
     });
 }
@@ -296,7 +296,7 @@
 {
     entry_statement &entry = turn.state.entries.at(handle);
     admission result = admission::Refused;
-    keeper_actions actions;
+    limit_manager_actions actions;
     result = admitStatement(turn.state.keeper, entry.request.workspace, handle, turn.now, actions);
     entry.isWaiting = result == admission::Wait;
     passOn(turn, std::move(actions));
@@ -306,7 +306,7 @@
         fail(turn, handle, error_kind::RateLimited);
 }
 
-void onAdmitted(gateway_turn &turn, const keeper_admitted &outcome)
+void onAdmitted(gateway_turn &turn, const admission_outcome &outcome)
 {
     const auto entry = turn.state.entries.find(outcome.ticket);
     if (entry == turn.state.entries.end() || !entry->second.isWaiting)
@@ -343,9 +343,9 @@
     state.incarnation = turn.random();
     state.ownIncarnations.insert(state.incarnation);
     const peer_ref self{ state.incarnation, state.instance, state.zone };
-    state.keeper = makeKeeper(self, state.keeper.settings, turn.now);
+    state.keeper = makeLimitManager(self, state.keeper.settings, turn.now);
     turn.actions.emplace_back(incarnation_changed{ state.incarnation });
-    withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
+    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
         onConfiguration(keeper, state.config, turn.now, turn.random, actions);
     });
     for (auto &[group, owner] : state.owners) {
@@ -380,7 +380,7 @@
         if (settings != config.groups.end())
             applySettings(owner.view, group, settings->second);
     }
-    withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
+    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
         onConfiguration(keeper, config, turn.now, turn.random, actions);
     });
     return true;
@@ -478,8 +478,8 @@
         passOn(turn, group, std::move(actions));
     }
     dispatchAgain(turn);
-    withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
-        tickKeeper(keeper, turn.now, turn.random, actions);
+    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
+        tickLimitManager(keeper, turn.now, turn.random, actions);
         if (state.isDraining && state.entries.empty() && !keeper.isLeaving)
             startLeaving(keeper, turn.now, turn.random, actions);
     });
@@ -499,7 +499,7 @@
 
 time_point nextWakeup(const gateway &state)
 {
-    time_point next = nextKeeperTick(state.keeper);
+    time_point next = nextLimitManagerTick(state.keeper);
     for (const auto &[group, owner] : state.owners)
         next = std::min(next, nextWakeup(owner));
     if (!state.deadlines.empty())
@@ -509,20 +509,20 @@
     return next;
 }
 
-gateway makeGateway(const peer_ref &self, const keeper_settings &settings, time_point now)
+gateway makeGateway(const peer_ref &self, const limit_manager_settings &settings, time_point now)
 {
     gateway state;
     state.instance = self.instance;
     state.zone = self.zone;
     state.incarnation = self.incarnation;
     state.ownIncarnations.insert(self.incarnation);
-    state.keeper = makeKeeper(self, settings, now);
+    state.keeper = makeLimitManager(self, settings, now);
     return state;
 }
 
 void onLivePeers(gateway_turn &turn, std::vector<peer_ref> live)
 {
-    withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
+    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
         onPeers(keeper, std::move(live), turn.now, turn.random, actions);
     });
     turn.state.nextOwnerCheck = turn.now;
@@ -580,17 +580,17 @@
         reportDemand(turn.state, owner->second, turn.now);
 }
 
-void passOn(gateway_turn &turn, keeper_actions &&actions)
+void passOn(gateway_turn &turn, limit_manager_actions &&actions)
 {
-    for (keeper_action &each : actions) {
-        if (const auto *admitted = std::get_if<keeper_admitted>(&each)) {
+    for (limit_manager_action &each : actions) {
+        if (const auto *admitted = std::get_if<admission_outcome>(&each)) {
             onAdmitted(turn, *admitted);
-        } else if (const auto *limit = std::get_if<keeper_connections>(&each)) {
+        } else if (const auto *limit = std::get_if<connection_limit_change>(&each)) {
             if (turn.state.config.groups.count(limit->group) != 0)
                 limitConnections(turn, limit->group, limit->limit);
-        } else if (auto *message = std::get_if<keeper_send>(&each)) {
+        } else if (auto *message = std::get_if<limit_message>(&each)) {
             turn.actions.emplace_back(std::move(*message));
-        } else if (auto *call = std::get_if<keeper_call>(&each)) {
+        } else if (auto *call = std::get_if<limit_platform_call>(&each)) {
             turn.actions.emplace_back(std::move(*call));
         } else {
             startAnew(turn);
--- a/src/core/limit_keeper.cpp
+++ b/src/core/limit_manager.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// @brief Events of the limit keeper: admission, demand, messages of other keepers and the tick.
 
-#include <fuchsiagw/core/limit_keeper.hpp>
-#include <fuchsiagw/detail/keeper_steps.hpp>
+#include <fuchsiagw/core/limit_manager.hpp>
+#include <fuchsiagw/detail/limit_manager_steps.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 /// after the next one.
 constexpr duration announceHorizon = connectionWindDown + std::chrono::milliseconds(200);
 
-/// Between two calls of tickKeeper() that nothing but a past deadline asks for.
+/// Between two calls of tickLimitManager() that nothing but a past deadline asks for.
 constexpr duration shortestTick = std::chrono::milliseconds(2);
 
 /// New witnesses that have not promised after this time are replaced by others.
@@ -33,12 +33,12 @@
 constexpr duration busyPeakTime = std::chrono::seconds(2);
 
 template <typename body_type>
-void send(keeper_actions &actions, incarnation_id to, body_type body)
+void send(limit_manager_actions &actions, incarnation_id to, body_type body)
 {
-    actions.emplace_back(keeper_send{ to, std::move(body) });
+    actions.emplace_back(limit_message{ to, std::move(body) });
 }
 
-void sendLoans(std::vector<loan_message> messages, keeper_actions &actions)
+void sendLoans(std::vector<loan_message> messages, limit_manager_actions &actions)
 {
     for (loan_message &message : messages)
         std::visit([&](auto &body) { send(actions, message.to, std::move(body)); }, message.body);
@@ -54,8 +54,8 @@
 
 /// Returns borrowed connections that are neither open nor expected to be.
 /// @param isAsked a peer asks for them, so they are not kept for surplusTime
-void returnSpare(limit_keeper &keeper, const resource_id &resource, bool isAsked, time_point now,
-                 keeper_actions &actions)
+void returnSpare(limit_manager &keeper, const resource_id &resource, bool isAsked, time_point now,
+                 limit_manager_actions &actions)
 {
     keeper_limit &limit = keeper.limits.at(resource);
     limit_entry &entry = keeper.connections.limits.at(resource);
@@ -85,7 +85,7 @@
     }
 }
 
-void pollDesks(limit_keeper &keeper, time_point now, keeper_actions &actions)
+void pollDesks(limit_manager &keeper, time_point now, limit_manager_actions &actions)
 {
     sendLoans(poll(keeper.rates, now), actions);
     // The desk may return a loan that is needed by less than a half; open connections need all.
@@ -97,7 +97,7 @@
 }
 
 /// Lets idle connections be closed, so that half of the spare ones can be lent at the next request.
-void yieldIdle(limit_keeper &keeper, const loan_ask &ask, time_point now)
+void yieldIdle(limit_manager &keeper, const loan_request_item &ask, time_point now)
 {
     const auto limit = keeper.limits.find(ask.resource);
     if (limit == keeper.limits.end() || ask.shares == 0 || !keeper.connections.areLoansOn)
@@ -116,17 +116,17 @@
     limit->second.yieldUntil = now + yieldTime;
 }
 
-void onRequest(limit_keeper &keeper, const loan_request &request, time_point now,
-               keeper_actions &actions)
+void onRequest(limit_manager &keeper, const loan_request &request, time_point now,
+               limit_manager_actions &actions)
 {
     if (keeper.isLeaving || request.asks.empty())
         return;
-    loan_desk &desk = deskOf(keeper, request.asks.front().resource);
+    loan_manager &desk = deskOf(keeper, request.asks.front().resource);
     if (&desk == &keeper.rates) {
         sendLoans(onLoanRequest(desk, request, now), actions);
         return;
     }
-    for (const loan_ask &ask : request.asks)
+    for (const loan_request_item &ask : request.asks)
         if (desk.limits.contains(ask.resource))
             returnSpare(keeper, ask.resource, true, now, actions);
     // Shares that end soon are no spare: open connections would be left without. Loans are hidden
@@ -152,38 +152,39 @@
     }
     // What was lent may be enough; otherwise the next request asks for the rest.
     const bool isLent = std::any_of(actions.begin() + static_cast<std::ptrdiff_t>(before),
-                                    actions.end(), [](const keeper_action &each) {
-                                        const auto *sent = std::get_if<keeper_send>(&each);
+                                    actions.end(), [](const limit_manager_action &each) {
+                                        const auto *sent = std::get_if<limit_message>(&each);
                                         return sent != nullptr
                                                && std::holds_alternative<loan_grant>(sent->body);
                                     });
-    for (const loan_ask &ask : request.asks)
+    for (const loan_request_item &ask : request.asks)
         if (!isLent)
             yieldIdle(keeper, ask, now);
         else if (const auto limit = keeper.limits.find(ask.resource); limit != keeper.limits.end())
             limit->second.yield = 0;
 }
 
-void onGrant(limit_keeper &keeper, incarnation_id from, loan_grant grant, time_point now,
-             keeper_actions &actions)
+void onGrant(limit_manager &keeper, incarnation_id from, loan_grant grant, time_point now,
+             limit_manager_actions &actions)
 {
     std::erase_if(grant.loans, [from](const loan_terms &terms) { return terms.id.lender != from; });
-    for (loan_desk *desk : { &keeper.rates, &keeper.connections })
+    for (loan_manager *desk : { &keeper.rates, &keeper.connections })
         for (const resource_id &each : onLoanGrant(*desk, grant, now))
             serveWaiting(keeper, each, now, actions);
 }
 
-void onReturns(limit_keeper &keeper, loan_returns returns, time_point now, keeper_actions &actions)
+void onReturns(limit_manager &keeper, loan_returns returns, time_point now,
+               limit_manager_actions &actions)
 {
     std::erase_if(returns.loans, [&keeper](const loan_return &each) {
         return each.id.lender != keeper.self.incarnation;
     });
-    for (loan_desk *desk : { &keeper.rates, &keeper.connections })
+    for (loan_manager *desk : { &keeper.rates, &keeper.connections })
         for (const resource_id &each : onLoanReturns(*desk, returns, now))
             serveWaiting(keeper, each, now, actions);
 }
 
-void askWitnesses(limit_keeper &keeper, time_point now, keeper_actions &actions)
+void askWitnesses(limit_manager &keeper, time_point now, limit_manager_actions &actions)
 {
     const lease_times &times = keeper.settings.leases;
     for (const incarnation_id each : dueWitnesses(keeper.lease, times, now))
@@ -194,7 +195,7 @@
 }
 
 /// Chooses the witnesses of an incarnation that has no row yet.
-void chooseFirstWitnesses(limit_keeper &keeper, time_point now, random_engine &random)
+void chooseFirstWitnesses(limit_manager &keeper, time_point now, random_engine &random)
 {
     std::set<incarnation_id> excluded = lostWitnesses(keeper.lease, keeper.settings.leases, now);
     excluded.insert(0);
@@ -208,7 +209,7 @@
 }
 
 /// Prepares the replacement of witnesses that are lost or too few.
-void renewWitnesses(limit_keeper &keeper, time_point now, random_engine &random)
+void renewWitnesses(limit_manager &keeper, time_point now, random_engine &random)
 {
     lease_holder &lease = keeper.lease;
     if (keeper.work.goal == keeper_goal::Witnesses || lease.isSubmitted
@@ -232,11 +233,11 @@
 }
 
 /// Gives loans back that a planned stop leaves unused.
-void returnLoans(limit_keeper &keeper, time_point now, keeper_actions &actions)
+void returnLoans(limit_manager &keeper, time_point now, limit_manager_actions &actions)
 {
     std::map<incarnation_id, loan_returns> returns;
     for (const auto &[resource, limit] : keeper.limits) {
-        loan_desk &desk = deskOf(keeper, resource);
+        loan_manager &desk = deskOf(keeper, resource);
         limit_entry &entry = desk.limits.at(resource);
         std::vector<loan_id> loans;
         for (const auto &[id, loan] : entry.book.in)
@@ -252,7 +253,7 @@
         send(actions, lender, std::move(body));
 }
 
-std::uint32_t connectionLimit(limit_keeper &keeper, const resource_id &resource, time_point now)
+std::uint32_t connectionLimit(limit_manager &keeper, const resource_id &resource, time_point now)
 {
     if (keeper.isExpired)
         return 0;
@@ -300,12 +301,12 @@
     return { resource_kind::Connections, group.value };
 }
 
-loan_desk &deskOf(limit_keeper &keeper, const resource_id &resource)
+loan_manager &deskOf(limit_manager &keeper, const resource_id &resource)
 {
     return resource.kind == resource_kind::Workspace ? keeper.rates : keeper.connections;
 }
 
-share_book &bookOf(limit_keeper &keeper, const resource_id &resource)
+share_book &bookOf(limit_manager &keeper, const resource_id &resource)
 {
     return deskOf(keeper, resource).limits.at(resource).book;
 }
@@ -319,7 +320,7 @@
     return shares;
 }
 
-share_count removableShares(limit_keeper &keeper, const resource_id &resource, time_point now)
+share_count removableShares(limit_manager &keeper, const resource_id &resource, time_point now)
 {
     limit_entry &entry = deskOf(keeper, resource).limits.at(resource);
     advance(entry.book, now);
@@ -335,7 +336,7 @@
     return std::clamp<share_count>(spare, 0, unlent);
 }
 
-void applyLease(limit_keeper &keeper, time_point now)
+void applyLease(limit_manager &keeper, time_point now)
 {
     const bool isUsable = keeper.hasJoined && !keeper.isExpired;
     const time_point until = isUsable ? homeUntil(keeper.lease) : time_point{};
@@ -346,22 +347,22 @@
     setHomeUntil(keeper.connections, until, now);
 }
 
-void serveWaiting(limit_keeper &keeper, const resource_id &resource, time_point now,
-                  keeper_actions &actions)
+void serveWaiting(limit_manager &keeper, const resource_id &resource, time_point now,
+                  limit_manager_actions &actions)
 {
     auto &waiting = keeper.limits.at(resource).waiting;
     while (!waiting.empty() && admitWaiting(keeper.rates, resource, now)) {
-        actions.emplace_back(keeper_admitted{ waiting.front().ticket, true });
+        actions.emplace_back(admission_outcome{ waiting.front().ticket, true });
         waiting.pop_front();
     }
     while (!waiting.empty() && now >= waiting.front().until) {
         abandonWaiting(keeper.rates, resource);
-        actions.emplace_back(keeper_admitted{ waiting.front().ticket, false });
+        actions.emplace_back(admission_outcome{ waiting.front().ticket, false });
         waiting.pop_front();
     }
 }
 
-void announceLimits(limit_keeper &keeper, time_point now, keeper_actions &actions)
+void announceLimits(limit_manager &keeper, time_point now, limit_manager_actions &actions)
 {
     for (auto &[resource, limit] : keeper.limits) {
         if (resource.kind != resource_kind::Connections)
@@ -370,11 +371,11 @@
         if (limit.announced == allowed)
             continue;
         limit.announced = allowed;
-        actions.emplace_back(keeper_connections{ group_id{ resource.name }, allowed });
+        actions.emplace_back(connection_limit_change{ group_id{ resource.name }, allowed });
     }
 }
 
-void expireKeeper(limit_keeper &keeper, time_point now, keeper_actions &actions)
+void expireKeeper(limit_manager &keeper, time_point now, limit_manager_actions &actions)
 {
     if (keeper.isExpired)
         return;
@@ -384,29 +385,30 @@
     for (auto &[resource, limit] : keeper.limits)
         for (; !limit.waiting.empty(); limit.waiting.pop_front()) {
             abandonWaiting(keeper.rates, resource);
-            actions.emplace_back(keeper_admitted{ limit.waiting.front().ticket, false });
+            actions.emplace_back(admission_outcome{ limit.waiting.front().ticket, false });
         }
     announceLimits(keeper, now, actions);
-    actions.emplace_back(keeper_expired{});
+    actions.emplace_back(limit_manager_expired{});
 }
 
-limit_keeper makeKeeper(const peer_ref &self, const keeper_settings &settings, time_point now)
+limit_manager makeLimitManager(const peer_ref &self, const limit_manager_settings &settings,
+                               time_point now)
 {
-    limit_keeper keeper;
+    limit_manager keeper;
     keeper.self = self;
     keeper.settings = settings;
     keeper.lease.self = self.incarnation;
     keeper.witness.self = self.incarnation;
     keeper.witness.startedAt = now;
-    keeper.rates = makeDesk(self, settings.rates, now);
-    keeper.connections = makeDesk(self, settings.connections, now);
+    keeper.rates = makeLoanManager(self, settings.rates, now);
+    keeper.connections = makeLoanManager(self, settings.connections, now);
     keeper.nextCall = std::max<std::uint64_t>(self.incarnation, 1);
     keeper.nextWork = now;
     keeper.tickedAt = now;
     return keeper;
 }
 
-void setGroupDemand(limit_keeper &keeper, const group_id &group, std::uint32_t inUse,
+void setGroupDemand(limit_manager &keeper, const group_id &group, std::uint32_t inUse,
                     std::uint32_t waiting, time_point now, std::uint32_t idle)
 {
     const resource_id resource = resourceOf(group);
@@ -423,8 +425,8 @@
     setConnections(keeper.connections, resource, inUse, waiting);
 }
 
-admission admitStatement(limit_keeper &keeper, const workspace_id &workspace, std::uint64_t ticket,
-                         time_point now, keeper_actions &actions)
+admission admitStatement(limit_manager &keeper, const workspace_id &workspace, std::uint64_t ticket,
+                         time_point now, limit_manager_actions &actions)
 {
     const resource_id resource = resourceOf(workspace);
     const auto limit = keeper.limits.find(resource);
@@ -435,12 +437,12 @@
     if (decision == admission::Granted)
         return decision;
     if (decision == admission::Wait)
-        limit->second.waiting.push_back({ ticket, now + keeper.rates.settings.admissionWait });
+        limit->second.waiting.push_back({ ticket, now + keeper.rates.settings.maxAdmissionWait });
     sendLoans(poll(keeper.rates, now), actions);
     return decision;
 }
 
-void abandonStatement(limit_keeper &keeper, const workspace_id &workspace, std::uint64_t ticket)
+void abandonStatement(limit_manager &keeper, const workspace_id &workspace, std::uint64_t ticket)
 {
     const resource_id resource = resourceOf(workspace);
     const auto limit = keeper.limits.find(resource);
@@ -455,8 +457,8 @@
     abandonWaiting(keeper.rates, resource);
 }
 
-void onMessage(limit_keeper &keeper, incarnation_id from, const keeper_body &body, time_point now,
-               random_engine &random, keeper_actions &actions)
+void onMessage(limit_manager &keeper, incarnation_id from, const limit_message_body &body,
+               time_point now, random_engine &random, limit_manager_actions &actions)
 {
     if (keeper.isExpired)
         return;
@@ -487,8 +489,8 @@
     announceLimits(keeper, now, actions);
 }
 
-void tickKeeper(limit_keeper &keeper, time_point now, random_engine &random,
-                keeper_actions &actions)
+void tickLimitManager(limit_manager &keeper, time_point now, random_engine &random,
+                      limit_manager_actions &actions)
 {
     keeper.tickedAt = now;
     if (keeper.isExpired)
@@ -515,7 +517,7 @@
     announceLimits(keeper, now, actions);
 }
 
-time_point nextKeeperTick(const limit_keeper &keeper)
+time_point nextLimitManagerTick(const limit_manager &keeper)
 {
     if (keeper.isExpired)
         return noDeadline;
@@ -528,17 +530,17 @@
     return std::max(next, keeper.tickedAt + shortestTick);
 }
 
-void startLeaving(limit_keeper &keeper, time_point now, random_engine &random,
-                  keeper_actions &actions)
+void startLeaving(limit_manager &keeper, time_point now, random_engine &random,
+                  limit_manager_actions &actions)
 {
     if (keeper.isLeaving || keeper.isExpired)
         return;
     keeper.isLeaving = true;
     keeper.rates.areLoansOn = false;
-    tickKeeper(keeper, now, random, actions);
+    tickLimitManager(keeper, now, random, actions);
 }
 
-bool hasLeft(const limit_keeper &keeper)
+bool hasLeft(const limit_manager &keeper)
 {
     if (keeper.isExpired)
         return true;
--- a/src/core/limit_keeper_limits.cpp
+++ b/src/core/limit_manager_limits.cpp
@@ -1,9 +1,9 @@
 /// @file
 /// @brief Which limits the keeper has and which part of each is its fair one.
 
-#include <fuchsiagw/core/limit_keeper.hpp>
+#include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/rendezvous.hpp>
-#include <fuchsiagw/detail/keeper_steps.hpp>
+#include <fuchsiagw/detail/limit_manager_steps.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -37,7 +37,7 @@
     return static_cast<std::int64_t>(std::llround(scaled));
 }
 
-std::vector<incarnation_id> zoneOwners(const limit_keeper &keeper, const group_id &group)
+std::vector<incarnation_id> zoneOwners(const limit_manager &keeper, const group_id &group)
 {
     std::map<zone_name, std::map<instance_id, incarnation_id>> zones;
     for (const peer_ref &each : keeper.live)
@@ -57,10 +57,10 @@
     return owners;
 }
 
-void setLoanCandidates(limit_keeper &keeper, const resource_id &resource,
+void setLoanCandidates(limit_manager &keeper, const resource_id &resource,
                        std::vector<incarnation_id> holders, random_engine &random)
 {
-    loan_desk &desk = deskOf(keeper, resource);
+    loan_manager &desk = deskOf(keeper, resource);
     // A former owner still has the connections that it could not return yet.
     if (resource.kind == resource_kind::Connections)
         for (const incarnation_id former : desk.limits.at(resource).candidates)
@@ -73,7 +73,7 @@
 }
 
 /// Opens the limits of owned groups and marks those of others as unused.
-void useOwnedGroups(limit_keeper &keeper)
+void useOwnedGroups(limit_manager &keeper)
 {
     for (auto &[resource, limit] : keeper.limits) {
         const group_id group{ resource.name };
@@ -107,7 +107,7 @@
 
 } // namespace
 
-void scheduleLook(limit_keeper &keeper, const resource_id &resource, time_point now,
+void scheduleLook(limit_manager &keeper, const resource_id &resource, time_point now,
                   random_engine &random)
 {
     keeper_limit &limit = keeper.limits.at(resource);
@@ -137,7 +137,7 @@
     }
 }
 
-void refreshHolders(limit_keeper &keeper, time_point now, random_engine &random)
+void refreshHolders(limit_manager &keeper, time_point now, random_engine &random)
 {
     std::size_t left =
             std::max<std::size_t>(1, visitsPerTick / std::max<std::size_t>(1, keeper.live.size()));
@@ -159,7 +159,7 @@
     }
 }
 
-void reconcileLimits(limit_keeper &keeper, time_point now, keeper_actions &actions)
+void reconcileLimits(limit_manager &keeper, time_point now, limit_manager_actions &actions)
 {
     for (auto &[resource, limit] : keeper.limits) {
         if (!limit.isUsed && resource.kind == resource_kind::Workspace) {
@@ -168,17 +168,17 @@
             // A workspace that was withdrawn grants nothing more.
             for (; !limit.waiting.empty(); limit.waiting.pop_front()) {
                 abandonWaiting(keeper.rates, resource);
-                actions.emplace_back(keeper_admitted{ limit.waiting.front().ticket, false });
+                actions.emplace_back(admission_outcome{ limit.waiting.front().ticket, false });
             }
         }
-        loan_desk &desk = deskOf(keeper, resource);
+        loan_manager &desk = deskOf(keeper, resource);
         limit_entry &entry = openLimit(desk, resource, limit.rate, limit.burst, limit.total, now);
         setHomeUntil(entry.book, keeper.homeUntil, now);
     }
 }
 
-void onPeers(limit_keeper &keeper, std::vector<peer_ref> live, time_point now,
-             random_engine &random, keeper_actions &actions)
+void onPeers(limit_manager &keeper, std::vector<peer_ref> live, time_point now,
+             random_engine &random, limit_manager_actions &actions)
 {
     std::erase_if(live,
                   [&](const peer_ref &each) { return each.instance == keeper.self.instance; });
@@ -191,11 +191,11 @@
     keeper.live = std::move(live);
     for (const auto &[resource, limit] : keeper.limits)
         keeper.stale.insert(resource);
-    tickKeeper(keeper, now, random, actions);
+    tickLimitManager(keeper, now, random, actions);
 }
 
-void onConfiguration(limit_keeper &keeper, const configuration &config, time_point now,
-                     random_engine &random, keeper_actions &actions)
+void onConfiguration(limit_manager &keeper, const configuration &config, time_point now,
+                     random_engine &random, limit_manager_actions &actions)
 {
     keeper.hasConfiguration = true;
     keeper.isRebalancingOn = isAutomatic(config, automatic_action::Rebalancing);
@@ -219,18 +219,18 @@
         keeper.stale.insert(resource);
     useOwnedGroups(keeper);
     reconcileLimits(keeper, now, actions);
-    tickKeeper(keeper, now, random, actions);
+    tickLimitManager(keeper, now, random, actions);
 }
 
-void onOwnedGroups(limit_keeper &keeper, const std::set<group_id> &owned, time_point now,
-                   random_engine &random, keeper_actions &actions)
+void onOwnedGroups(limit_manager &keeper, const std::set<group_id> &owned, time_point now,
+                   random_engine &random, limit_manager_actions &actions)
 {
     if (owned == keeper.owned)
         return;
     keeper.owned = owned;
     useOwnedGroups(keeper);
     reconcileLimits(keeper, now, actions);
-    tickKeeper(keeper, now, random, actions);
+    tickLimitManager(keeper, now, random, actions);
 }
 
 } // namespace fuchsiagw::core
--- a/src/core/limit_keeper_work.cpp
+++ b/src/core/limit_manager_tasks.cpp
@@ -1,9 +1,9 @@
 /// @file
 /// @brief The calls of the limit keeper to the platform: reading, submitting and reading back.
 
-#include <fuchsiagw/core/limit_keeper.hpp>
+#include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/share_table.hpp>
-#include <fuchsiagw/detail/keeper_steps.hpp>
+#include <fuchsiagw/detail/limit_manager_steps.hpp>
 
 #include <algorithm>
 
@@ -21,19 +21,19 @@
 /// With more pool rows than these one scan of all is cheaper.
 constexpr std::size_t singlePools = 4;
 
-duration growPause(limit_keeper &keeper, random_engine &random)
+duration growPause(limit_manager &keeper, random_engine &random)
 {
     keeper.workPause = std::clamp(keeper.workPause * 2, firstPause, longestPause);
     return drawPause(random, keeper.workPause);
 }
 
 /// Rows that can't be read are not read again at once.
-duration pauseAfterReading(limit_keeper &keeper, random_engine &random)
+duration pauseAfterReading(limit_manager &keeper, random_engine &random)
 {
     return keeper.work.damaged.empty() ? firstPause : growPause(keeper, random);
 }
 
-duration longestLoan(const limit_keeper &keeper)
+duration longestLoan(const limit_manager &keeper)
 {
     const loan_times &rates = keeper.rates.settings.times;
     const loan_times &connections = keeper.connections.settings.times;
@@ -64,22 +64,22 @@
     return keys;
 }
 
-void startCall(limit_keeper &keeper, std::variant<std::string, transact_request> order,
-               time_point now, keeper_actions &actions)
+void startCall(limit_manager &keeper, std::variant<std::string, transact_request> order,
+               time_point now, limit_manager_actions &actions)
 {
     keeper.work.call = keeper.nextCall++;
     keeper.work.due = now + callLimit;
-    actions.emplace_back(keeper_call{ keeper.work.call, std::move(order) });
+    actions.emplace_back(limit_platform_call{ keeper.work.call, std::move(order) });
 }
 
-void scanNext(limit_keeper &keeper, time_point now, keeper_actions &actions)
+void scanNext(limit_manager &keeper, time_point now, limit_manager_actions &actions)
 {
     ++keeper.scans;
     startCall(keeper, keeper.work.prefixes.back(), now, actions);
 }
 
-void startReading(limit_keeper &keeper, keeper_phase phase, const std::set<std::string> &keys,
-                  time_point now, keeper_actions &actions)
+void startReading(limit_manager &keeper, keeper_phase phase, const std::set<std::string> &keys,
+                  time_point now, limit_manager_actions &actions)
 {
     keeper.work.phase = phase;
     keeper.work.view.clear();
@@ -88,14 +88,14 @@
     scanNext(keeper, now, actions);
 }
 
-void endWork(limit_keeper &keeper, time_point next)
+void endWork(limit_manager &keeper, time_point next)
 {
     keeper.work = {};
     keeper.nextWork = next;
 }
 
-void endAndContinue(limit_keeper &keeper, bool isCommitted, time_point now, random_engine &random,
-                    keeper_actions &actions)
+void endAndContinue(limit_manager &keeper, bool isCommitted, time_point now, random_engine &random,
+                    limit_manager_actions &actions)
 {
     finishWork(keeper, isCommitted, now, random, actions);
     if (isCommitted)
@@ -103,8 +103,8 @@
     endWork(keeper, isCommitted ? now : now + growPause(keeper, random));
 }
 
-void submitWork(limit_keeper &keeper, time_point now, random_engine &random,
-                keeper_actions &actions)
+void submitWork(limit_manager &keeper, time_point now, random_engine &random,
+                limit_manager_actions &actions)
 {
     auto request = toRequest(keeper.work.move.transaction);
     if (!request) {
@@ -117,8 +117,8 @@
 }
 
 /// The last scan of the work was answered.
-void onRowsRead(limit_keeper &keeper, time_point now, random_engine &random,
-                keeper_actions &actions)
+void onRowsRead(limit_manager &keeper, time_point now, random_engine &random,
+                limit_manager_actions &actions)
 {
     keeper_work &work = keeper.work;
     if (work.phase == keeper_phase::Reading) {
@@ -141,7 +141,7 @@
 }
 
 /// A call was not answered.
-void onLost(limit_keeper &keeper, time_point now, random_engine &random)
+void onLost(limit_manager &keeper, time_point now, random_engine &random)
 {
     keeper_work &work = keeper.work;
     work.call = 0;
@@ -152,7 +152,7 @@
         work.phase = keeper_phase::ReadingBack;
 }
 
-bool isLookDue(limit_keeper &keeper, const resource_id &resource, keeper_limit &limit,
+bool isLookDue(limit_manager &keeper, const resource_id &resource, keeper_limit &limit,
                time_point now)
 {
     if (now < limit.lookAt)
@@ -168,7 +168,7 @@
 }
 
 /// A leaving instance returns what it can at once and the rest together.
-bool isReturnDue(limit_keeper &keeper, time_point now)
+bool isReturnDue(limit_manager &keeper, time_point now)
 {
     bool hasMore = false;
     bool hasSome = false;
@@ -183,7 +183,7 @@
 
 /// Another incarnation may hold what is missing: the pools were short at the join, or have been for
 /// so long that nobody can be about to reclaim it by votes.
-bool isPredecessorDue(const limit_keeper &keeper, time_point now)
+bool isPredecessorDue(const limit_manager &keeper, time_point now)
 {
     // Before that loans of the earlier incarnation may still be in use.
     const time_point earliest = keeper.witness.startedAt + longestLoan(keeper);
@@ -195,14 +195,14 @@
               });
 }
 
-bool isJoinDue(const limit_keeper &keeper, time_point now)
+bool isJoinDue(const limit_manager &keeper, time_point now)
 {
     return keeper.hasConfiguration && !keeper.live.empty() && keeper.stale.empty()
            && homeUntil(keeper.lease) > now;
 }
 
 /// Chooses the next work and the rows that it needs.
-std::set<std::string> chooseWork(limit_keeper &keeper, time_point now)
+std::set<std::string> chooseWork(limit_manager &keeper, time_point now)
 {
     keeper_work &work = keeper.work;
     const std::string own = leaseKey(keeper.self.incarnation);
@@ -256,7 +256,8 @@
             half + static_cast<std::int64_t>(drawBelow(random, static_cast<std::uint64_t>(half))));
 }
 
-void stepWork(limit_keeper &keeper, time_point now, random_engine &random, keeper_actions &actions)
+void stepWork(limit_manager &keeper, time_point now, random_engine &random,
+              limit_manager_actions &actions)
 {
     if (keeper.isExpired)
         return;
@@ -278,13 +279,13 @@
                      actions);
 }
 
-time_point nextWorkAt(const limit_keeper &keeper)
+time_point nextWorkAt(const limit_manager &keeper)
 {
     return keeper.work.goal == keeper_goal::None ? noDeadline : keeper.work.due;
 }
 
-void onScan(limit_keeper &keeper, std::uint64_t number, const std::optional<scan_answer> &answer,
-            time_point now, random_engine &random, keeper_actions &actions)
+void onScan(limit_manager &keeper, std::uint64_t number, const std::optional<scan_answer> &answer,
+            time_point now, random_engine &random, limit_manager_actions &actions)
 {
     keeper_work &work = keeper.work;
     if (keeper.isExpired || number == 0 || number != work.call || work.prefixes.empty())
@@ -313,9 +314,9 @@
     announceLimits(keeper, now, actions);
 }
 
-void onTransact(limit_keeper &keeper, std::uint64_t number,
+void onTransact(limit_manager &keeper, std::uint64_t number,
                 const std::optional<transact_answer> &answer, time_point now, random_engine &random,
-                keeper_actions &actions)
+                limit_manager_actions &actions)
 {
     if (keeper.isExpired || number == 0 || number != keeper.work.call
         || keeper.work.phase != keeper_phase::Submitting)
--- a/src/core/limit_keeper_moves.cpp
+++ b/src/core/limit_manager_transactions.cpp
@@ -1,9 +1,9 @@
 /// @file
 /// @brief The transactions of the limit keeper and what their outcome does to the books.
 
-#include <fuchsiagw/core/limit_keeper.hpp>
+#include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/share_table.hpp>
-#include <fuchsiagw/detail/keeper_steps.hpp>
+#include <fuchsiagw/detail/limit_manager_steps.hpp>
 
 #include <algorithm>
 
@@ -33,13 +33,13 @@
 /// Keeps the searches of instances that were started together apart, per instance.
 constexpr duration searchSpread = std::chrono::milliseconds(20);
 
-std::string nextId(limit_keeper &keeper)
+std::string nextId(limit_manager &keeper)
 {
     return std::to_string(keeper.self.incarnation) + '-' + std::to_string(keeper.nextTransaction++);
 }
 
 /// Creates the pools of @p resources that do not exist, in one transaction.
-bool createPools(limit_keeper &keeper, const std::set<resource_id> &resources)
+bool createPools(limit_manager &keeper, const std::set<resource_id> &resources)
 {
     table_transaction all;
     for (const resource_id &resource : resources) {
@@ -60,7 +60,7 @@
     return keeper.work.isResize;
 }
 
-bool prepareJoin(limit_keeper &keeper, time_point now)
+bool prepareJoin(limit_manager &keeper, time_point now)
 {
     if (keeper.isLeaving || homeUntil(keeper.lease) <= now || !keeper.stale.empty())
         return false;
@@ -84,7 +84,7 @@
 }
 
 /// Changes the total of the first pool that differs from the configuration.
-bool resizePools(limit_keeper &keeper)
+bool resizePools(limit_manager &keeper)
 {
     for (const resource_id &resource : keeper.work.resources) {
         keeper_limit &limit = keeper.limits.at(resource);
@@ -102,7 +102,7 @@
 }
 
 /// Shares to take (positive) or to return (negative), and when to look again.
-share_count chooseMove(limit_keeper &keeper, const resource_id &resource, const pool_row &pool,
+share_count chooseMove(limit_manager &keeper, const resource_id &resource, const pool_row &pool,
                        time_point now, random_engine &random)
 {
     keeper_limit &limit = keeper.limits.at(resource);
@@ -132,8 +132,8 @@
     return move;
 }
 
-bool prepareRebalance(limit_keeper &keeper, time_point now, random_engine &random,
-                      keeper_actions &actions)
+bool prepareRebalance(limit_manager &keeper, time_point now, random_engine &random,
+                      limit_manager_actions &actions)
 {
     keeper_work &work = keeper.work;
     const std::string own = leaseKey(keeper.self.incarnation);
@@ -166,7 +166,7 @@
     return true;
 }
 
-bool prepareWitnesses(limit_keeper &keeper, time_point now, keeper_actions &actions)
+bool prepareWitnesses(limit_manager &keeper, time_point now, limit_manager_actions &actions)
 {
     if (keeper.work.damaged.contains(leaseKey(keeper.self.incarnation)))
         return false;
@@ -184,7 +184,7 @@
     return true;
 }
 
-bool prepareReclaim(limit_keeper &keeper, time_point now)
+bool prepareReclaim(limit_manager &keeper, time_point now)
 {
     keeper_work &work = keeper.work;
     const lease_row *row = findLease(work.view, work.dead);
@@ -214,7 +214,7 @@
 /// Reclaims from an earlier incarnation whose witnesses can't vote any more because too many of
 /// them are gone too. It is dead because this process has its name and address; the loans that it
 /// granted have ended before the search begins.
-bool preparePredecessor(limit_keeper &keeper, time_point now)
+bool preparePredecessor(limit_manager &keeper, time_point now)
 {
     keeper_work &work = keeper.work;
     keeper.nextPredecessor = now + predecessorRetry;
@@ -249,7 +249,7 @@
     return false;
 }
 
-bool prepareLeave(limit_keeper &keeper, time_point now)
+bool prepareLeave(limit_manager &keeper, time_point now)
 {
     keeper_work &work = keeper.work;
     if (work.damaged.contains(leaseKey(keeper.self.incarnation)))
@@ -274,8 +274,8 @@
     return true;
 }
 
-void addShares(limit_keeper &keeper, const std::map<resource_id, removed_home> &shares,
-               time_point now, random_engine &random, keeper_actions &actions)
+void addShares(limit_manager &keeper, const std::map<resource_id, removed_home> &shares,
+               time_point now, random_engine &random, limit_manager_actions &actions)
 {
     for (const auto &[resource, part] : shares) {
         addHome(bookOf(keeper, resource), part.shares, part.tokens, now);
@@ -291,8 +291,8 @@
 
 } // namespace
 
-bool prepareWork(limit_keeper &keeper, time_point now, random_engine &random,
-                 keeper_actions &actions)
+bool prepareWork(limit_manager &keeper, time_point now, random_engine &random,
+                 limit_manager_actions &actions)
 {
     switch (keeper.work.goal) {
     case keeper_goal::Join:
@@ -313,8 +313,8 @@
     return false;
 }
 
-void finishWork(limit_keeper &keeper, bool isCommitted, time_point now, random_engine &random,
-                keeper_actions &actions)
+void finishWork(limit_manager &keeper, bool isCommitted, time_point now, random_engine &random,
+                limit_manager_actions &actions)
 {
     const keeper_work work = keeper.work;
     if (work.isResize)
--- a/src/core/loan_desk.cpp
+++ b/src/core/loan_manager.cpp
@@ -7,9 +7,9 @@
 
 namespace fuchsiagw::core {
 
-loan_desk makeDesk(const peer_ref &self, const loan_settings &settings, time_point now)
+loan_manager makeLoanManager(const peer_ref &self, const loan_settings &settings, time_point now)
 {
-    loan_desk desk;
+    loan_manager desk;
     desk.self = self;
     desk.settings = settings;
     desk.nextScan = now;
@@ -18,7 +18,7 @@
     return desk;
 }
 
-limit_entry &openLimit(loan_desk &desk, const resource_id &resource, std::int64_t rate,
+limit_entry &openLimit(loan_manager &desk, const resource_id &resource, std::int64_t rate,
                        token_amount burst, share_count total, time_point now)
 {
     limit_entry &entry = desk.limits[resource];
@@ -26,14 +26,14 @@
     return entry;
 }
 
-void closeLimit(loan_desk &desk, const resource_id &resource)
+void closeLimit(loan_manager &desk, const resource_id &resource)
 {
     desk.active.erase(resource);
     desk.urgent.erase(resource);
     desk.limits.erase(resource);
 }
 
-void setCandidates(loan_desk &desk, const resource_id &resource,
+void setCandidates(loan_manager &desk, const resource_id &resource,
                    const std::vector<incarnation_id> &holders, const std::vector<peer_ref> &live,
                    random_engine &random)
 {
@@ -64,13 +64,13 @@
     entry->second.nextCandidate = 0;
 }
 
-void setHomeUntil(loan_desk &desk, time_point until, time_point now)
+void setHomeUntil(loan_manager &desk, time_point until, time_point now)
 {
     for (auto &[resource, entry] : desk.limits)
         setHomeUntil(entry.book, until, now);
 }
 
-void setConnections(loan_desk &desk, const resource_id &group, std::uint32_t inUse,
+void setConnections(loan_manager &desk, const resource_id &group, std::uint32_t inUse,
                     std::uint32_t waiting)
 {
     const auto entry = desk.limits.find(group);
--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -112,13 +112,13 @@
            || decayed(entry.demand, now).slow > idleRate;
 }
 
-bool isPaid(loan_desk &desk, std::int64_t bytes, time_point now)
+bool isPaid(loan_manager &desk, std::int64_t bytes, time_point now)
 {
     return take(desk.budget, bytes * oneToken, now);
 }
 
 /// Loans of rate carry the most, so loans of tokens leave them a half of the budget.
-bool canSpareBytes(const loan_desk &desk)
+bool canSpareBytes(const loan_manager &desk)
 {
     return 2 * desk.budget.level >= desk.budget.capacity;
 }
@@ -132,7 +132,7 @@
     return std::clamp(retry * 2, settings.firstRetry, settings.longestRetry);
 }
 
-void askForRate(const loan_desk &desk, const resource_id &resource, limit_entry &entry,
+void askForRate(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
                 ask_sheet &sheet, time_point now)
 {
     if (now < entry.nextAsk || entry.candidates.empty())
@@ -152,7 +152,7 @@
 }
 
 /// Asks one peer at a time: tokens that come twice are lost when the loans end.
-void askForTokens(const loan_desk &desk, const resource_id &resource, limit_entry &entry,
+void askForTokens(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
                   ask_sheet &sheet, time_point now)
 {
     if (now < entry.nextTokenAsk || entry.candidates.empty() || !canSpareBytes(desk))
@@ -170,7 +170,7 @@
 
 using return_sheet = std::map<incarnation_id, loan_returns>;
 
-void giveBack(const loan_desk &desk, const resource_id &resource, limit_entry &entry,
+void giveBack(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
               const loan_id &id, return_sheet &returns, time_point now)
 {
     const loan_times &times = desk.settings.times;
@@ -182,7 +182,7 @@
 
 /// Extends the loans that end soon. Those that are not needed are returned, because the tokens of a
 /// loan that simply ends are lost.
-void askForRenewals(const loan_desk &desk, const resource_id &resource, limit_entry &entry,
+void askForRenewals(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
                     ask_sheet &sheet, return_sheet &returns, time_point now)
 {
     if (now < entry.nextRenewal)
@@ -208,7 +208,7 @@
 
 /// Returns tokens that came too late or from two peers. A loan that is a large part of a small
 /// burst is returned even when its tokens are used, because its refill is lost meanwhile.
-void returnUnusedTokens(const loan_desk &desk, const resource_id &resource, limit_entry &entry,
+void returnUnusedTokens(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
                         return_sheet &returns, time_point now)
 {
     if (entry.waiting > 0)
@@ -228,7 +228,7 @@
 }
 
 /// Returns the loans that the need leaves over, the smallest first.
-void returnSurplus(const loan_desk &desk, const resource_id &resource, limit_entry &entry,
+void returnSurplus(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
                    double keptNeed, return_sheet &returns, time_point now)
 {
     std::vector<std::pair<share_count, loan_id>> loans;
@@ -244,7 +244,7 @@
     }
 }
 
-void returnUnused(const loan_desk &desk, const resource_id &resource, limit_entry &entry,
+void returnUnused(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
                   return_sheet &returns, time_point now)
 {
     share_count smallest = 0;
@@ -271,7 +271,7 @@
 };
 
 /// Half of the shares that the own need leaves, with their part of the tokens.
-lent_part rateToLend(const limit_entry &entry, const loan_ask &ask, share_count need,
+lent_part rateToLend(const limit_entry &entry, const loan_request_item &ask, share_count need,
                      share_count lendable)
 {
     const share_book &book = entry.book;
@@ -285,7 +285,7 @@
 }
 
 /// Half of the tokens, but a whole one if there is one, with the shares that make room for them.
-lent_part tokensToLend(const limit_entry &entry, const loan_ask &ask, share_count lendable)
+lent_part tokensToLend(const limit_entry &entry, const loan_request_item &ask, share_count lendable)
 {
     const share_book &book = entry.book;
     const token_amount half =
@@ -300,7 +300,7 @@
     return { tokens >= least, shares, std::min(tokens, half) };
 }
 
-std::vector<loan_message> sendRequests(loan_desk &desk, const ask_sheet &sheet, time_point now)
+std::vector<loan_message> sendRequests(loan_manager &desk, const ask_sheet &sheet, time_point now)
 {
     std::vector<loan_message> messages;
     for (const auto &entry : sheet) {
@@ -328,7 +328,7 @@
 }
 
 /// Appends returns. They are sent even beyond the budget, which then delays the next requests.
-void appendReturns(loan_desk &desk, time_point now, std::vector<loan_message> &messages,
+void appendReturns(loan_manager &desk, time_point now, std::vector<loan_message> &messages,
                    return_sheet &&returns)
 {
     for (auto &[lender, body] : returns) {
@@ -339,7 +339,7 @@
 
 } // namespace
 
-admission admit(loan_desk &desk, const resource_id &resource, time_point now)
+admission admit(loan_manager &desk, const resource_id &resource, time_point now)
 {
     const auto found = desk.limits.find(resource);
     if (found == desk.limits.end())
@@ -352,7 +352,8 @@
     if (entry.waiting == 0 && takeToken(entry.book, now))
         return admission::Granted;
     desk.urgent.insert(resource);
-    const double waitSeconds = std::chrono::duration<double>(desk.settings.admissionWait).count();
+    const double waitSeconds =
+            std::chrono::duration<double>(desk.settings.maxAdmissionWait).count();
     const double bound =
             1 + waitSeconds * static_cast<double>(entry.book.rate) / static_cast<double>(oneToken);
     if (entry.waiting + 1 > bound)
@@ -365,7 +366,7 @@
     return admission::Wait;
 }
 
-bool admitWaiting(loan_desk &desk, const resource_id &resource, time_point now)
+bool admitWaiting(loan_manager &desk, const resource_id &resource, time_point now)
 {
     const auto entry = desk.limits.find(resource);
     if (entry == desk.limits.end() || entry->second.waiting == 0
@@ -375,14 +376,14 @@
     return true;
 }
 
-void abandonWaiting(loan_desk &desk, const resource_id &resource)
+void abandonWaiting(loan_manager &desk, const resource_id &resource)
 {
     const auto entry = desk.limits.find(resource);
     assert(entry != desk.limits.end() && entry->second.waiting > 0);
     --entry->second.waiting;
 }
 
-time_point nextTokenAt(const loan_desk &desk, const resource_id &resource)
+time_point nextTokenAt(const loan_manager &desk, const resource_id &resource)
 {
     const auto entry = desk.limits.find(resource);
     return entry == desk.limits.end() ? noDeadline
@@ -398,7 +399,7 @@
                                               provenLeast(entry.demand, now)));
 }
 
-std::vector<loan_message> poll(loan_desk &desk, time_point now)
+std::vector<loan_message> poll(loan_manager &desk, time_point now)
 {
     refill(desk.budget, now);
     ask_sheet sheet;
@@ -432,7 +433,7 @@
     return messages;
 }
 
-time_point nextPollAt(const loan_desk &desk)
+time_point nextPollAt(const loan_manager &desk)
 {
     time_point next = desk.nextScan;
     for (const resource_id &each : desk.urgent)
@@ -440,7 +441,7 @@
     return next;
 }
 
-std::vector<loan_message> onLoanRequest(loan_desk &desk, const loan_request &request,
+std::vector<loan_message> onLoanRequest(loan_manager &desk, const loan_request &request,
                                         time_point now)
 {
     std::uint64_t &last = desk.lastRequests[request.borrower];
@@ -452,7 +453,7 @@
     return_sheet returns;
     // A lender without budget lends nothing; the returns that it owes are still sent.
     const bool canLend = desk.areLoansOn && desk.budget.level >= answerBytesBound * oneToken;
-    for (const loan_ask &ask : request.asks) {
+    for (const loan_request_item &ask : request.asks) {
         const auto found = desk.limits.find(ask.resource);
         if (found == desk.limits.end())
             continue;
@@ -482,7 +483,7 @@
     return messages;
 }
 
-std::vector<resource_id> onLoanGrant(loan_desk &desk, const loan_grant &grant, time_point now)
+std::vector<resource_id> onLoanGrant(loan_manager &desk, const loan_grant &grant, time_point now)
 {
     std::vector<resource_id> changed;
     if (grant.borrower != desk.self.incarnation)
@@ -517,7 +518,8 @@
     return changed;
 }
 
-std::vector<resource_id> onLoanReturns(loan_desk &desk, const loan_returns &returns, time_point now)
+std::vector<resource_id> onLoanReturns(loan_manager &desk, const loan_returns &returns,
+                                       time_point now)
 {
     std::vector<resource_id> changed;
     for (const loan_return &each : returns.loans) {
--- a/src/daemon/decide.cpp
+++ b/src/daemon/decide.cpp
@@ -30,7 +30,7 @@
 }
 
 /// Whether the keeper has home shares of every workspace of which it should have a part.
-bool holdsItsPart(const core::limit_keeper &keeper)
+bool holdsItsPart(const core::limit_manager &keeper)
 {
     if (!keeper.hasJoined)
         return false;
@@ -198,15 +198,15 @@
     outputs_.toPlatform({ number, std::move(order), now_ + platformLimit });
 }
 
-void decide::callKeeperOrder(core::keeper_call &&call)
+void decide::callKeeperOrder(core::limit_platform_call &&call)
 {
     const std::uint64_t number = call.number;
     if (auto *prefix = std::get_if<std::string>(&call.order)) {
         callPlatform(platform::scan_rows{ std::move(*prefix) },
                      [this, number](platform::platform_result &&result, core::time_point) {
                          core::gateway_turn step = turn();
-                         withKeeper(step, [&](core::limit_keeper &keeper,
-                                              core::keeper_actions &actions) {
+                         withKeeper(step, [&](core::limit_manager &keeper,
+                                              core::limit_manager_actions &actions) {
                              const auto rows = result.isAnswered
                                                        ? std::optional(std::move(result.scan))
                                                        : std::nullopt;
@@ -215,17 +215,17 @@
                      });
         return;
     }
-    callPlatform(
-            std::get<core::transact_request>(std::move(call.order)),
-            [this, number](platform::platform_result &&result, core::time_point) {
-                core::gateway_turn step = turn();
-                withKeeper(step, [&](core::limit_keeper &keeper, core::keeper_actions &actions) {
-                    const auto answer = result.isAnswered
-                                                ? std::optional(std::move(result.transaction))
-                                                : std::nullopt;
-                    onTransact(keeper, number, answer, now_, random_, actions);
-                });
-            });
+    callPlatform(std::get<core::transact_request>(std::move(call.order)),
+                 [this, number](platform::platform_result &&result, core::time_point) {
+                     core::gateway_turn step = turn();
+                     withKeeper(step, [&](core::limit_manager &keeper,
+                                          core::limit_manager_actions &actions) {
+                         const auto answer = result.isAnswered
+                                                     ? std::optional(std::move(result.transaction))
+                                                     : std::nullopt;
+                         onTransact(keeper, number, answer, now_, random_, actions);
+                     });
+                 });
 }
 
 void decide::onMembers()
@@ -265,12 +265,12 @@
     }
     std::visit(
             [&](auto &body) {
-                if constexpr (std::is_constructible_v<core::keeper_body, decltype(body)>) {
-                    withKeeper(step,
-                               [&](core::limit_keeper &keeper, core::keeper_actions &actions) {
-                                   onMessage(keeper, event.from, core::keeper_body(std::move(body)),
-                                             now_, random_, actions);
-                               });
+                if constexpr (std::is_constructible_v<core::limit_message_body, decltype(body)>) {
+                    withKeeper(step, [&](core::limit_manager &keeper,
+                                         core::limit_manager_actions &actions) {
+                        onMessage(keeper, event.from, core::limit_message_body(std::move(body)),
+                                  now_, random_, actions);
+                    });
                 }
             },
             event.body);
@@ -313,7 +313,7 @@
     cluster_.onConfigurationCame(event, now_);
 }
 
-void decide::send(core::keeper_send &&message)
+void decide::send(core::limit_message &&message)
 {
     const core::known_instance *peer = cluster_.find(message.to);
     if (peer == nullptr)
@@ -374,11 +374,11 @@
         outputs_.reply(std::move(*reply));
         return;
     }
-    if (auto *message = std::get_if<core::keeper_send>(&action)) {
+    if (auto *message = std::get_if<core::limit_message>(&action)) {
         send(std::move(*message));
         return;
     }
-    if (auto *call = std::get_if<core::keeper_call>(&action)) {
+    if (auto *call = std::get_if<core::limit_platform_call>(&action)) {
         callKeeperOrder(std::move(*call));
         return;
     }
--- a/testing/gateway_world.cpp
+++ b/testing/gateway_world.cpp
@@ -62,7 +62,7 @@
     });
 }
 
-void performKeeperCall(gateway_world &world, std::size_t gateway, keeper_call &&call)
+void performKeeperCall(gateway_world &world, std::size_t gateway, limit_platform_call &&call)
 {
     const std::uint64_t number = call.number;
     if (const auto *prefix = std::get_if<std::string>(&call.order)) {
@@ -70,7 +70,7 @@
                 world, gateway,
                 [&world, rows = *prefix] { return std::optional(scan(world.platform, rows)); },
                 [number](gateway_turn &turn, const std::optional<scan_answer> &answer) {
-                    withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
+                    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
                         onScan(keeper, number, answer, turn.now, turn.random, actions);
                     });
                 });
@@ -82,7 +82,7 @@
                 return transact(world.platform, order, world.now);
             },
             [number](gateway_turn &turn, const std::optional<transact_answer> &answer) {
-                withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
+                withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
                     onTransact(keeper, number, answer, turn.now, turn.random, actions);
                 });
             });
@@ -219,7 +219,7 @@
 {
     if (auto *reply = std::get_if<caller_reply>(&action)) {
         takeReply(world, gateway, std::move(*reply));
-    } else if (auto *message = std::get_if<keeper_send>(&action)) {
+    } else if (auto *message = std::get_if<limit_message>(&action)) {
         const std::size_t to = findGateway(world, message->to);
         if (to == world.gateways.size())
             return;
@@ -229,11 +229,12 @@
                      [from, target, body = std::move(message->body)](gateway_turn &turn) {
                          if (turn.state.incarnation != target)
                              return;
-                         withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
-                             onMessage(keeper, from, body, turn.now, turn.random, actions);
-                         });
+                         withKeeper(
+                                 turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
+                                     onMessage(keeper, from, body, turn.now, turn.random, actions);
+                                 });
                      });
-    } else if (auto *call = std::get_if<keeper_call>(&action)) {
+    } else if (auto *call = std::get_if<limit_platform_call>(&action)) {
         performKeeperCall(world, gateway, std::move(*call));
     } else if (auto *forward = std::get_if<forward_statement>(&action)) {
         performForward(world, gateway, std::move(*forward));
--- a/testing/limits_world.cpp
+++ b/testing/limits_world.cpp
@@ -176,7 +176,7 @@
         waiting.pop_front();
     }
     while (!waiting.empty()
-           && world.now >= waiting.front().arrivedAt + world.settings.loans.admissionWait) {
+           && world.now >= waiting.front().arrivedAt + world.settings.loans.maxAdmissionWait) {
         world.results[resource].wrongful += waiting.front().exactGrants ? 1 : 0;
         abandonWaiting(node.desk, resource);
         waiting.pop_front();
@@ -184,7 +184,7 @@
 }
 
 /// Recomputes the books after a deliberate fault has changed them.
-static void settleAll(loan_desk &desk, time_point now)
+static void settleAll(loan_manager &desk, time_point now)
 {
     for (auto &[resource, entry] : desk.limits)
         setHomeUntil(entry.book, entry.book.homeUntil, now);
@@ -379,7 +379,7 @@
     node.lease.self = self.incarnation;
     node.witness.self = self.incarnation;
     node.witness.startedAt = local;
-    node.desk = makeDesk(self, world.settings.loans, local);
+    node.desk = makeLoanManager(self, world.settings.loans, local);
     node.desk.areLoansOn = world.settings.areLoansOn;
     for (const world_workspace &each : world.settings.workspaces)
         openLimit(node.desk, workspaceOf(each), amountOf(each.rate), amountOf(each.burst),
--- a/tests/unit-fuzz.cpp
+++ b/tests/unit-fuzz.cpp
@@ -218,7 +218,7 @@
         parts[0].content,
         writeBody(configuration_body{ 1, 2, 0, 1, "text" }),
         writeBody(probe_message{ { { "i" }, { "z" }, "127.0.0.1:1" }, true }),
-        writeBody(core::loan_request{ 1, 2, 3, std::vector<core::loan_ask>(2) }),
+        writeBody(core::loan_request{ 1, 2, 3, std::vector<core::loan_request_item>(2) }),
         writeBody(core::loan_grant{ 1, 2, std::vector<core::loan_terms>(2) }),
         writeBody(core::lease_request{ 1, { 2, 3 }, 4 })
     };
@@ -244,7 +244,7 @@
             if (read && row.kind == peer_kind::Probe)
                 CHECK_TRUE(std::get<probe_message>(*read).sender.state <= sender_state::Gone);
             if (read && row.kind == peer_kind::LoanRequest) {
-                for (const core::loan_ask &each : std::get<core::loan_request>(*read).asks)
+                for (const core::loan_request_item &each : std::get<core::loan_request>(*read).asks)
                     CHECK_TRUE(each.resource.kind <= core::resource_kind::Connections);
             }
         }
--- a/tests/unit-limit-keeper.cpp
+++ b/tests/unit-limit-manager.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Tests of keepers with a fake table and a fake network in virtual time.
 
-#include <fuchsiagw/core/limit_keeper.hpp>
+#include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/rendezvous.hpp>
 #include <fuchsiagw/core/share_table.hpp>
 
@@ -26,7 +26,7 @@
 
 struct node
 {
-    limit_keeper keeper;
+    limit_manager keeper;
     bool isAlive = true;
     time_point pausedUntil{};
     double offered = 0; ///< statements per second
@@ -106,7 +106,7 @@
             if (!each->isAlive)
                 continue;
             const bool isOwner = owners.contains(each.get());
-            apply(*each, [this, &at = *each, peers, isOwner](keeper_actions &actions) {
+            apply(*each, [this, &at = *each, peers, isOwner](limit_manager_actions &actions) {
                 onPeers(at.keeper, peers, now, random, actions);
                 onOwnedGroups(at.keeper,
                               isOwner ? std::set<group_id>{ group } : std::set<group_id>{}, now,
@@ -122,8 +122,8 @@
             instance = "i" + std::to_string(id);
         const peer_ref self{ id, instance_id{ instance }, zone_name{ "z" + std::to_string(zone) } };
         node &added = *nodes.emplace_back(std::make_unique<node>());
-        added.keeper = makeKeeper(self, {}, now);
-        apply(added, [&](keeper_actions &actions) {
+        added.keeper = makeLimitManager(self, {}, now);
+        apply(added, [&](limit_manager_actions &actions) {
             onConfiguration(added.keeper, config, now, random, actions);
         });
         return added;
@@ -150,7 +150,7 @@
         return remembered[request.id] = answer;
     }
 
-    void call(node &from, const keeper_call &order)
+    void call(node &from, const limit_platform_call &order)
     {
         if (now < darkUntil) {
             after(seconds(1), [this, &from, order] { answer(from, order, {}, {}); });
@@ -176,10 +176,10 @@
         });
     }
 
-    void answer(node &to, const keeper_call &order, const std::optional<scan_answer> &rows,
+    void answer(node &to, const limit_platform_call &order, const std::optional<scan_answer> &rows,
                 const std::optional<transact_answer> &result)
     {
-        apply(to, [this, &to, order, rows, result](keeper_actions &actions) {
+        apply(to, [this, &to, order, rows, result](limit_manager_actions &actions) {
             if (std::holds_alternative<std::string>(order.order))
                 onScan(to.keeper, order.number, rows, now, random, actions);
             else
@@ -188,7 +188,7 @@
     }
 
     /// Runs an event now, or after the node's pause; it must own what it uses.
-    void apply(node &at, const std::function<void(keeper_actions &)> &run)
+    void apply(node &at, const std::function<void(limit_manager_actions &)> &run)
     {
         if (!at.isAlive)
             return;
@@ -196,23 +196,23 @@
             after(at.pausedUntil - now, [this, &at, run] { apply(at, run); });
             return;
         }
-        keeper_actions actions;
+        limit_manager_actions actions;
         run(actions);
-        for (const keeper_action &each : actions) {
-            if (const auto *message = std::get_if<keeper_send>(&each))
+        for (const limit_manager_action &each : actions) {
+            if (const auto *message = std::get_if<limit_message>(&each))
                 deliver(at, *message);
-            else if (const auto *order = std::get_if<keeper_call>(&each))
+            else if (const auto *order = std::get_if<limit_platform_call>(&each))
                 call(at, *order);
-            else if (const auto *admitted = std::get_if<keeper_admitted>(&each))
+            else if (const auto *admitted = std::get_if<admission_outcome>(&each))
                 ++(admitted->granted ? at.granted : at.refused);
-            else if (const auto *allowed = std::get_if<keeper_connections>(&each))
+            else if (const auto *allowed = std::get_if<connection_limit_change>(&each))
                 at.limit = allowed->limit;
             else
                 at.isExpired = true;
         }
     }
 
-    void deliver(const node &from, const keeper_send &message, bool isCopy = false)
+    void deliver(const node &from, const limit_message &message, bool isCopy = false)
     {
         const incarnation_id sender = from.keeper.self.incarnation;
         if (drawBelow(random, 1'000) < faults)
@@ -222,7 +222,7 @@
                   [this, &from, message] { deliver(from, message, true); });
         after(milliseconds(4), [this, sender, message] {
             node &to = *nodes.at(message.to - 1);
-            apply(to, [this, &to, sender, message](keeper_actions &actions) {
+            apply(to, [this, &to, sender, message](limit_manager_actions &actions) {
                 onMessage(to.keeper, sender, message.body, now, random, actions);
             });
         });
@@ -258,7 +258,7 @@
             if (!each.isAlive || now < each.pausedUntil)
                 continue;
             useConnections(each);
-            apply(each, [&](keeper_actions &actions) {
+            apply(each, [&](limit_manager_actions &actions) {
                 each.arrivals += each.offered * std::chrono::duration<double>(stepLength).count();
                 for (; each.arrivals >= 1; each.arrivals -= 1) {
                     const admission decision =
@@ -266,8 +266,8 @@
                     each.granted += decision == admission::Granted ? 1 : 0;
                     each.refused += decision == admission::Refused ? 1 : 0;
                 }
-                if (nextKeeperTick(each.keeper) <= now)
-                    tickKeeper(each.keeper, now, random, actions);
+                if (nextLimitManagerTick(each.keeper) <= now)
+                    tickLimitManager(each.keeper, now, random, actions);
             });
         }
         check();
@@ -328,7 +328,7 @@
 
 } // namespace
 
-TEST_GROUP(limit_keeper)
+TEST_GROUP(limit_manager)
 {
     world all;
     std::uint64_t granted = 0;
@@ -367,14 +367,14 @@
     void configure()
     {
         for (auto &each : all.nodes)
-            all.apply(*each, [&](keeper_actions &actions) {
+            all.apply(*each, [&](limit_manager_actions &actions) {
                 onConfiguration(each->keeper, all.config, all.now, all.random, actions);
             });
     }
 };
 
 // Guards against instances that do not join, and against shares that nobody gets.
-TEST(limit_keeper, joinDividesEverything)
+TEST(limit_manager, joinDividesEverything)
 {
     start(9);
     LONGS_EQUAL(workspaceShares, all.home(workspaceLimit));
@@ -392,7 +392,7 @@
 
 // Guards against refusals inside the rate when the load meets one instance, also while the
 // platform is dark.
-TEST(limit_keeper, servesUnevenDemandWithoutPlatform)
+TEST(limit_manager, servesUnevenDemandWithoutPlatform)
 {
     start(9);
     all.nodes[4]->offered = 80;
@@ -412,7 +412,7 @@
 
 // Guards against connections that stay where nobody uses them, and against a limit that ends
 // before the exchanges have.
-TEST(limit_keeper, lendsConnectionsToTheBusyOwner)
+TEST(limit_manager, lendsConnectionsToTheBusyOwner)
 {
     start(9);
     node &first = all.owner(0);
@@ -437,7 +437,7 @@
 }
 
 // Guards against shares that a planned stop leaves behind, and against one that never ends.
-TEST(limit_keeper, leavesWithAllShares)
+TEST(limit_manager, leavesWithAllShares)
 {
     start(9);
     node &owner = all.owner(0);
@@ -447,7 +447,7 @@
     all.run(seconds(5));
     busy.offered = 0;
     for (node *each : { &owner, &busy })
-        all.apply(*each, [&](keeper_actions &actions) {
+        all.apply(*each, [&](limit_manager_actions &actions) {
             startLeaving(each->keeper, all.now, all.random, actions);
         });
     all.announce();
@@ -464,7 +464,7 @@
 }
 
 // Guards against shares that die with an instance.
-TEST(limit_keeper, reclaimsTheSharesOfADeadInstance)
+TEST(limit_manager, reclaimsTheSharesOfADeadInstance)
 {
     start(9);
     const std::array<incarnation_id, 2> dead{ all.owner(0).keeper.self.incarnation, 8 };
@@ -479,7 +479,7 @@
 }
 
 // Guards against shares that nobody can reclaim because the witnesses died with their holders.
-TEST(limit_keeper, restartOfAllInstancesFindsTheShares)
+TEST(limit_manager, restartOfAllInstancesFindsTheShares)
 {
     start(4);
     for (int i = 0; i < 4; ++i) {
@@ -495,7 +495,7 @@
 }
 
 // Guards against a paused instance that uses shares which were reclaimed meanwhile.
-TEST(limit_keeper, expiredIncarnationGrantsNothing)
+TEST(limit_manager, expiredIncarnationGrantsNothing)
 {
     start(4);
     node &paused = *all.nodes[3];
@@ -504,12 +504,12 @@
     all.run(seconds(35));
     CHECK_TRUE(paused.isExpired);
     LONGS_EQUAL(0, all.table.count(leaseKey(4)));
-    keeper_actions actions;
+    limit_manager_actions actions;
     CHECK_TRUE(admitStatement(paused.keeper, workspace, 1, all.now, actions) == admission::Refused);
 }
 
 // Guards against a transaction that counts twice, or not at all, when its answer is lost.
-TEST(limit_keeper, readsBackAfterALostAnswer)
+TEST(limit_manager, readsBackAfterALostAnswer)
 {
     all.answersToLose = 6;
     start(5);
@@ -524,7 +524,7 @@
 }
 
 // Guards against a change of a group's connections that never reaches the pool.
-TEST(limit_keeper, followsTheConfiguration)
+TEST(limit_manager, followsTheConfiguration)
 {
     start(9);
     for (int zone = 0; zone < 3; ++zone)
@@ -549,7 +549,7 @@
 }
 
 // Guards against shares that count twice when faults come together.
-TEST(limit_keeper, limitsHoldUnderRandomFaults)
+TEST(limit_manager, limitsHoldUnderRandomFaults)
 {
     start(9);
     for (int round = 0; round < 200; ++round) {
@@ -580,7 +580,7 @@
 }
 
 // Guards against a row that is read although it was damaged.
-TEST(limit_keeper, rowsAreParsedStrictly)
+TEST(limit_manager, rowsAreParsedStrictly)
 {
     const lease_row lease{ 5,        instance_id{ "i5" },   zone_name{ "a" },
                            { 1, 2 }, { { groupLimit, 3 } }, "5-1" };
--- a/tests/unit-loan-policy.cpp
+++ b/tests/unit-loan-policy.cpp
@@ -23,7 +23,7 @@
 TEST_GROUP(loan_policy)
 {
     resource_id resource{ resource_kind::Workspace, "libros" };
-    std::vector<loan_desk> all;
+    std::vector<loan_manager> all;
     std::int64_t sent = 0;
     std::int64_t bytes = 0;
 
@@ -38,7 +38,7 @@
             holders.push_back(each.incarnation);
         all.clear();
         for (const peer_ref &each : live) {
-            loan_desk &desk = all.emplace_back(makeDesk(each, {}, at(0)));
+            loan_manager &desk = all.emplace_back(makeLoanManager(each, {}, at(0)));
             share_book &book = openLimit(desk, resource, std::int64_t(rate * oneToken),
                                          token_amount(burst * oneToken), workspaceShares, at(0))
                                        .book;
@@ -52,7 +52,7 @@
         for (const loan_message &message : messages) {
             ++sent;
             bytes += sizeOf(message);
-            loan_desk &to = all.at(message.to - 1);
+            loan_manager &to = all.at(message.to - 1);
             if (const auto *request = std::get_if<loan_request>(&message.body))
                 deliver(onLoanRequest(to, *request, now), now);
             else if (const auto *grant = std::get_if<loan_grant>(&message.body))
@@ -67,14 +67,14 @@
         int granted = 0;
         std::deque<std::int64_t> waiting; // arrival times
         for (std::int64_t now = from; now < until; now += 5) {
-            loan_desk &desk = all[busy];
+            loan_manager &desk = all[busy];
             if (now % everyMillis == 0) {
                 const admission decision = admit(desk, resource, at(now));
                 granted += decision == admission::Granted ? 1 : 0;
                 if (decision == admission::Wait)
                     waiting.push_back(now);
             }
-            for (loan_desk &each : all)
+            for (loan_manager &each : all)
                 deliver(poll(each, at(now)), at(now));
             while (!waiting.empty() && admitWaiting(desk, resource, at(now))) {
                 waiting.pop_front();
@@ -130,7 +130,7 @@
 TEST(loan_policy, switchedOffMeansNoNewLoans)
 {
     open(100, 100);
-    for (loan_desk &each : all)
+    for (loan_manager &each : all)
         each.areLoansOn = false;
     run(0, 0, 2'000, 10);
     LONGS_EQUAL(0, sent);
