--- a/include/fuchsiagw/core/limit_manager.hpp
+++ b/include/fuchsiagw/core/limit_manager.hpp
@@ -1,10 +1,13 @@
 /// @file
-/// @brief The part of one instance in the limits over all instances: its lease, its home shares in
-/// the platform's table, its loans, the admission of statements and the limits of connections.
+/// @brief Enforces one instance's part of the rate and connection limits that all instances share.
 ///
-/// It puts the decisions of incarnation_lease, share_pool and loan_policy together. Each function
-/// appends the actions that the caller carries out. The caller reports the outcome of every call to
-/// the platform exactly once; a call without a report for callLimit counts as lost.
+/// The limit manager holds the instance's lease, its home shares (the shares that the platform's
+/// table records for it) and its loans. It admits statements and computes the connection limits.
+/// It combines the decisions of incarnation_lease, share_pool and loan_policy.
+///
+/// Each function appends the actions that the caller must carry out. The caller reports the outcome
+/// of every platform call exactly once. The limit manager treats a call whose outcome is not
+/// reported within platformCallTimeout as lost.
 
 #pragma once
 
@@ -26,56 +29,60 @@
 
 namespace fuchsiagw::core {
 
-/// A limit of connections is lowered this long before the shares end, so that the caller can end
-/// the exchanges under way.
-inline constexpr duration connectionWindDown = std::chrono::seconds(2);
+/// A connection limit is lowered this long before the underlying shares expire, so that exchanges
+/// in progress can finish.
+inline constexpr duration connectionDrainInterval = std::chrono::seconds(2);
 
-/// A call to the platform without an answer for this long counts as lost.
-inline constexpr duration callLimit = std::chrono::seconds(10);
+/// A platform call is treated as lost if it is not answered within this time.
+inline constexpr duration platformCallTimeout = std::chrono::seconds(10);
 
-/// @return settings of loans of connections: they are extended well before connectionWindDown
+/// @return settings for loans of connections. Such loans are renewed well before the last
+/// connectionDrainInterval of their term.
 [[nodiscard]] loan_settings connectionLoanSettings();
 
 struct limit_manager_settings
 {
     lease_times leases;
-    loan_settings rates; ///< of loans of workspaces' shares
+    loan_settings rates; ///< for loans of workspace rate shares
     loan_settings connections = connectionLoanSettings();
 };
 
-/// What keepers say to each other.
+/// Bodies of the messages that limit managers exchange.
 using limit_message_body = std::variant<lease_request, lease_promise, vote_request, expiry_vote,
                                         loan_request, loan_grant, loan_returns>;
 
+/// Action: sends a message to the limit manager of another incarnation.
 struct limit_message
 {
     incarnation_id to = 0;
     limit_message_body body;
 };
 
-/// A call to the platform, answered by onScan() or onTransact().
+/// Action: calls the platform. The caller reports the outcome with onScan() or onTransact().
 struct limit_platform_call
 {
     std::uint64_t number = 0;
-    std::variant<std::string, transact_request> order; ///< the prefix of a scan, or a transaction
+    std::variant<std::string, transact_request> order; ///< key prefix to scan, or a transaction
 };
 
-/// End of an admission that had to wait.
+/// Action: delivers the decision on a statement for which admitStatement() returned
+/// admission::Wait.
 struct admission_outcome
 {
     std::uint64_t ticket = 0;
     bool granted = false;
 };
 
-/// Connections that this instance may have open from now on.
+/// Action: changes the number of connections that this instance may have open for a group.
 struct connection_limit_change
 {
     group_id group;
     std::uint32_t limit = 0;
 };
 
-/// The incarnation was voted expired: nothing is granted any more. The caller starts a new keeper
-/// with a new incarnation.
+/// Action: reports that this incarnation has expired, because its witnesses voted so or its row is
+/// gone. The limit manager grants nothing any more; the caller replaces it by one with a new
+/// incarnation.
 struct limit_manager_expired
 { };
 
@@ -87,190 +94,203 @@
 struct waiting_admission
 {
     std::uint64_t ticket = 0;
-    time_point until{}; ///< refused from here on
+    time_point refusedAt{}; ///< the statement is refused at this time if no token came
 };
 
-/// What the keeper knows of one limit besides its book.
-struct keeper_limit
+/// State of one limit, except for its share book.
+struct limit_state
 {
-    bool isUsed = false; ///< in the configuration, and owned if it is a group's
+    bool isUsed = false; ///< configured and, for a group, owned by this instance
     std::int64_t rate = 0;
     token_amount burst = 0;
-    share_count total = workspaceShares; ///< by the configuration
-    std::vector<incarnation_id> holders; ///< instances that have a fair part
-    share_count fair = 0;
-    bool isTotalUnchecked = true; ///< the pool row may have another total
-    bool isAbsorbing = false; ///< may take a little more than the fair part of a pool left idle
-    time_point lookAt = noDeadline; ///< when the pool row is to be read
-    duration lookPause{ 0 }; ///< doubles while the pool has nothing to take
-    share_count reserve = 0; ///< of connections that end before they are returned
-    std::uint32_t idle = 0; ///< open connections that carry nothing
-    std::uint32_t busyPeak = 0; ///< greatest number of busy connections of late
+    share_count total = workspaceShares; ///< according to the configuration
+    std::vector<incarnation_id> holders; ///< incarnations that are entitled to a fair part
+    share_count fair = 0; ///< fair part of this incarnation
+    bool isPoolTotalUnverified = true; ///< the pool row may record another total
+    bool mayExceedFairPart = false; ///< may take free shares somewhat beyond the fair part
+    time_point nextPoolReadAt = noDeadline;
+    duration poolReadBackoff{ 0 }; ///< doubles while the pool has no free shares
+    /// Connection shares that are withheld from use until their connections are closed and the
+    /// shares can be returned to the pool.
+    share_count pendingReturn = 0;
+    std::uint32_t idleConnections = 0; ///< open connections without an exchange
+    std::uint32_t busyPeak = 0; ///< maximum of busy connections until busyPeakUntil
     time_point busyPeakUntil{};
-    share_count yield = 0; ///< of idle connections that are closed because a peer asks for them
-    time_point yieldUntil{};
-    time_point surplusSince = noDeadline; ///< since when borrowed connections could be returned
-    std::optional<std::uint32_t> announced; ///< connections
-    std::deque<waiting_admission> waiting;
+    share_count releasedIdle = 0; ///< lowers the limit to close idle connections for a peer
+    time_point releasedIdleUntil{};
+    time_point surplusSince = noDeadline; ///< borrowed connections are in surplus since then
+    std::optional<std::uint32_t> announcedLimit; ///< last connection_limit_change, if any
+    std::deque<waiting_admission> waitingStatements;
 };
 
-enum class keeper_goal : std::uint8_t {
+/// Purposes of a task at the platform.
+enum class limit_task_kind : std::uint8_t {
     None,
     Join,
-    Rebalance, ///< and creation and change of pools
-    Witnesses, ///< replacement in the own row
-    Reclaim, ///< of a dead incarnation's shares
+    Rebalance, ///< take or return shares; also creates and resizes pools
+    Witnesses, ///< replace the witnesses in this incarnation's row
+    Reclaim, ///< reclaim the shares of an incarnation that was voted expired
     Predecessor, ///< reclaim from an earlier incarnation of this instance, without votes
     Leave,
 };
 
-inline constexpr std::array<std::string_view, 7> keeperGoalNames{
+inline constexpr std::array<std::string_view, 7> limitTaskKindNames{
     "none", "join", "rebalance", "witnesses", "reclaim", "predecessor", "leave"
 };
 
-[[nodiscard]] constexpr std::string_view toString(keeper_goal goal)
+[[nodiscard]] constexpr std::string_view toString(limit_task_kind kind)
 {
-    return keeperGoalNames.at(static_cast<std::size_t>(goal));
+    return limitTaskKindNames.at(static_cast<std::size_t>(kind));
 }
 
-enum class keeper_phase : std::uint8_t {
+enum class limit_task_phase : std::uint8_t {
     Reading,
     Submitting,
-    ReadingBack, ///< the answer of the transaction was lost
+    ReadingBack, ///< the transaction's answer was lost; its rows are read to find the outcome
 };
 
-/// The one piece of work at the platform that is under way.
-/// Invariant: shares that were given are in no book until the transaction's outcome is known.
-struct keeper_work
+/// The task at the platform that is in progress; there is at most one.
+/// Invariant: shares that the transaction gives back are in no book until its outcome is known.
+struct limit_task
 {
-    keeper_goal goal = keeper_goal::None;
-    keeper_phase phase = keeper_phase::Reading;
-    std::uint64_t call = 0; ///< that is not answered; 0: none
-    time_point due{}; ///< of the answer, or of the next try
-    std::vector<std::string> prefixes; ///< still to be scanned; the last one is next
+    limit_task_kind kind = limit_task_kind::None;
+    limit_task_phase phase = limit_task_phase::Reading;
+    std::uint64_t pendingCall = 0; ///< number of the unanswered call; 0 if there is none
+    time_point dueAt{}; ///< deadline of the pending call, or time of the next attempt
+    std::vector<std::string> pendingPrefixes; ///< to be scanned from back to front
     table_view view;
-    std::set<std::string> damaged; ///< keys of rows that can't be read
+    std::set<std::string> unreadableKeys; ///< rows that can't be parsed
     share_move move;
-    std::set<resource_id> resources; ///< of a rebalancing
-    incarnation_id dead = 0; ///< whose shares are reclaimed
-    bool hasPools = false; ///< the pools are read too, of a reclaim
-    bool isResize = false; ///< creates or changes pools and moves no shares
+    std::set<resource_id> resources; ///< limits of a Rebalance task
+    incarnation_id deadIncarnation = 0; ///< holder of the shares of a Reclaim task
+    bool includesPools = false; ///< the Reclaim task reads the pool rows too
+    bool isPoolChange = false; ///< creates or resizes pools and moves no shares
 };
 
-/// Invariants: nothing is granted once isExpired; home shares are used only if hasJoined; one call
-/// to the platform is under way at most.
+/// Invariants: nothing is granted once isExpired is set; home shares are used only while hasJoined
+/// is set; at most one platform call is pending.
 struct limit_manager
 {
     peer_ref self;
     limit_manager_settings settings;
-    std::vector<peer_ref> live; ///< ascending by instance, this one included
+    std::vector<peer_ref> live; ///< ascending by instance, including this one
     lease_holder lease;
     lease_witness witness;
-    loan_manager rates; ///< workspaces
-    loan_manager connections; ///< groups
-    std::map<resource_id, keeper_limit> limits;
-    std::map<group_id, std::uint32_t> groups; ///< connections by the configuration
-    std::set<group_id> owned;
-    bool isRebalancingOn = true; ///< the switch `rebalancing`
-    std::set<resource_id> stale; ///< holders to be computed anew
+    loan_manager rates; ///< loans of workspace rate shares
+    loan_manager connections; ///< loans of connection shares of groups
+    std::map<resource_id, limit_state> limits;
+    std::map<group_id, std::uint32_t> configuredConnections;
+    std::set<group_id> ownedGroups;
+    bool isRebalancingOn = true; ///< operators' switch `rebalancing`
+    std::set<resource_id> staleHolders; ///< limits whose holders must be recomputed
 
     bool hasConfiguration = false;
-    bool hasJoined = false; ///< the own row is in the table
+    bool hasJoined = false; ///< this incarnation has a row in the table
     bool isLeaving = false;
-    bool hasReturned = false; ///< the shares that were not lent, of a planned stop
+    bool hasReturnedUnlentShares = false; ///< during a planned stop
     bool isExpired = false;
     time_point homeUntil{};
-    time_point witnessesDue = noDeadline; ///< when witnesses that do not promise are exchanged
-
-    keeper_work work;
-    time_point nextWork{};
-    time_point nextReclaim{};
-    time_point nextPredecessor{}; ///< when the rows are searched for earlier incarnations
-    bool wasShort = false; ///< the pools had less than the fair parts when it joined
-    duration workPause{ 0 }; ///< doubles while the platform does not answer
-    std::uint64_t nextCall = 1; ///< starts at the incarnation: answers to a predecessor's calls are
-                                ///< never taken for its own
+    /// When proposed witnesses that have not promised are replaced by others.
+    time_point nextWitnessChangeAt = noDeadline;
+
+    limit_task task;
+    time_point nextTaskAt{};
+    time_point nextReclaimAt{};
+    time_point nextPredecessorSearchAt{};
+    /// The pools had too few free shares at the join, or the last search found an earlier
+    /// incarnation; other earlier incarnations may still hold shares.
+    bool isPredecessorSearchWanted = false;
+    duration callBackoff{ 0 }; ///< doubles while the platform does not answer
+    /// Starts at the incarnation number, so that answers to calls of an earlier incarnation are
+    /// never mistaken for answers to its own.
+    std::uint64_t nextCall = 1;
     std::uint64_t nextTransaction = 1;
-    std::uint64_t transactions = 0; ///< that were sent, repetitions included
-    std::uint64_t scans = 0;
-    std::uint64_t damagedRows = 0;
-    time_point tickedAt{};
+    std::uint64_t sentTransactions = 0; ///< including repetitions
+    std::uint64_t sentScans = 0;
+    std::uint64_t unreadableRows = 0;
+    time_point lastTickAt{};
 };
 
-/// @brief Prepares the keeper of a new incarnation. It has no limits before onConfiguration().
+/// @brief Creates the limit manager of a new incarnation. It has no limits before
+/// onConfiguration().
 [[nodiscard]] limit_manager
 makeLimitManager(const peer_ref &self, const limit_manager_settings &settings, time_point now);
 
-/// @brief Takes in which entry instances are live. An instance whose incarnation is not known (0)
-/// counts for the fair parts only. This instance need not be listed.
-/// @complexity linear in the peers; the fair parts follow during the next ticks
-void onPeers(limit_manager &keeper, std::vector<peer_ref> live, time_point now,
+/// @brief Updates the set of live instances. An instance whose incarnation is unknown (0) counts
+/// only towards the fair parts. This instance need not be listed.
+/// @complexity linear in the peers; the next ticks recompute the fair parts
+void onPeers(limit_manager &manager, std::vector<peer_ref> live, time_point now,
              random_engine &random, limit_manager_actions &actions);
 
-/// @brief Takes in a new configuration: rates, bursts, connections and switches.
+/// @brief Applies a new configuration: rates, bursts, connections and switches.
 /// @complexity linear in the workspaces and groups, times logarithm
-void onConfiguration(limit_manager &keeper, const configuration &config, time_point now,
+void onConfiguration(limit_manager &manager, const configuration &config, time_point now,
                      random_engine &random, limit_manager_actions &actions);
 
-/// @brief Takes in which groups this instance owns for its zone. The connections of a group that
-/// it owns no longer are returned once they are closed.
+/// @brief Updates the set of groups that this instance owns for its zone. The connection shares
+/// of a group that it no longer owns are returned once the connections are closed.
 /// @complexity linear in the limits, times logarithm
-void onOwnedGroups(limit_manager &keeper, const std::set<group_id> &owned, time_point now,
+void onOwnedGroups(limit_manager &manager, const std::set<group_id> &owned, time_point now,
                    random_engine &random, limit_manager_actions &actions);
 
 /// @brief Sets the demand for a group's connections. Call it before any other function whenever a
-/// connection was opened or closed: shares of open connections are not given away.
-/// @param inUse open connections, the idle ones included
-/// @param idle open connections that can be closed at once; the limit is lowered for a peer that
-/// asks for them, and if they are borrowed
+/// connection has been opened or closed, because shares of open connections must not be given away.
+/// @param inUse open connections, including idle ones
+/// @param idle open connections that can be closed at once; the limit is lowered to close them if
+/// a peer requests them or if they are borrowed
 /// @complexity logarithmic in the limits
-void setGroupDemand(limit_manager &keeper, const group_id &group, std::uint32_t inUse,
+void setGroupDemand(limit_manager &manager, const group_id &group, std::uint32_t inUse,
                     std::uint32_t waiting, time_point now, std::uint32_t idle = 0);
 
-/// @brief Decides on a statement. After admission::Wait a admission_outcome action with its ticket
-/// follows, at the latest after the admission wait.
+/// @brief Decides whether to admit a statement. After admission::Wait, an admission_outcome action
+/// with the same ticket follows within maxAdmissionWait.
 /// @complexity logarithmic in the limits
-[[nodiscard]] admission admitStatement(limit_manager &keeper, const workspace_id &workspace,
+[[nodiscard]] admission admitStatement(limit_manager &manager, const workspace_id &workspace,
                                        std::uint64_t ticket, time_point now,
                                        limit_manager_actions &actions);
 
-/// @brief Forgets a statement that waits, because its caller has gone.
+/// @brief Removes a waiting statement whose caller has disconnected.
 /// @complexity linear in the workspace's waiting statements
-void abandonStatement(limit_manager &keeper, const workspace_id &workspace, std::uint64_t ticket);
+void abandonStatement(limit_manager &manager, const workspace_id &workspace, std::uint64_t ticket);
 
-/// @brief Takes in a message of another keeper. One that names another sender is ignored.
+/// @brief Handles a message of another limit manager. A message whose body names a sender other
+/// than @p from is ignored.
 /// @complexity linear in the message
-void onMessage(limit_manager &keeper, incarnation_id from, const limit_message_body &body,
+void onMessage(limit_manager &manager, incarnation_id from, const limit_message_body &body,
                time_point now, random_engine &random, limit_manager_actions &actions);
 
-/// @brief A scan was answered, or not.
+/// @brief Handles the answer to a scan.
+/// @param answer empty if the call failed
 /// @complexity linear in the rows
-void onScan(limit_manager &keeper, std::uint64_t number, const std::optional<scan_answer> &answer,
+void onScan(limit_manager &manager, std::uint64_t number, const std::optional<scan_answer> &answer,
             time_point now, random_engine &random, limit_manager_actions &actions);
 
-/// @brief A transaction was answered, or not; without an answer it may have been committed.
+/// @brief Handles the answer to a transaction.
+/// @param answer empty if the call failed; the transaction may have been committed nevertheless
 /// @complexity linear in the transaction
-void onTransact(limit_manager &keeper, std::uint64_t number,
+void onTransact(limit_manager &manager, std::uint64_t number,
                 const std::optional<transact_answer> &answer, time_point now, random_engine &random,
                 limit_manager_actions &actions);
 
-/// @brief Does what is due. Call it at nextLimitManagerTick().
+/// @brief Performs all due actions. Call it at nextLimitManagerTick().
 /// @complexity linear in the active limits and the watched leases
-void tickLimitManager(limit_manager &keeper, time_point now, random_engine &random,
+void tickLimitManager(limit_manager &manager, time_point now, random_engine &random,
                       limit_manager_actions &actions);
 
-/// @return when tickLimitManager() must be called again at the latest
+/// @return the latest time at which tickLimitManager() must be called again
 /// @complexity linear in the workspaces
-[[nodiscard]] time_point nextLimitManagerTick(const limit_manager &keeper);
+[[nodiscard]] time_point nextLimitManagerTick(const limit_manager &manager);
 
-/// @brief Begins a planned stop: lends nothing more, admits nothing new and returns the shares,
-/// those of connections once they are closed. Call it when no statement comes any more; those that
-/// wait are still decided. The caller bounds the time and continues to call tickLimitManager().
+/// @brief Begins a planned stop: lends nothing more, admits no new statements and returns
+/// all shares; connection shares are returned once their connections are closed. Call it when no
+/// new statements arrive; waiting statements are still decided. The caller must limit the duration
+/// of the stop and keep calling tickLimitManager().
 /// @complexity linear in the limits
-void startLeaving(limit_manager &keeper, time_point now, random_engine &random,
+void startLeaving(limit_manager &manager, time_point now, random_engine &random,
                   limit_manager_actions &actions);
 
-/// @return whether the stop is complete: no share is recorded for this incarnation
-[[nodiscard]] bool hasLeft(const limit_manager &keeper);
+/// @return whether the planned stop is complete, so that the table records no share for this
+/// incarnation, or the incarnation has expired
+[[nodiscard]] bool hasLeft(const limit_manager &manager);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/loan_message.hpp
+++ b/include/fuchsiagw/core/loan_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What instances say to each other about loans.
+/// @brief Messages that instances exchange about loans of shares.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 {
     resource_id resource;
     loan_kind kind = loan_kind::Rate;
-    share_count shares = 0; ///< more than it has already; 0 only extends
+    share_count shares = 0; ///< in addition to current loans; 0 only renews them
 
     template <typename archive>
     void serialize(archive &ar)
@@ -27,8 +27,8 @@
 struct loan_request
 {
     incarnation_id borrower = 0;
-    std::uint64_t number = 0; ///< increases with every request of the borrower
-    std::int64_t sentAt = 0; ///< on the borrower's clock; meaningless to the lender
+    std::uint64_t number = 0; ///< increases with each request of the borrower
+    std::int64_t sentAt = 0; ///< by the borrower's clock; the lender only echoes it
     std::vector<loan_request_item> asks;
 
     template <typename archive>
@@ -41,7 +41,7 @@
 struct loan_grant
 {
     incarnation_id borrower = 0;
-    std::int64_t sentAt = 0; ///< as in the request
+    std::int64_t sentAt = 0; ///< echoed from the request
     std::vector<loan_terms> loans;
 
     template <typename archive>
@@ -51,6 +51,7 @@
     }
 };
 
+/// Loans that a borrower returns to one lender before they end.
 struct loan_returns
 {
     std::vector<loan_return> loans;
@@ -68,11 +69,11 @@
     std::variant<loan_request, loan_grant, loan_returns> body;
 };
 
-/// @brief Bytes that a message takes in a datagram, the envelope included.
+/// @return size of a message in a datagram in bytes, including the envelope
 /// @complexity linear in the message
 [[nodiscard]] std::int64_t sizeOf(const loan_message &message);
 
-/// @brief Bytes that the terms of one loan take in a grant.
+/// @return size of the terms of one loan in a grant in bytes
 [[nodiscard]] std::int64_t sizeOfTerms(const resource_id &resource);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/detail/limit_manager_steps.hpp
+++ b/include/fuchsiagw/detail/limit_manager_steps.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the sources of the limit keeper share.
+/// @brief Internal functions that the source files of the limit manager share.
 
 #pragma once
 
@@ -10,63 +10,69 @@
 [[nodiscard]] resource_id resourceOf(const workspace_id &workspace);
 [[nodiscard]] resource_id resourceOf(const group_id &group);
 
-/// @return the desk that has the loans of @p resource
-[[nodiscard]] loan_manager &deskOf(limit_manager &keeper, const resource_id &resource);
+/// @return the loan manager that is responsible for @p resource
+[[nodiscard]] loan_manager &loanManagerOf(limit_manager &manager, const resource_id &resource);
 
-/// @return the book of a limit that the keeper has
-[[nodiscard]] share_book &bookOf(limit_manager &keeper, const resource_id &resource);
+/// @return the share book of an existing limit
+[[nodiscard]] share_book &bookOf(limit_manager &manager, const resource_id &resource);
 
-/// @brief Shares that stay usable until @p at if nothing is extended, lent shares not counted.
+/// @brief Counts the shares that stay usable beyond @p at even if neither the lease nor a loan is
+/// renewed. Lent shares are not counted.
 /// @complexity linear in the loans
 [[nodiscard]] share_count sharesUntil(const share_book &book, time_point at);
 
-/// @brief Home shares that may be given away now: not lent, and not needed by open connections
-/// until connectionWindDown has passed.
+/// @brief Counts the home shares that may be given away now: those that are neither lent nor needed
+/// by open connections during the next connectionDrainInterval.
 /// @complexity linear in the loans
-[[nodiscard]] share_count removableShares(limit_manager &keeper, const resource_id &resource,
+[[nodiscard]] share_count removableShares(limit_manager &manager, const resource_id &resource,
                                           time_point now);
 
-/// @brief Applies the deadline of the lease to the books.
-void applyLease(limit_manager &keeper, time_point now);
+/// @brief Applies the deadline of the incarnation lease to all share books.
+void applyLease(limit_manager &manager, time_point now);
 
-/// @brief Grants and refuses statements that wait for a token.
-void serveWaiting(limit_manager &keeper, const resource_id &resource, time_point now,
-                  limit_manager_actions &actions);
+/// @brief Grants waiting statements while there are tokens and refuses those that waited too long.
+void serveWaitingStatements(limit_manager &manager, const resource_id &resource, time_point now,
+                            limit_manager_actions &actions);
 
-/// @brief Announces the limits of connections that have changed.
-void announceLimits(limit_manager &keeper, time_point now, limit_manager_actions &actions);
+/// @brief Appends a connection_limit_change for each connection limit that has changed.
+void announceConnectionLimits(limit_manager &manager, time_point now,
+                              limit_manager_actions &actions);
 
-/// @brief Stops all use of shares for good.
-void expireKeeper(limit_manager &keeper, time_point now, limit_manager_actions &actions);
+/// @brief Marks the incarnation as expired: refuses waiting statements and permanently stops the
+/// use of shares.
+void expireLimitManager(limit_manager &manager, time_point now, limit_manager_actions &actions);
 
-/// @brief Sets the limits that this instance uses, after news of configuration or ownership.
-void reconcileLimits(limit_manager &keeper, time_point now, limit_manager_actions &actions);
+/// @brief Applies the configured limits to the share books after a change of the configuration or
+/// of group ownership.
+void reconcileLimits(limit_manager &manager, time_point now, limit_manager_actions &actions);
 
-/// @brief Computes holders and fair parts of stale limits, a bounded number at once.
-void refreshHolders(limit_manager &keeper, time_point now, random_engine &random);
+/// @brief Recomputes holders and fair parts of the limits in staleHolders, a bounded number per
+/// call.
+void refreshHolders(limit_manager &manager, time_point now, random_engine &random);
 
-/// @brief Decides when the pool row of a limit is to be read, after news of the fair part or the
-/// home shares.
-void scheduleLook(limit_manager &keeper, const resource_id &resource, time_point now,
-                  random_engine &random);
+/// @brief Decides when the pool row of a limit must be read next, after its fair part or its home
+/// shares have changed.
+void schedulePoolRead(limit_manager &manager, const resource_id &resource, time_point now,
+                      random_engine &random);
 
-/// @brief Starts or continues the work at the platform that is due.
-void stepWork(limit_manager &keeper, time_point now, random_engine &random,
-              limit_manager_actions &actions);
+/// @brief Starts the next task at the platform or continues the current one, if that is due.
+void advanceTask(limit_manager &manager, time_point now, random_engine &random,
+                 limit_manager_actions &actions);
 
-/// @return when stepWork() has something to do at the latest, noDeadline if nothing is due
-[[nodiscard]] time_point nextWorkAt(const limit_manager &keeper);
+/// @return when the current task must be continued; noDeadline if there is no task
+[[nodiscard]] time_point nextTaskStepAt(const limit_manager &manager);
 
-/// @brief Builds the transaction of the work from the rows that were read.
+/// @brief Builds the current task's transaction from the rows that were read.
 /// @return false if there is nothing to submit
-[[nodiscard]] bool prepareWork(limit_manager &keeper, time_point now, random_engine &random,
+[[nodiscard]] bool prepareTask(limit_manager &manager, time_point now, random_engine &random,
                                limit_manager_actions &actions);
 
-/// @brief Applies the outcome of the work's transaction to the books.
-void finishWork(limit_manager &keeper, bool isCommitted, time_point now, random_engine &random,
+/// @brief Applies the outcome of the current task's transaction to the share books.
+void finishTask(limit_manager &manager, bool isCommitted, time_point now, random_engine &random,
                 limit_manager_actions &actions);
 
-/// @brief Draws a pause between half of @p longest and all of it, which keeps instances apart.
-[[nodiscard]] duration drawPause(random_engine &random, duration longest);
+/// @brief Draws a delay between half of @p longest and @p longest. The jitter keeps instances from
+/// acting at the same time.
+[[nodiscard]] duration drawJitteredDelay(random_engine &random, duration longest);
 
 } // namespace fuchsiagw::core
--- a/src/core/limit_manager_tasks.cpp
+++ b/src/core/limit_manager_tasks.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The calls of the limit keeper to the platform: reading, submitting and reading back.
+/// @brief Runs the limit manager's tasks at the platform: reading rows, submitting transactions and
+/// reading back their outcome.
 
 #include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/share_table.hpp>
@@ -11,44 +12,45 @@
 
 namespace {
 
-constexpr duration firstPause = std::chrono::milliseconds(50);
-constexpr duration longestPause = std::chrono::seconds(5);
+constexpr duration minCallBackoff = std::chrono::milliseconds(50);
+constexpr duration maxCallBackoff = std::chrono::seconds(5);
 
-/// Pause between looks at a pool that is short, from which on all lease rows are searched. A
-/// reclaim by votes takes less than the pauses until then.
-constexpr duration predecessorPause = std::chrono::seconds(16);
+/// All lease rows are searched for earlier incarnations once the backoff for reading a pool reaches
+/// this value. A reclaim by votes takes less time than the backoff intervals up to this value.
+constexpr duration predecessorSearchBackoff = std::chrono::seconds(16);
 
-/// With more pool rows than these one scan of all is cheaper.
-constexpr std::size_t singlePools = 4;
+/// For more pool rows than this, one scan of all pool rows is cheaper than one scan per row.
+constexpr std::size_t maxSinglePoolScans = 4;
 
-duration growPause(limit_manager &keeper, random_engine &random)
+duration growCallBackoff(limit_manager &manager, random_engine &random)
 {
-    keeper.workPause = std::clamp(keeper.workPause * 2, firstPause, longestPause);
-    return drawPause(random, keeper.workPause);
+    manager.callBackoff = std::clamp(manager.callBackoff * 2, minCallBackoff, maxCallBackoff);
+    return drawJitteredDelay(random, manager.callBackoff);
 }
 
-/// Rows that can't be read are not read again at once.
-duration pauseAfterReading(limit_manager &keeper, random_engine &random)
+/// Rows that can't be parsed are read again with exponential backoff.
+duration delayAfterReading(limit_manager &manager, random_engine &random)
 {
-    return keeper.work.damaged.empty() ? firstPause : growPause(keeper, random);
+    return manager.task.unreadableKeys.empty() ? minCallBackoff : growCallBackoff(manager, random);
 }
 
-duration longestLoan(const limit_manager &keeper)
+duration maxLoanDuration(const limit_manager &manager)
 {
-    const loan_times &rates = keeper.rates.settings.times;
-    const loan_times &connections = keeper.connections.settings.times;
+    const loan_times &rates = manager.rates.settings.times;
+    const loan_times &connections = manager.connections.settings.times;
     return std::max(rates.length + rates.driftMargin, connections.length + connections.driftMargin);
 }
 
-/// Lists the prefixes to scan for some keys. Lease rows are read last: a transaction that was
-/// committed and whose pool rows have changed since is still seen in the own row.
-std::vector<std::string> prefixesOf(const std::set<std::string> &keys)
+/// @return the prefixes to scan to read @p keys, from back to front. Lease rows are read last:
+/// if a transaction was committed and others have changed its pool rows since, the incarnation's
+/// own lease row still shows the commit.
+std::vector<std::string> scanPrefixesOf(const std::set<std::string> &keys)
 {
     std::vector<std::string> leases;
     std::vector<std::string> pools;
     for (const std::string &key : keys)
         (key.starts_with(leasePrefix) ? leases : pools).push_back(key);
-    if (pools.size() > singlePools)
+    if (pools.size() > maxSinglePoolScans)
         pools = { std::string(poolPrefix) };
     leases.insert(leases.end(), pools.begin(), pools.end());
     return leases;
@@ -64,271 +66,277 @@
     return keys;
 }
 
-void startCall(limit_manager &keeper, std::variant<std::string, transact_request> order,
+void startCall(limit_manager &manager, std::variant<std::string, transact_request> operation,
                time_point now, limit_manager_actions &actions)
 {
-    keeper.work.call = keeper.nextCall++;
-    keeper.work.due = now + callLimit;
-    actions.emplace_back(limit_platform_call{ keeper.work.call, std::move(order) });
+    manager.task.pendingCall = manager.nextCall++;
+    manager.task.dueAt = now + platformCallTimeout;
+    actions.emplace_back(limit_platform_call{ manager.task.pendingCall, std::move(operation) });
 }
 
-void scanNext(limit_manager &keeper, time_point now, limit_manager_actions &actions)
+void scanNext(limit_manager &manager, time_point now, limit_manager_actions &actions)
 {
-    ++keeper.scans;
-    startCall(keeper, keeper.work.prefixes.back(), now, actions);
+    ++manager.sentScans;
+    startCall(manager, manager.task.pendingPrefixes.back(), now, actions);
 }
 
-void startReading(limit_manager &keeper, keeper_phase phase, const std::set<std::string> &keys,
+void startReading(limit_manager &manager, limit_task_phase phase, const std::set<std::string> &keys,
                   time_point now, limit_manager_actions &actions)
 {
-    keeper.work.phase = phase;
-    keeper.work.view.clear();
-    keeper.work.damaged.clear();
-    keeper.work.prefixes = prefixesOf(keys);
-    scanNext(keeper, now, actions);
+    manager.task.phase = phase;
+    manager.task.view.clear();
+    manager.task.unreadableKeys.clear();
+    manager.task.pendingPrefixes = scanPrefixesOf(keys);
+    scanNext(manager, now, actions);
 }
 
-void endWork(limit_manager &keeper, time_point next)
+void endTask(limit_manager &manager, time_point next)
 {
-    keeper.work = {};
-    keeper.nextWork = next;
+    manager.task = {};
+    manager.nextTaskAt = next;
 }
 
-void endAndContinue(limit_manager &keeper, bool isCommitted, time_point now, random_engine &random,
-                    limit_manager_actions &actions)
+void finishAndEndTask(limit_manager &manager, bool isCommitted, time_point now,
+                      random_engine &random, limit_manager_actions &actions)
 {
-    finishWork(keeper, isCommitted, now, random, actions);
+    finishTask(manager, isCommitted, now, random, actions);
     if (isCommitted)
-        keeper.workPause = duration::zero();
-    endWork(keeper, isCommitted ? now : now + growPause(keeper, random));
+        manager.callBackoff = duration::zero();
+    endTask(manager, isCommitted ? now : now + growCallBackoff(manager, random));
 }
 
-void submitWork(limit_manager &keeper, time_point now, random_engine &random,
-                limit_manager_actions &actions)
+void submitTransaction(limit_manager &manager, time_point now, random_engine &random,
+                       limit_manager_actions &actions)
 {
-    auto request = toRequest(keeper.work.move.transaction);
+    auto request = toRequest(manager.task.move.transaction);
     if (!request) {
-        endAndContinue(keeper, false, now, random, actions);
+        finishAndEndTask(manager, false, now, random, actions);
         return;
     }
-    ++keeper.transactions;
-    keeper.work.phase = keeper_phase::Submitting;
-    startCall(keeper, std::move(*request), now, actions);
+    ++manager.sentTransactions;
+    manager.task.phase = limit_task_phase::Submitting;
+    startCall(manager, std::move(*request), now, actions);
 }
 
-/// The last scan of the work was answered.
-void onRowsRead(limit_manager &keeper, time_point now, random_engine &random,
+/// Handles the answer to the last scan of the task's current phase.
+void onRowsRead(limit_manager &manager, time_point now, random_engine &random,
                 limit_manager_actions &actions)
 {
-    keeper_work &work = keeper.work;
-    if (work.phase == keeper_phase::Reading) {
-        if (prepareWork(keeper, now, random, actions))
-            submitWork(keeper, now, random, actions);
+    limit_task &task = manager.task;
+    if (task.phase == limit_task_phase::Reading) {
+        if (prepareTask(manager, now, random, actions))
+            submitTransaction(manager, now, random, actions);
         else
-            endWork(keeper, std::max(keeper.nextWork, now + pauseAfterReading(keeper, random)));
+            endTask(manager,
+                    std::max(manager.nextTaskAt, now + delayAfterReading(manager, random)));
         return;
     }
-    const std::set<std::string> keys = keysOf(work.move.transaction);
+    const std::set<std::string> keys = keysOf(task.move.transaction);
     const bool isReadable = std::none_of(keys.begin(), keys.end(), [&](const std::string &key) {
-        return work.damaged.contains(key);
+        return task.unreadableKeys.contains(key);
     });
     const transaction_state state =
-            isReadable ? judge(work.move.transaction, work.view) : transaction_state::Undecided;
+            isReadable ? judge(task.move.transaction, task.view) : transaction_state::Undecided;
     if (state == transaction_state::Undecided)
-        submitWork(keeper, now, random, actions);
+        submitTransaction(manager, now, random, actions);
     else
-        endAndContinue(keeper, state == transaction_state::Committed, now, random, actions);
+        finishAndEndTask(manager, state == transaction_state::Committed, now, random, actions);
 }
 
-/// A call was not answered.
-void onLost(limit_manager &keeper, time_point now, random_engine &random)
+/// Handles a call that failed or was not answered in time.
+void onCallLost(limit_manager &manager, time_point now, random_engine &random)
 {
-    keeper_work &work = keeper.work;
-    work.call = 0;
-    work.due = now + growPause(keeper, random);
-    if (work.phase == keeper_phase::Reading)
-        endWork(keeper, work.due);
+    limit_task &task = manager.task;
+    task.pendingCall = 0;
+    task.dueAt = now + growCallBackoff(manager, random);
+    if (task.phase == limit_task_phase::Reading)
+        endTask(manager, task.dueAt);
     else
-        work.phase = keeper_phase::ReadingBack;
+        task.phase = limit_task_phase::ReadingBack;
 }
 
-bool isLookDue(limit_manager &keeper, const resource_id &resource, keeper_limit &limit,
-               time_point now)
+bool isPoolReadDue(limit_manager &manager, const resource_id &resource, limit_state &limit,
+                   time_point now)
 {
-    if (now < limit.lookAt)
+    if (now < limit.nextPoolReadAt)
         return false;
-    if (limit.isUsed && limit.isTotalUnchecked)
+    if (limit.isUsed && limit.isPoolTotalUnverified)
         return true;
-    const share_count difference = limit.fair - bookOf(keeper, resource).home;
+    const share_count difference = limit.fair - bookOf(manager, resource).home;
     if (difference >= 0)
-        return difference > 0 || limit.isAbsorbing;
-    if (limit.isUsed && !keeper.isRebalancingOn && limit.reserve == 0)
+        return difference > 0 || limit.mayExceedFairPart;
+    if (limit.isUsed && !manager.isRebalancingOn && limit.pendingReturn == 0)
         return false;
-    return removableShares(keeper, resource, now) > 0;
+    return removableShares(manager, resource, now) > 0;
 }
 
-/// A leaving instance returns what it can at once and the rest together.
-bool isReturnDue(limit_manager &keeper, time_point now)
+/// A leaving instance returns the removable shares in a first transaction, and the rest together
+/// once all of it is removable.
+bool isReturnDue(limit_manager &manager, time_point now)
 {
     bool hasMore = false;
     bool hasSome = false;
-    for (const auto &[resource, limit] : keeper.limits) {
-        const share_count home = bookOf(keeper, resource).home;
-        const share_count removable = removableShares(keeper, resource, now);
+    for (const auto &[resource, limit] : manager.limits) {
+        const share_count home = bookOf(manager, resource).home;
+        const share_count removable = removableShares(manager, resource, now);
         hasSome = hasSome || removable > 0;
         hasMore = hasMore || removable < home;
     }
-    return !hasMore || (hasSome && !keeper.hasReturned);
+    return !hasMore || (hasSome && !manager.hasReturnedUnlentShares);
 }
 
-/// Another incarnation may hold what is missing: the pools were short at the join, or have been for
-/// so long that nobody can be about to reclaim it by votes.
-bool isPredecessorDue(const limit_manager &keeper, time_point now)
+/// An earlier incarnation may hold the missing shares if the pools lacked shares at the join, or
+/// have lacked them for longer than a reclaim by votes takes.
+bool isPredecessorDue(const limit_manager &manager, time_point now)
 {
-    // Before that loans of the earlier incarnation may still be in use.
-    const time_point earliest = keeper.witness.startedAt + longestLoan(keeper);
-    if (now < std::max(keeper.nextPredecessor, earliest))
+    // Until then, loans that the earlier incarnation granted may still be in use.
+    const time_point earliest = manager.witness.startedAt + maxLoanDuration(manager);
+    if (now < std::max(manager.nextPredecessorSearchAt, earliest))
         return false;
-    return keeper.wasShort
-           || std::any_of(keeper.limits.begin(), keeper.limits.end(), [](const auto &entry) {
-                  return entry.second.isUsed && entry.second.lookPause >= predecessorPause;
+    return manager.isPredecessorSearchWanted
+           || std::any_of(manager.limits.begin(), manager.limits.end(), [](const auto &entry) {
+                  return entry.second.isUsed
+                         && entry.second.poolReadBackoff >= predecessorSearchBackoff;
               });
 }
 
-bool isJoinDue(const limit_manager &keeper, time_point now)
+bool isJoinDue(const limit_manager &manager, time_point now)
 {
-    return keeper.hasConfiguration && !keeper.live.empty() && keeper.stale.empty()
-           && homeUntil(keeper.lease) > now;
+    return manager.hasConfiguration && !manager.live.empty() && manager.staleHolders.empty()
+           && homeUntil(manager.lease) > now;
 }
 
-/// Chooses the next work and the rows that it needs.
-std::set<std::string> chooseWork(limit_manager &keeper, time_point now)
+/// Chooses the next task.
+/// @return the keys or key prefixes of the rows that the task needs; empty if there is no task
+std::set<std::string> chooseTask(limit_manager &manager, time_point now)
 {
-    keeper_work &work = keeper.work;
-    const std::string own = leaseKey(keeper.self.incarnation);
+    limit_task &task = manager.task;
+    const std::string own = leaseKey(manager.self.incarnation);
     const std::string pools(poolPrefix);
-    if (keeper.isLeaving) {
-        if (!keeper.hasJoined || !isReturnDue(keeper, now))
+    if (manager.isLeaving) {
+        if (!manager.hasJoined || !isReturnDue(manager, now))
             return {};
-        work.goal = keeper_goal::Leave;
+        task.kind = limit_task_kind::Leave;
         return { own, pools };
     }
-    if (!keeper.hasJoined) {
-        if (!isJoinDue(keeper, now))
+    if (!manager.hasJoined) {
+        if (!isJoinDue(manager, now))
             return {};
-        work.goal = keeper_goal::Join;
+        task.kind = limit_task_kind::Join;
         return { own, pools };
     }
-    const auto dead = reclaimable(keeper.witness, longestLoan(keeper), now);
-    if (!dead.empty() && now >= keeper.nextReclaim) {
-        work.goal = keeper_goal::Reclaim;
-        // Not always the first: the rows of one dead incarnation may be unreadable.
-        work.dead = dead.at(keeper.nextCall % dead.size());
-        return { leaseKey(work.dead) };
+    const auto dead = reclaimable(manager.witness, maxLoanDuration(manager), now);
+    if (!dead.empty() && now >= manager.nextReclaimAt) {
+        task.kind = limit_task_kind::Reclaim;
+        // Varies the choice, because unreadable rows may block the reclaim from one incarnation.
+        task.deadIncarnation = dead.at(manager.nextCall % dead.size());
+        return { leaseKey(task.deadIncarnation) };
     }
-    if (isChangeReady(keeper.lease, now)) {
-        work.goal = keeper_goal::Witnesses;
+    if (isChangeReady(manager.lease, now)) {
+        task.kind = limit_task_kind::Witnesses;
         return { own };
     }
     std::set<std::string> keys;
-    for (auto &[resource, limit] : keeper.limits)
-        if (isLookDue(keeper, resource, limit, now)) {
-            work.resources.insert(resource);
+    for (auto &[resource, limit] : manager.limits)
+        if (isPoolReadDue(manager, resource, limit, now)) {
+            task.resources.insert(resource);
             keys.insert(poolKey(resource));
         }
-    if (keys.empty() && isPredecessorDue(keeper, now)) {
-        work.goal = keeper_goal::Predecessor;
+    if (keys.empty() && isPredecessorDue(manager, now)) {
+        task.kind = limit_task_kind::Predecessor;
         return { std::string(leasePrefix), pools };
     }
     if (keys.empty())
         return {};
-    work.goal = keeper_goal::Rebalance;
+    task.kind = limit_task_kind::Rebalance;
     keys.insert(own);
     return keys;
 }
 
 } // namespace
 
-duration drawPause(random_engine &random, duration longest)
+duration drawJitteredDelay(random_engine &random, duration longest)
 {
     const auto half = std::max<std::int64_t>(longest.count() / 2, 1);
     return duration(
             half + static_cast<std::int64_t>(drawBelow(random, static_cast<std::uint64_t>(half))));
 }
 
-void stepWork(limit_manager &keeper, time_point now, random_engine &random,
-              limit_manager_actions &actions)
+void advanceTask(limit_manager &manager, time_point now, random_engine &random,
+                 limit_manager_actions &actions)
 {
-    if (keeper.isExpired)
+    if (manager.isExpired)
         return;
-    keeper_work &work = keeper.work;
-    if (work.goal == keeper_goal::None) {
-        if (now < keeper.nextWork)
+    limit_task &task = manager.task;
+    if (task.kind == limit_task_kind::None) {
+        if (now < manager.nextTaskAt)
             return;
-        const std::set<std::string> keys = chooseWork(keeper, now);
+        const std::set<std::string> keys = chooseTask(manager, now);
         if (!keys.empty())
-            startReading(keeper, keeper_phase::Reading, keys, now, actions);
+            startReading(manager, limit_task_phase::Reading, keys, now, actions);
         return;
     }
-    if (now < work.due)
+    if (now < task.dueAt)
         return;
-    if (work.call != 0)
-        onLost(keeper, now, random);
+    if (task.pendingCall != 0)
+        onCallLost(manager, now, random);
     else
-        startReading(keeper, keeper_phase::ReadingBack, keysOf(work.move.transaction), now,
+        startReading(manager, limit_task_phase::ReadingBack, keysOf(task.move.transaction), now,
                      actions);
 }
 
-time_point nextWorkAt(const limit_manager &keeper)
+time_point nextTaskStepAt(const limit_manager &manager)
 {
-    return keeper.work.goal == keeper_goal::None ? noDeadline : keeper.work.due;
+    return manager.task.kind == limit_task_kind::None ? noDeadline : manager.task.dueAt;
 }
 
-void onScan(limit_manager &keeper, std::uint64_t number, const std::optional<scan_answer> &answer,
+void onScan(limit_manager &manager, std::uint64_t number, const std::optional<scan_answer> &answer,
             time_point now, random_engine &random, limit_manager_actions &actions)
 {
-    keeper_work &work = keeper.work;
-    if (keeper.isExpired || number == 0 || number != work.call || work.prefixes.empty())
+    limit_task &task = manager.task;
+    if (manager.isExpired || number == 0 || number != task.pendingCall
+        || task.pendingPrefixes.empty())
         return;
     if (!answer) {
-        onLost(keeper, now, random);
+        onCallLost(manager, now, random);
         return;
     }
-    work.call = 0;
-    work.prefixes.pop_back();
-    for (std::string &key : addRows(work.view, *answer)) {
-        ++keeper.damagedRows;
-        work.damaged.insert(std::move(key));
+    task.pendingCall = 0;
+    task.pendingPrefixes.pop_back();
+    for (std::string &key : addRows(task.view, *answer)) {
+        ++manager.unreadableRows;
+        task.unreadableKeys.insert(std::move(key));
     }
-    // The pools are needed only if the dead incarnation still has a row.
-    if (work.goal == keeper_goal::Reclaim && work.phase == keeper_phase::Reading
-        && work.prefixes.empty() && !work.hasPools && findLease(work.view, work.dead) != nullptr) {
-        work.hasPools = true;
-        work.prefixes.emplace_back(poolPrefix);
+    // The pool rows are needed only if the dead incarnation still has a row.
+    if (task.kind == limit_task_kind::Reclaim && task.phase == limit_task_phase::Reading
+        && task.pendingPrefixes.empty() && !task.includesPools
+        && findLease(task.view, task.deadIncarnation) != nullptr) {
+        task.includesPools = true;
+        task.pendingPrefixes.emplace_back(poolPrefix);
     }
-    if (work.prefixes.empty())
-        onRowsRead(keeper, now, random, actions);
+    if (task.pendingPrefixes.empty())
+        onRowsRead(manager, now, random, actions);
     else
-        scanNext(keeper, now, actions);
-    stepWork(keeper, now, random, actions);
-    announceLimits(keeper, now, actions);
+        scanNext(manager, now, actions);
+    advanceTask(manager, now, random, actions);
+    announceConnectionLimits(manager, now, actions);
 }
 
-void onTransact(limit_manager &keeper, std::uint64_t number,
+void onTransact(limit_manager &manager, std::uint64_t number,
                 const std::optional<transact_answer> &answer, time_point now, random_engine &random,
                 limit_manager_actions &actions)
 {
-    if (keeper.isExpired || number == 0 || number != keeper.work.call
-        || keeper.work.phase != keeper_phase::Submitting)
+    if (manager.isExpired || number == 0 || number != manager.task.pendingCall
+        || manager.task.phase != limit_task_phase::Submitting)
         return;
-    keeper.work.call = 0;
+    manager.task.pendingCall = 0;
     if (!answer) {
-        onLost(keeper, now, random);
+        onCallLost(manager, now, random);
         return;
     }
-    endAndContinue(keeper, answer->committed, now, random, actions);
-    stepWork(keeper, now, random, actions);
-    announceLimits(keeper, now, actions);
+    finishAndEndTask(manager, answer->committed, now, random, actions);
+    advanceTask(manager, now, random, actions);
+    announceConnectionLimits(manager, now, actions);
 }
 
 } // namespace fuchsiagw::core
--- a/src/core/limit_manager_transactions.cpp
+++ b/src/core/limit_manager_transactions.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The transactions of the limit keeper and what their outcome does to the books.
+/// @brief Builds the limit manager's transactions and applies their outcome to the share books.
 
 #include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/share_table.hpp>
@@ -11,350 +11,363 @@
 
 namespace {
 
-/// Pools that one transaction creates at most.
-constexpr std::size_t createdAtOnce = 50;
+constexpr std::size_t maxPoolsPerTransaction = 50;
 
-/// An incarnation takes at most one in so many more than its fair part.
-constexpr share_count absorbedPart = 10;
+/// An incarnation exceeds its fair part by at most the fair part divided by this. A deficit of at
+/// least that fraction makes it read the pool again.
+constexpr share_count absorptionDivisor = 10;
 
-/// A pool without free shares is read again after this time, then after twice as long.
-constexpr duration firstLookPause = std::chrono::seconds(1);
-constexpr duration longestLookPause = std::chrono::seconds(60);
+/// Bounds of the exponential backoff for reading a pool without free shares.
+constexpr duration minPoolReadBackoff = std::chrono::seconds(1);
+constexpr duration maxPoolReadBackoff = std::chrono::seconds(60);
 
-/// Open connections that must end before their shares can be returned are looked at this often.
-constexpr duration reserveRetry = std::chrono::milliseconds(500);
+/// Interval of attempts to return shares that open connections still use.
+constexpr duration pendingReturnRetryInterval = std::chrono::milliseconds(500);
 
-/// A dead incarnation's shares whose pools can't be read are looked at this often.
-constexpr duration reclaimRetry = std::chrono::seconds(10);
+/// Interval of attempts to reclaim shares whose pool rows can't be read.
+constexpr duration reclaimRetryInterval = std::chrono::seconds(10);
 
-/// Earlier incarnations of this instance are searched for this often while a pool is short.
-constexpr duration predecessorRetry = std::chrono::minutes(10);
+/// Interval of searches for earlier incarnations of this instance while a pool lacks shares.
+constexpr duration predecessorSearchInterval = std::chrono::minutes(10);
 
-/// Keeps the searches of instances that were started together apart, per instance.
-constexpr duration searchSpread = std::chrono::milliseconds(20);
+/// Range of the random delay of the first search per live instance, so that instances that were
+/// started together do not search at the same time.
+constexpr duration searchDelayPerInstance = std::chrono::milliseconds(20);
 
-std::string nextId(limit_manager &keeper)
+std::string nextTransactionId(limit_manager &manager)
 {
-    return std::to_string(keeper.self.incarnation) + '-' + std::to_string(keeper.nextTransaction++);
+    return std::to_string(manager.self.incarnation) + '-'
+           + std::to_string(manager.nextTransaction++);
 }
 
-/// Creates the pools of @p resources that do not exist, in one transaction.
-bool createPools(limit_manager &keeper, const std::set<resource_id> &resources)
+/// Prepares one transaction that creates the missing pools of @p resources, at most
+/// maxPoolsPerTransaction.
+bool createPools(limit_manager &manager, const std::set<resource_id> &resources)
 {
     table_transaction all;
     for (const resource_id &resource : resources) {
-        const keeper_limit &limit = keeper.limits.at(resource);
+        const limit_state &limit = manager.limits.at(resource);
         const std::string key = poolKey(resource);
-        if (!limit.isUsed || keeper.work.view.contains(key) || keeper.work.damaged.contains(key)
-            || all.puts.size() == createdAtOnce)
+        if (!limit.isUsed || manager.task.view.contains(key)
+            || manager.task.unreadableKeys.contains(key)
+            || all.puts.size() == maxPoolsPerTransaction)
             continue;
         if (all.id.empty())
-            all.id = nextId(keeper);
+            all.id = nextTransactionId(manager);
         table_transaction one = createPool(all.id, resource, limit.total, limit.burst);
         all.checks.push_back(std::move(one.checks.front()));
         all.puts.push_back(std::move(one.puts.front()));
     }
-    keeper.work.isResize = !all.puts.empty();
-    if (keeper.work.isResize)
-        keeper.work.move.transaction = std::move(all);
-    return keeper.work.isResize;
+    manager.task.isPoolChange = !all.puts.empty();
+    if (manager.task.isPoolChange)
+        manager.task.move.transaction = std::move(all);
+    return manager.task.isPoolChange;
 }
 
-bool prepareJoin(limit_manager &keeper, time_point now)
+bool prepareJoin(limit_manager &manager, time_point now)
 {
-    if (keeper.isLeaving || homeUntil(keeper.lease) <= now || !keeper.stale.empty())
+    if (manager.isLeaving || homeUntil(manager.lease) <= now || !manager.staleHolders.empty())
         return false;
     std::set<resource_id> resources;
     std::map<resource_id, share_count> wanted;
-    for (const auto &[resource, limit] : keeper.limits) {
+    for (const auto &[resource, limit] : manager.limits) {
         resources.insert(resource);
         wanted[resource] = limit.fair;
     }
-    if (createPools(keeper, resources))
+    if (createPools(manager, resources))
         return true;
-    keeper.work.move = joinPool(nextId(keeper), keeper.work.view,
-                                { keeper.self.incarnation,
-                                  keeper.self.instance,
-                                  keeper.self.zone,
-                                  keeper.lease.current,
-                                  {},
-                                  {} },
-                                wanted);
+    manager.task.move = joinPool(nextTransactionId(manager), manager.task.view,
+                                 { manager.self.incarnation,
+                                   manager.self.instance,
+                                   manager.self.zone,
+                                   manager.lease.current,
+                                   {},
+                                   {} },
+                                 wanted);
     return true;
 }
 
-/// Changes the total of the first pool that differs from the configuration.
-bool resizePools(limit_manager &keeper)
+/// Prepares to resize the first pool whose total differs from the configuration.
+bool resizePools(limit_manager &manager)
 {
-    for (const resource_id &resource : keeper.work.resources) {
-        keeper_limit &limit = keeper.limits.at(resource);
-        if (!limit.isUsed || !limit.isTotalUnchecked
-            || findPool(keeper.work.view, resource) == nullptr)
+    for (const resource_id &resource : manager.task.resources) {
+        limit_state &limit = manager.limits.at(resource);
+        if (!limit.isUsed || !limit.isPoolTotalUnverified
+            || findPool(manager.task.view, resource) == nullptr)
             continue;
-        if (auto resize = resizePool(nextId(keeper), keeper.work.view, resource, limit.total)) {
-            keeper.work.isResize = true;
-            keeper.work.move.transaction = std::move(*resize);
+        if (auto resize = resizePool(nextTransactionId(manager), manager.task.view, resource,
+                                     limit.total)) {
+            manager.task.isPoolChange = true;
+            manager.task.move.transaction = std::move(*resize);
             return true;
         }
-        limit.isTotalUnchecked = false;
+        limit.isPoolTotalUnverified = false;
     }
     return false;
 }
 
-/// Shares to take (positive) or to return (negative), and when to look again.
-share_count chooseMove(limit_manager &keeper, const resource_id &resource, const pool_row &pool,
+/// Schedules the next read of the pool row.
+/// @return the shares to take (positive) or to return (negative)
+share_count chooseMove(limit_manager &manager, const resource_id &resource, const pool_row &pool,
                        time_point now, random_engine &random)
 {
-    keeper_limit &limit = keeper.limits.at(resource);
-    const share_count home = bookOf(keeper, resource).home;
+    limit_state &limit = manager.limits.at(resource);
+    const share_count home = bookOf(manager, resource).home;
     share_count move = wantedMove(home, limit.fair, pool);
-    if (move == 0 && limit.isAbsorbing && pool.free > 0)
-        move = std::clamp<share_count>(limit.fair + (limit.fair - 1) / absorbedPart - home, 0,
+    if (move == 0 && limit.mayExceedFairPart && pool.free > 0)
+        move = std::clamp<share_count>(limit.fair + (limit.fair - 1) / absorptionDivisor - home, 0,
                                        pool.free);
-    if (move < 0 && limit.isUsed && !keeper.isRebalancingOn && pool.free >= 0)
+    if (move < 0 && limit.isUsed && !manager.isRebalancingOn && pool.free >= 0)
         move = 0;
-    limit.isAbsorbing = false;
-    limit.lookAt = noDeadline;
+    limit.mayExceedFairPart = false;
+    limit.nextPoolReadAt = noDeadline;
     const share_count missing = limit.fair - home - std::max<share_count>(move, 0);
-    if (missing > 0 && (limit.fair - home) * absorbedPart >= limit.fair) {
-        limit.lookPause = std::clamp(limit.lookPause * 2, firstLookPause, longestLookPause);
-        limit.lookAt = now + drawPause(random, limit.lookPause);
+    if (missing > 0 && (limit.fair - home) * absorptionDivisor >= limit.fair) {
+        limit.poolReadBackoff =
+                std::clamp(limit.poolReadBackoff * 2, minPoolReadBackoff, maxPoolReadBackoff);
+        limit.nextPoolReadAt = now + drawJitteredDelay(random, limit.poolReadBackoff);
     }
     if (move < 0) {
-        const share_count removable = std::min(-move, removableShares(keeper, resource, now));
+        const share_count removable = std::min(-move, removableShares(manager, resource, now));
         if (removable < -move) {
-            limit.lookAt = now + reserveRetry;
+            limit.nextPoolReadAt = now + pendingReturnRetryInterval;
             if (resource.kind == resource_kind::Connections && limit.isUsed)
-                limit.reserve = -move - removable;
+                limit.pendingReturn = -move - removable;
         }
         move = -removable;
     }
     return move;
 }
 
-bool prepareRebalance(limit_manager &keeper, time_point now, random_engine &random,
+bool prepareRebalance(limit_manager &manager, time_point now, random_engine &random,
                       limit_manager_actions &actions)
 {
-    keeper_work &work = keeper.work;
-    const std::string own = leaseKey(keeper.self.incarnation);
-    if (keeper.isLeaving || work.damaged.contains(own))
+    limit_task &task = manager.task;
+    const std::string own = leaseKey(manager.self.incarnation);
+    if (manager.isLeaving || task.unreadableKeys.contains(own))
         return false;
-    if (findLease(work.view, keeper.self.incarnation) == nullptr) {
-        expireKeeper(keeper, now, actions);
+    if (findLease(task.view, manager.self.incarnation) == nullptr) {
+        expireLimitManager(manager, now, actions);
         return false;
     }
-    if (createPools(keeper, work.resources) || resizePools(keeper))
+    if (createPools(manager, task.resources) || resizePools(manager))
         return true;
     std::map<resource_id, share_count> wanted;
     std::map<resource_id, removed_home> given;
-    for (const resource_id &resource : work.resources) {
-        const pool_row *pool = findPool(work.view, resource);
+    for (const resource_id &resource : task.resources) {
+        const pool_row *pool = findPool(task.view, resource);
         if (pool == nullptr) {
-            keeper.limits.at(resource).lookAt = now + longestLookPause;
+            manager.limits.at(resource).nextPoolReadAt = now + maxPoolReadBackoff;
             continue;
         }
-        const share_count move = chooseMove(keeper, resource, *pool, now, random);
+        const share_count move = chooseMove(manager, resource, *pool, now, random);
         if (move > 0)
             wanted[resource] = move;
         else if (move < 0)
-            given[resource] = removeHome(bookOf(keeper, resource), -move, now);
+            given[resource] = removeHome(bookOf(manager, resource), -move, now);
     }
-    auto move = moveShares(nextId(keeper), work.view, keeper.self.incarnation, wanted, given);
+    auto move = moveShares(nextTransactionId(manager), task.view, manager.self.incarnation, wanted,
+                           given);
     if (!move)
         return false;
-    work.move = std::move(*move);
+    task.move = std::move(*move);
     return true;
 }
 
-bool prepareWitnesses(limit_manager &keeper, time_point now, limit_manager_actions &actions)
+bool prepareWitnesses(limit_manager &manager, time_point now, limit_manager_actions &actions)
 {
-    if (keeper.work.damaged.contains(leaseKey(keeper.self.incarnation)))
+    if (manager.task.unreadableKeys.contains(leaseKey(manager.self.incarnation)))
         return false;
-    auto change = isChangeReady(keeper.lease, now)
-                          ? changeWitnesses(nextId(keeper), keeper.work.view,
-                                            keeper.self.incarnation, keeper.lease.next)
+    auto change = isChangeReady(manager.lease, now)
+                          ? changeWitnesses(nextTransactionId(manager), manager.task.view,
+                                            manager.self.incarnation, manager.lease.next)
                           : std::nullopt;
-    if (findLease(keeper.work.view, keeper.self.incarnation) == nullptr)
-        expireKeeper(keeper, now, actions);
+    if (findLease(manager.task.view, manager.self.incarnation) == nullptr)
+        expireLimitManager(manager, now, actions);
     if (!change)
         return false;
-    submitWitnesses(keeper.lease);
-    applyLease(keeper, now);
-    keeper.work.move.transaction = std::move(*change);
+    submitWitnesses(manager.lease);
+    applyLease(manager, now);
+    manager.task.move.transaction = std::move(*change);
     return true;
 }
 
-bool prepareReclaim(limit_manager &keeper, time_point now)
+bool prepareReclaim(limit_manager &manager, time_point now)
 {
-    keeper_work &work = keeper.work;
-    const lease_row *row = findLease(work.view, work.dead);
-    keeper.nextReclaim = now + reclaimRetry;
-    if (work.damaged.contains(leaseKey(work.dead)))
+    limit_task &task = manager.task;
+    const lease_row *row = findLease(task.view, task.deadIncarnation);
+    manager.nextReclaimAt = now + reclaimRetryInterval;
+    if (task.unreadableKeys.contains(leaseKey(task.deadIncarnation)))
         return false;
     if (row == nullptr) {
-        onReclaimed(keeper.witness, work.dead);
-        keeper.nextReclaim = now;
+        onReclaimed(manager.witness, task.deadIncarnation);
+        manager.nextReclaimAt = now;
         return false;
     }
-    // Shares whose pool can't be read would be lost.
+    // Shares whose pool row can't be read would be lost by the reclaim.
     const bool isComplete =
             std::all_of(row->homes.begin(), row->homes.end(), [&](const auto &home) {
-                return findPool(work.view, home.first) != nullptr;
+                return findPool(task.view, home.first) != nullptr;
             });
-    const std::set<incarnation_id> votes = keeper.witness.watched[work.dead].votes;
-    setRowWitnesses(keeper.witness, work.dead, row->witnesses, now);
-    auto reclaim =
-            isComplete ? reclaimLease(nextId(keeper), work.view, work.dead, votes) : std::nullopt;
+    const std::set<incarnation_id> votes = manager.witness.watched[task.deadIncarnation].votes;
+    setRowWitnesses(manager.witness, task.deadIncarnation, row->witnesses, now);
+    auto reclaim = isComplete ? reclaimLease(nextTransactionId(manager), task.view,
+                                             task.deadIncarnation, votes)
+                              : std::nullopt;
     if (!reclaim)
         return false;
-    work.move.transaction = std::move(*reclaim);
+    task.move.transaction = std::move(*reclaim);
     return true;
 }
 
-/// Reclaims from an earlier incarnation whose witnesses can't vote any more because too many of
-/// them are gone too. It is dead because this process has its name and address; the loans that it
-/// granted have ended before the search begins.
-bool preparePredecessor(limit_manager &keeper, time_point now)
+/// Reclaims the shares of an earlier incarnation of this instance that can't be voted expired
+/// because too many of its witnesses are gone. The earlier incarnation is known to be dead, because
+/// this process uses its name and address. The search starts only after the loans that the earlier
+/// incarnation granted have ended.
+bool preparePredecessor(limit_manager &manager, time_point now)
 {
-    keeper_work &work = keeper.work;
-    keeper.nextPredecessor = now + predecessorRetry;
-    keeper.wasShort = false;
-    const auto isLive = [&keeper](incarnation_id witness) {
-        return std::any_of(keeper.live.begin(), keeper.live.end(),
+    limit_task &task = manager.task;
+    manager.nextPredecessorSearchAt = now + predecessorSearchInterval;
+    manager.isPredecessorSearchWanted = false;
+    const auto isLive = [&manager](incarnation_id witness) {
+        return std::any_of(manager.live.begin(), manager.live.end(),
                            [witness](const auto &peer) { return peer.incarnation == witness; });
     };
-    for (auto &[key, versioned] : work.view) {
+    for (auto &[key, versioned] : task.view) {
         auto *row = std::get_if<lease_row>(&versioned.row);
-        if (row == nullptr || row->instance != keeper.self.instance
-            || row->incarnation == keeper.self.incarnation)
+        if (row == nullptr || row->instance != manager.self.instance
+            || row->incarnation == manager.self.incarnation)
             continue;
         const auto live = std::count_if(row->witnesses.begin(), row->witnesses.end(), isLive);
         const bool isComplete =
-                std::all_of(row->homes.begin(), row->homes.end(), [&work](const auto &home) {
-                    return findPool(work.view, home.first) != nullptr;
+                std::all_of(row->homes.begin(), row->homes.end(), [&task](const auto &home) {
+                    return findPool(task.view, home.first) != nullptr;
                 });
         if (2 * live > std::ssize(row->witnesses) || !isComplete)
             continue;
-        // This instance stands for the witnesses; the row itself is only deleted.
-        row->witnesses = { keeper.self.incarnation };
-        auto reclaim = reclaimLease(nextId(keeper), work.view, row->incarnation,
-                                    { keeper.self.incarnation });
+        // Replaces the witnesses by this incarnation, whose vote alone is then a majority. The
+        // changed row is never written, because the transaction deletes it.
+        row->witnesses = { manager.self.incarnation };
+        auto reclaim = reclaimLease(nextTransactionId(manager), task.view, row->incarnation,
+                                    { manager.self.incarnation });
         if (!reclaim)
             continue;
-        keeper.nextPredecessor = now;
-        keeper.wasShort = true; // there may be more
-        work.move.transaction = std::move(*reclaim);
+        manager.nextPredecessorSearchAt = now;
+        manager.isPredecessorSearchWanted = true; // there may be further earlier incarnations
+        task.move.transaction = std::move(*reclaim);
         return true;
     }
     return false;
 }
 
-bool prepareLeave(limit_manager &keeper, time_point now)
+bool prepareLeave(limit_manager &manager, time_point now)
 {
-    keeper_work &work = keeper.work;
-    if (work.damaged.contains(leaseKey(keeper.self.incarnation)))
+    limit_task &task = manager.task;
+    if (task.unreadableKeys.contains(leaseKey(manager.self.incarnation)))
         return false;
-    if (findLease(work.view, keeper.self.incarnation) == nullptr) {
-        keeper.hasJoined = false;
-        applyLease(keeper, now);
+    if (findLease(task.view, manager.self.incarnation) == nullptr) {
+        manager.hasJoined = false;
+        applyLease(manager, now);
         return false;
     }
     std::map<resource_id, removed_home> given;
-    for (const auto &[resource, limit] : keeper.limits) {
-        const share_count removable = removableShares(keeper, resource, now);
-        if (removable > 0 && findPool(work.view, resource) != nullptr)
-            given[resource] = removeHome(bookOf(keeper, resource), removable, now);
+    for (const auto &[resource, limit] : manager.limits) {
+        const share_count removable = removableShares(manager, resource, now);
+        if (removable > 0 && findPool(task.view, resource) != nullptr)
+            given[resource] = removeHome(bookOf(manager, resource), removable, now);
     }
-    auto move = leavePool(nextId(keeper), work.view, keeper.self.incarnation, given);
+    auto move = leavePool(nextTransactionId(manager), task.view, manager.self.incarnation, given);
     if (!move || (given.empty() && move->transaction.deletes.empty())) {
-        keeper.nextWork = now + firstLookPause;
+        manager.nextTaskAt = now + minPoolReadBackoff;
         return false;
     }
-    work.move = std::move(*move);
+    task.move = std::move(*move);
     return true;
 }
 
-void addShares(limit_manager &keeper, const std::map<resource_id, removed_home> &shares,
+void addShares(limit_manager &manager, const std::map<resource_id, removed_home> &shares,
                time_point now, random_engine &random, limit_manager_actions &actions)
 {
     for (const auto &[resource, part] : shares) {
-        addHome(bookOf(keeper, resource), part.shares, part.tokens, now);
-        serveWaiting(keeper, resource, now, actions);
-        const keeper_limit &limit = keeper.limits.at(resource);
-        const time_point known = limit.lookAt;
-        scheduleLook(keeper, resource, now, random);
-        // A pool that had not enough is not read again before its pause has passed.
-        if (known != noDeadline && limit.fair > bookOf(keeper, resource).home)
-            keeper.limits.at(resource).lookAt = known;
+        addHome(bookOf(manager, resource), part.shares, part.tokens, now);
+        serveWaitingStatements(manager, resource, now, actions);
+        const limit_state &limit = manager.limits.at(resource);
+        const time_point known = limit.nextPoolReadAt;
+        schedulePoolRead(manager, resource, now, random);
+        // A pool with too few free shares is not read again before its backoff has passed.
+        if (known != noDeadline && limit.fair > bookOf(manager, resource).home)
+            manager.limits.at(resource).nextPoolReadAt = known;
     }
 }
 
 } // namespace
 
-bool prepareWork(limit_manager &keeper, time_point now, random_engine &random,
+bool prepareTask(limit_manager &manager, time_point now, random_engine &random,
                  limit_manager_actions &actions)
 {
-    switch (keeper.work.goal) {
-    case keeper_goal::Join:
-        return prepareJoin(keeper, now);
-    case keeper_goal::Rebalance:
-        return prepareRebalance(keeper, now, random, actions);
-    case keeper_goal::Witnesses:
-        return prepareWitnesses(keeper, now, actions);
-    case keeper_goal::Reclaim:
-        return prepareReclaim(keeper, now);
-    case keeper_goal::Predecessor:
-        return preparePredecessor(keeper, now);
-    case keeper_goal::Leave:
-        return prepareLeave(keeper, now);
-    case keeper_goal::None:
+    switch (manager.task.kind) {
+    case limit_task_kind::Join:
+        return prepareJoin(manager, now);
+    case limit_task_kind::Rebalance:
+        return prepareRebalance(manager, now, random, actions);
+    case limit_task_kind::Witnesses:
+        return prepareWitnesses(manager, now, actions);
+    case limit_task_kind::Reclaim:
+        return prepareReclaim(manager, now);
+    case limit_task_kind::Predecessor:
+        return preparePredecessor(manager, now);
+    case limit_task_kind::Leave:
+        return prepareLeave(manager, now);
+    case limit_task_kind::None:
         break;
     }
     return false;
 }
 
-void finishWork(limit_manager &keeper, bool isCommitted, time_point now, random_engine &random,
+void finishTask(limit_manager &manager, bool isCommitted, time_point now, random_engine &random,
                 limit_manager_actions &actions)
 {
-    const keeper_work work = keeper.work;
-    if (work.isResize)
+    const limit_task task = manager.task;
+    if (task.isPoolChange)
         return;
-    switch (work.goal) {
-    case keeper_goal::Join:
+    switch (task.kind) {
+    case limit_task_kind::Join:
         if (!isCommitted)
             return;
-        keeper.hasJoined = true;
-        applyLease(keeper, now);
-        addShares(keeper, work.move.gained, now, random, actions);
-        for (const auto &[resource, limit] : keeper.limits) {
-            scheduleLook(keeper, resource, now, random);
-            keeper.wasShort = keeper.wasShort || 2 * bookOf(keeper, resource).home < limit.fair;
+        manager.hasJoined = true;
+        applyLease(manager, now);
+        addShares(manager, task.move.gained, now, random, actions);
+        for (const auto &[resource, limit] : manager.limits) {
+            schedulePoolRead(manager, resource, now, random);
+            manager.isPredecessorSearchWanted = manager.isPredecessorSearchWanted
+                                                || 2 * bookOf(manager, resource).home < limit.fair;
         }
-        keeper.nextPredecessor = now + drawPause(random, searchSpread * std::ssize(keeper.live));
+        manager.nextPredecessorSearchAt =
+                now + drawJitteredDelay(random, searchDelayPerInstance * std::ssize(manager.live));
         break;
-    case keeper_goal::Rebalance:
-    case keeper_goal::Leave:
-        addShares(keeper, isCommitted ? work.move.gained : work.move.given, now, random, actions);
-        if (!isCommitted && work.goal == keeper_goal::Rebalance)
-            for (const resource_id &resource : work.resources)
-                scheduleLook(keeper, resource, now, random);
-        if (isCommitted && work.goal == keeper_goal::Leave) {
-            keeper.hasReturned = true;
-            keeper.hasJoined = work.move.transaction.deletes.empty();
-            applyLease(keeper, now);
+    case limit_task_kind::Rebalance:
+    case limit_task_kind::Leave:
+        addShares(manager, isCommitted ? task.move.gained : task.move.given, now, random, actions);
+        if (!isCommitted && task.kind == limit_task_kind::Rebalance)
+            for (const resource_id &resource : task.resources)
+                schedulePoolRead(manager, resource, now, random);
+        if (isCommitted && task.kind == limit_task_kind::Leave) {
+            manager.hasReturnedUnlentShares = true;
+            manager.hasJoined = task.move.transaction.deletes.empty();
+            applyLease(manager, now);
         }
         break;
-    case keeper_goal::Witnesses:
-        finishWitnesses(keeper.lease, isCommitted);
-        applyLease(keeper, now);
+    case limit_task_kind::Witnesses:
+        finishWitnesses(manager.lease, isCommitted);
+        applyLease(manager, now);
         break;
-    case keeper_goal::Reclaim:
+    case limit_task_kind::Reclaim:
         if (isCommitted)
-            onReclaimed(keeper.witness, work.dead);
-        keeper.nextReclaim = now;
+            onReclaimed(manager.witness, task.deadIncarnation);
+        manager.nextReclaimAt = now;
         break;
-    case keeper_goal::Predecessor:
-    case keeper_goal::None:
+    case limit_task_kind::Predecessor:
+    case limit_task_kind::None:
         break;
     }
 }
--- a/src/core/loan_message.cpp
+++ b/src/core/loan_message.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sizes of the messages about loans.
+/// @brief Sizes of the loan messages.
 
 #include <fuchsiagw/core/loan_message.hpp>
 
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Envelope (version, sender, sequence, kind, MAC) of a datagram, and the bytes of one entry
-/// besides the resource's name.
+/// Size of a datagram's envelope: version, sender, sequence, kind and MAC.
 constexpr std::int64_t envelopeBytes = 64;
-constexpr std::int64_t askBytes = 18;
+
+/// Sizes of one entry without the resource's name.
+constexpr std::int64_t requestItemBytes = 18;
 constexpr std::int64_t termsBytes = 62;
 constexpr std::int64_t returnBytes = 41;
 
@@ -24,7 +25,7 @@
             bytes += each + static_cast<std::int64_t>(entry.resource.name.size());
     };
     if (const auto *request = std::get_if<loan_request>(&message.body))
-        count(request->asks, askBytes);
+        count(request->asks, requestItemBytes);
     else if (const auto *grant = std::get_if<loan_grant>(&message.body))
         count(grant->loans, termsBytes);
     else if (const auto *returns = std::get_if<loan_returns>(&message.body))
--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Asks, grants and early returns.
+/// @brief Decides about loan requests, grants and early returns.
 
 #include <fuchsiagw/core/loan_policy.hpp>
 
@@ -11,35 +11,40 @@
 
 namespace {
 
-/// Need above the measured demand, so that a random peak does not empty the bucket.
-constexpr double slowHeadroom = 1.1;
+/// Factor between the needed and the measured rate, so that a random peak does not empty the
+/// bucket.
+constexpr double demandHeadroom = 1.1;
 
-/// A loan is returned early only if the need leaves this much room, for surplusTime.
+/// Loans are returned early only if the remaining shares are at least this multiple of the need for
+/// surplusReturnDelay.
 constexpr double surplusFactor = 1.5;
-constexpr duration surplusTime = std::chrono::milliseconds(500);
+constexpr duration surplusReturnDelay = std::chrono::milliseconds(500);
 
-/// Capacity below which random peaks empty a bucket whatever its rate, and burst below which a
-/// division costs more than it gives; twice that if the borrower needs less than a half.
-constexpr token_amount leastRateCapacity = 4 * oneToken;
-constexpr token_amount leastRateBurst = 16 * oneToken;
+/// Random peaks empty a bucket below this capacity whatever its rate is.
+constexpr token_amount minRateLoanCapacity = 4 * oneToken;
 
-/// Less is not worth a message. Only homes that hold less than two tokens give parts of one.
-constexpr token_amount leastTokens = oneToken / 8;
+/// Dividing a smaller burst costs more than it gains. The bound is doubled if the borrower needs
+/// less than half of the total.
+constexpr token_amount minRateLoanBurst = 16 * oneToken;
 
-/// A loan of this part of the total, or more, is large.
-constexpr share_count largePart = 8;
+/// A smaller loan is not worth a message. Only lenders whose home shares hold less than two tokens
+/// lend fractions of a token.
+constexpr token_amount minLoanTokens = oneToken / 8;
 
-/// More waiting statements than this are no random peak.
-constexpr std::uint32_t longQueue = 3;
+/// A loan is large if it is at least the total divided by this.
+constexpr share_count largeLoanDivisor = 8;
 
-/// A gain of this part of the missing shares is worth the next ask at once.
-constexpr share_count substantialPart = 8;
+/// A longer queue of waiting statements indicates a lack of rate rather than a random peak.
+constexpr std::uint32_t maxRandomQueueLength = 3;
 
-/// The answer to a request must fit into one datagram of 1,200 bytes.
-constexpr std::int64_t answerBytesBound = 1'000;
+/// The rate request backoff is reset if a loan gains at least the missing shares divided by this.
+constexpr share_count substantialGainDivisor = 8;
 
-/// Arrivals per second below which a limit counts as unused.
-constexpr double idleRate = 0.01;
+/// Ensures that the answer to a request fits into one datagram of 1,200 bytes.
+constexpr std::int64_t maxAnswerBytes = 1'000;
+
+/// Arrivals per second up to which a limit is treated as unused.
+constexpr double idleArrivalRate = 0.01;
 
 share_count sharesForRate(const share_book &book, double perSecond)
 {
@@ -49,7 +54,7 @@
     return static_cast<share_count>(std::min(part, 1.0) * static_cast<double>(book.total));
 }
 
-/// Shares whose burst holds @p tokens.
+/// @return the shares whose part of the burst holds @p tokens
 share_count sharesForTokens(const share_book &book, token_amount tokens)
 {
     if (book.burst == 0)
@@ -59,41 +64,41 @@
                     static_cast<share_count>(std::ceil(part * static_cast<double>(book.total))));
 }
 
-/// Need by the newest arrivals; decides how much may be given away on request.
+/// @return the shares needed according to the latest arrivals; they bound what may be lent
 share_count currentNeed(const limit_entry &entry, time_point now)
 {
     if (entry.book.rate == 0)
         return static_cast<share_count>(entry.inUse) + entry.waiting;
-    const double steady = slowHeadroom * decayed(entry.demand, now).slow;
+    const double steady = demandHeadroom * decayed(entry.demand, now).slow;
     return sharesForRate(entry.book, std::max(provenLeast(entry.demand, now),
                                               std::min(steady, provenMost(entry.demand, now))));
 }
 
-/// Shares that should be borrowed for seconds. A bucket that is half full shows that there is no
-/// lack. A small part of a small burst is borrowed token by token instead.
+/// @return the shares to be borrowed as a rate loan, which lasts for seconds; none if the bucket is
+/// at least half full. A small part of a small burst is borrowed with token loans instead.
 share_count missingRate(const limit_entry &entry, time_point now)
 {
     const share_book &book = entry.book;
-    const double rate =
-            std::max(slowHeadroom * steadyLeast(entry.demand, now), provenLeast(entry.demand, now));
+    const double rate = std::max(demandHeadroom * steadyLeast(entry.demand, now),
+                                 provenLeast(entry.demand, now));
     share_count need = book.rate == 0 ? neededShares(entry, now) : sharesForRate(book, rate);
-    // Statements that queue up show a lack before the estimates have followed.
+    // A growing queue shows a lack of rate before the demand estimate does.
     if (book.rate > 0 && entry.waiting > 1)
         need = std::min(book.total, need + need / 2);
-    if (book.rate > 0 && entry.waiting > longQueue)
+    if (book.rate > 0 && entry.waiting > maxRandomQueueLength)
         need = std::min(book.total, std::max(need, book.usable + book.usable / 2));
     const bool isLow = book.rate == 0 || book.bucket.level < book.bucket.capacity / 2
                        || book.bucket.level < oneToken;
     const bool isDivisible =
-            book.burst >= (2 * need >= book.total ? leastRateBurst : 2 * leastRateBurst);
+            book.burst >= (2 * need >= book.total ? minRateLoanBurst : 2 * minRateLoanBurst);
     const bool isUsable =
             book.rate == 0
-            || (isDivisible && partOf(book.burst, need, book.total) >= leastRateCapacity);
+            || (isDivisible && partOf(book.burst, need, book.total) >= minRateLoanCapacity);
     return isLow && isUsable ? std::max<share_count>(need - book.usable, 0) : 0;
 }
 
-/// Tokens that should be borrowed at once: for the waiting statements, and for the next peak as far
-/// as the own shares can keep them.
+/// @return the tokens to be borrowed at once: those for the waiting statements, and if the bucket
+/// is low, a reserve for the next peak within the capacity of the usable shares
 token_amount missingTokens(const limit_entry &entry, time_point now)
 {
     const share_book &book = entry.book;
@@ -101,7 +106,8 @@
         return 0;
     const token_amount waiting = static_cast<token_amount>(entry.waiting) * oneToken;
     const token_amount lowLevel = std::min(2 * oneToken, book.bucket.capacity / 3);
-    const bool isLow = book.bucket.level < lowLevel && decayed(entry.demand, now).slow > idleRate;
+    const bool isLow =
+            book.bucket.level < lowLevel && decayed(entry.demand, now).slow > idleArrivalRate;
     const token_amount reserve = isLow ? book.bucket.capacity / 3 : 0;
     return std::max<token_amount>(waiting + reserve - book.bucket.level, 0);
 }
@@ -109,107 +115,110 @@
 bool isActive(const limit_entry &entry, time_point now)
 {
     return entry.waiting > 0 || !entry.book.in.empty()
-           || decayed(entry.demand, now).slow > idleRate;
+           || decayed(entry.demand, now).slow > idleArrivalRate;
 }
 
-bool isPaid(loan_manager &desk, std::int64_t bytes, time_point now)
+bool tryTakeBudget(loan_manager &manager, std::int64_t bytes, time_point now)
 {
-    return take(desk.budget, bytes * oneToken, now);
+    return take(manager.byteBudget, bytes * oneToken, now);
 }
 
-/// Loans of rate carry the most, so loans of tokens leave them a half of the budget.
-bool canSpareBytes(const loan_manager &desk)
+/// Rate loans transfer the most, so token loans leave half of the byte budget to them.
+bool canAffordTokenLoans(const loan_manager &manager)
 {
-    return 2 * desk.budget.level >= desk.budget.capacity;
+    return 2 * manager.byteBudget.level >= manager.byteBudget.capacity;
 }
 
-/// Collects the asks of one poll by peer.
-using ask_sheet =
+/// The requested shares of one poll, by peer.
+using requests_by_peer =
         std::map<incarnation_id, std::map<std::pair<resource_id, loan_kind>, share_count>>;
 
-duration longerRetry(duration retry, const loan_settings &settings)
+duration nextBackoff(duration retry, const loan_settings &settings)
 {
-    return std::clamp(retry * 2, settings.firstRetry, settings.longestRetry);
+    return std::clamp(retry * 2, settings.minRetryInterval, settings.maxRetryInterval);
 }
 
-void askForRate(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
-                ask_sheet &sheet, time_point now)
+void requestRate(const loan_manager &manager, const resource_id &resource, limit_entry &entry,
+                 requests_by_peer &requests, time_point now)
 {
-    if (now < entry.nextAsk || entry.candidates.empty())
+    if (now < entry.nextRateRequestAt || entry.candidates.empty())
         return;
     const share_count missing = missingRate(entry, now);
     if (missing == 0)
         return;
-    const std::size_t count = std::min(desk.settings.fanout, entry.candidates.size());
+    const std::size_t count = std::min(manager.settings.fanout, entry.candidates.size());
     const auto parts = static_cast<share_count>(count);
     for (std::size_t i = 0; i < count; ++i) {
         entry.nextCandidate %= entry.candidates.size();
-        sheet[entry.candidates[entry.nextCandidate++]][{ resource, loan_kind::Rate }] =
+        requests[entry.candidates[entry.nextCandidate++]][{ resource, loan_kind::Rate }] =
                 (missing + parts - 1) / parts;
     }
-    entry.retry = longerRetry(entry.retry, desk.settings);
-    entry.nextAsk = now + entry.retry;
+    entry.rateRetryBackoff = nextBackoff(entry.rateRetryBackoff, manager.settings);
+    entry.nextRateRequestAt = now + entry.rateRetryBackoff;
 }
 
-/// Asks one peer at a time: tokens that come twice are lost when the loans end.
-void askForTokens(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
-                  ask_sheet &sheet, time_point now)
+/// Requests tokens from one peer at a time, because surplus tokens from a second peer are lost when
+/// the loans end.
+void requestTokens(const loan_manager &manager, const resource_id &resource, limit_entry &entry,
+                   requests_by_peer &requests, time_point now)
 {
-    if (now < entry.nextTokenAsk || entry.candidates.empty() || !canSpareBytes(desk))
+    if (now < entry.nextTokenRequestAt || entry.candidates.empty() || !canAffordTokenLoans(manager))
         return;
     const token_amount missing = missingTokens(entry, now);
     if (missing == 0)
         return;
     entry.nextTokenCandidate %= entry.candidates.size();
-    sheet[entry.candidates[entry.nextTokenCandidate++]][{ resource, loan_kind::Tokens }] =
+    requests[entry.candidates[entry.nextTokenCandidate++]][{ resource, loan_kind::Tokens }] =
             sharesForTokens(entry.book, std::max(missing, oneToken));
-    entry.tokenRetry = std::clamp(entry.tokenRetry + entry.tokenRetry / 4, desk.settings.tokenRetry,
-                                  desk.settings.longestRetry);
-    entry.nextTokenAsk = now + entry.tokenRetry;
+    entry.tokenRetryBackoff =
+            std::clamp(entry.tokenRetryBackoff + entry.tokenRetryBackoff / 4,
+                       manager.settings.tokenRetryInterval, manager.settings.maxRetryInterval);
+    entry.nextTokenRequestAt = now + entry.tokenRetryBackoff;
 }
 
-using return_sheet = std::map<incarnation_id, loan_returns>;
+using returns_by_lender = std::map<incarnation_id, loan_returns>;
 
-void giveBack(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
-              const loan_id &id, return_sheet &returns, time_point now)
+void returnLoanEarly(const loan_manager &manager, const resource_id &resource, limit_entry &entry,
+                     const loan_id &id, returns_by_lender &returns, time_point now)
 {
-    const loan_times &times = desk.settings.times;
+    const loan_times &times = manager.settings.times;
     const duration longest =
             entry.book.in.at(id).kind == loan_kind::Rate ? times.length : times.tokenLength;
     if (auto back = returnLoan(entry.book, resource, id, longest, now))
         returns[id.lender].loans.push_back(std::move(*back));
 }
 
-/// Extends the loans that end soon. Those that are not needed are returned, because the tokens of a
-/// loan that simply ends are lost.
-void askForRenewals(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
-                    ask_sheet &sheet, return_sheet &returns, time_point now)
+/// Renews the loans that end soon. Loans that are not needed are returned instead, because the
+/// tokens of a loan that expires are lost.
+void requestRenewals(const loan_manager &manager, const resource_id &resource, limit_entry &entry,
+                     requests_by_peer &requests, returns_by_lender &returns, time_point now)
 {
-    if (now < entry.nextRenewal)
+    if (now < entry.nextRenewalAt)
         return;
     const share_count need = neededShares(entry, now);
     std::vector<loan_id> unneeded;
     share_count kept = entry.book.usable;
     for (const auto &[id, loan] : entry.book.in) {
         if (loan.kind == loan_kind::Tokens || loan.shares == 0
-            || loan.endsAt - now > desk.settings.renewLead)
+            || loan.endsAt - now > manager.settings.renewalLeadTime)
             continue;
         if (kept - loan.shares >= need && entry.waiting == 0) {
             kept -= loan.shares;
             unneeded.push_back(id);
             continue;
         }
-        sheet[id.lender].try_emplace({ resource, loan_kind::Rate }, 0);
-        entry.nextRenewal = now + desk.settings.renewRetry;
+        requests[id.lender].try_emplace({ resource, loan_kind::Rate }, 0);
+        entry.nextRenewalAt = now + manager.settings.renewalRetryInterval;
     }
     for (const loan_id &id : unneeded)
-        giveBack(desk, resource, entry, id, returns, now);
+        returnLoanEarly(manager, resource, entry, id, returns, now);
 }
 
-/// Returns tokens that came too late or from two peers. A loan that is a large part of a small
-/// burst is returned even when its tokens are used, because its refill is lost meanwhile.
-void returnUnusedTokens(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
-                        return_sheet &returns, time_point now)
+/// Returns tokens that arrived too late or from two peers. A loan of a large part of a small burst
+/// is returned even if its tokens have been used, because the loan's shares are not refilled until
+/// it ends.
+void returnUnusedTokens(const loan_manager &manager, const resource_id &resource,
+                        limit_entry &entry, returns_by_lender &returns, time_point now)
 {
     if (entry.waiting > 0)
         return;
@@ -221,15 +230,15 @@
         const share_book &book = entry.book;
         const share_count own = book.usable - book.in.at(id).shares;
         const token_amount room = partOf(book.burst, std::min(own, book.total), book.total);
-        const bool isLarge = book.in.at(id).shares * largePart >= book.total;
-        if (isLarge || book.bucket.level >= room + leastTokens)
-            giveBack(desk, resource, entry, id, returns, now);
+        const bool isLarge = book.in.at(id).shares * largeLoanDivisor >= book.total;
+        if (isLarge || book.bucket.level >= room + minLoanTokens)
+            returnLoanEarly(manager, resource, entry, id, returns, now);
     }
 }
 
-/// Returns the loans that the need leaves over, the smallest first.
-void returnSurplus(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
-                   double keptNeed, return_sheet &returns, time_point now)
+/// Returns the loans that are not needed, smallest first.
+void returnSurplus(const loan_manager &manager, const resource_id &resource, limit_entry &entry,
+                   double minKeptShares, returns_by_lender &returns, time_point now)
 {
     std::vector<std::pair<share_count, loan_id>> loans;
     for (const auto &[id, loan] : entry.book.in)
@@ -237,15 +246,16 @@
             loans.emplace_back(loan.shares, id);
     std::sort(loans.begin(), loans.end());
     for (const auto &[shares, id] : loans) {
-        // A loan is returned as a whole, so one that is needed by less than a half goes too.
-        if (static_cast<double>(entry.book.usable) - static_cast<double>(shares) / 2 < keptNeed)
+        // Loans can't be split: one of which less than half is needed is returned as well.
+        if (static_cast<double>(entry.book.usable) - static_cast<double>(shares) / 2
+            < minKeptShares)
             break;
-        giveBack(desk, resource, entry, id, returns, now);
+        returnLoanEarly(manager, resource, entry, id, returns, now);
     }
 }
 
-void returnUnused(const loan_manager &desk, const resource_id &resource, limit_entry &entry,
-                  return_sheet &returns, time_point now)
+void returnLastingSurplus(const loan_manager &manager, const resource_id &resource,
+                          limit_entry &entry, returns_by_lender &returns, time_point now)
 {
     share_count smallest = 0;
     for (const auto &[id, loan] : entry.book.in)
@@ -259,67 +269,71 @@
         entry.surplusSince = noDeadline;
     else if (entry.surplusSince == noDeadline)
         entry.surplusSince = now;
-    else if (now >= entry.surplusSince + surplusTime)
-        returnSurplus(desk, resource, entry, kept, returns, now);
+    else if (now >= entry.surplusSince + surplusReturnDelay)
+        returnSurplus(manager, resource, entry, kept, returns, now);
 }
 
-struct lent_part
+struct loan_offer
 {
-    bool isAgreed = false;
+    bool isGranted = false;
     share_count shares = 0;
     token_amount tokens = 0;
 };
 
-/// Half of the shares that the own need leaves, with their part of the tokens.
-lent_part rateToLend(const limit_entry &entry, const loan_request_item &ask, share_count need,
+/// Offers at most half of the shares that this instance does not need, with their part of the
+/// tokens.
+loan_offer offerRate(const limit_entry &entry, const loan_request_item &item, share_count need,
                      share_count lendable)
 {
     const share_book &book = entry.book;
     if (need > book.usable)
         return {};
     const share_count spare = std::min(book.usable - need, lendable);
-    // A single connection can't be halved.
+    // A single spare connection is lent as a whole.
     const share_count least = book.rate == 0 ? std::min<share_count>(spare, 1) : 0;
-    const share_count shares = std::min(ask.shares, std::max(spare / 2, least));
+    const share_count shares = std::min(item.shares, std::max(spare / 2, least));
     return { true, shares, book.usable == 0 ? 0 : partOf(book.bucket.level, shares, book.usable) };
 }
 
-/// Half of the tokens, but a whole one if there is one, with the shares that make room for them.
-lent_part tokensToLend(const limit_entry &entry, const loan_request_item &ask, share_count lendable)
+/// Offers at most half of the tokens, but a whole token if there is one, with the shares whose
+/// burst can hold them.
+loan_offer offerTokens(const limit_entry &entry, const loan_request_item &item,
+                       share_count lendable)
 {
     const share_book &book = entry.book;
     const token_amount half =
             std::max(book.bucket.level / 2, std::min(book.bucket.level, oneToken));
     const bool isTiny =
             partOf(book.burst, std::min(book.home, book.total), book.total) < 2 * oneToken;
-    const token_amount least = isTiny ? leastTokens : oneToken;
+    const token_amount least = isTiny ? minLoanTokens : oneToken;
     if (book.rate == 0 || half < least)
         return {};
-    const share_count shares = std::min({ ask.shares, lendable, sharesForTokens(book, half) });
+    const share_count shares = std::min({ item.shares, lendable, sharesForTokens(book, half) });
     const token_amount tokens = partOf(book.burst, shares, book.total);
     return { tokens >= least, shares, std::min(tokens, half) };
 }
 
-std::vector<loan_message> sendRequests(loan_manager &desk, const ask_sheet &sheet, time_point now)
+std::vector<loan_message> sendRequests(loan_manager &manager, const requests_by_peer &requests,
+                                       time_point now)
 {
     std::vector<loan_message> messages;
-    for (const auto &entry : sheet) {
-        loan_request request{ desk.self.incarnation, 0, now.time_since_epoch().count(), {} };
+    for (const auto &entry : requests) {
+        loan_request request{ manager.self.incarnation, 0, now.time_since_epoch().count(), {} };
         std::int64_t answerBytes = 0;
         const auto flush = [&] {
             if (request.asks.empty())
                 return;
-            request.number = desk.nextRequest++;
+            request.number = manager.nextRequestNumber++;
             loan_message message{ entry.first, request };
-            if (isPaid(desk, sizeOf(message), now))
+            if (tryTakeBudget(manager, sizeOf(message), now))
                 messages.push_back(std::move(message));
             request.asks.clear();
             answerBytes = 0;
         };
-        for (const auto &[what, shares] : entry.second) {
-            request.asks.push_back({ what.first, what.second, shares });
-            answerBytes += sizeOfTerms(what.first);
-            if (answerBytes > answerBytesBound)
+        for (const auto &[key, shares] : entry.second) {
+            request.asks.push_back({ key.first, key.second, shares });
+            answerBytes += sizeOfTerms(key.first);
+            if (answerBytes > maxAnswerBytes)
                 flush();
         }
         flush();
@@ -327,67 +341,68 @@
     return messages;
 }
 
-/// Appends returns. They are sent even beyond the budget, which then delays the next requests.
-void appendReturns(loan_manager &desk, time_point now, std::vector<loan_message> &messages,
-                   return_sheet &&returns)
+/// Appends the messages that return loans. They may exceed the byte budget, which then delays the
+/// next requests.
+void appendReturns(loan_manager &manager, time_point now, std::vector<loan_message> &messages,
+                   returns_by_lender &&returns)
 {
     for (auto &[lender, body] : returns) {
         messages.push_back({ lender, std::move(body) });
-        takeUpTo(desk.budget, sizeOf(messages.back()) * oneToken, now);
+        takeUpTo(manager.byteBudget, sizeOf(messages.back()) * oneToken, now);
     }
 }
 
 } // namespace
 
-admission admit(loan_manager &desk, const resource_id &resource, time_point now)
+admission admit(loan_manager &manager, const resource_id &resource, time_point now)
 {
-    const auto found = desk.limits.find(resource);
-    if (found == desk.limits.end())
+    const auto found = manager.limits.find(resource);
+    if (found == manager.limits.end())
         return admission::Refused;
     limit_entry &entry = found->second;
     if (entry.demand.slow == 0 || !isActive(entry, now))
-        desk.active.insert(resource);
+        manager.active.insert(resource);
     recordArrival(entry.demand, now);
-    // Statements that wait already are served first.
+    // Statements that are already waiting take precedence.
     if (entry.waiting == 0 && takeToken(entry.book, now))
         return admission::Granted;
-    desk.urgent.insert(resource);
+    manager.urgent.insert(resource);
     const double waitSeconds =
-            std::chrono::duration<double>(desk.settings.maxAdmissionWait).count();
+            std::chrono::duration<double>(manager.settings.maxAdmissionWait).count();
     const double bound =
             1 + waitSeconds * static_cast<double>(entry.book.rate) / static_cast<double>(oneToken);
     if (entry.waiting + 1 > bound)
         return admission::Refused;
     if (entry.waiting++ == 0) {
-        // The retries of an earlier lack must not delay the first ask of this one.
-        entry.tokenRetry = duration::zero();
-        entry.nextTokenAsk = now;
+        // The backoff of an earlier shortage must not delay the first request of this one.
+        entry.tokenRetryBackoff = duration::zero();
+        entry.nextTokenRequestAt = now;
     }
     return admission::Wait;
 }
 
-bool admitWaiting(loan_manager &desk, const resource_id &resource, time_point now)
+bool admitWaiting(loan_manager &manager, const resource_id &resource, time_point now)
 {
-    const auto entry = desk.limits.find(resource);
-    if (entry == desk.limits.end() || entry->second.waiting == 0
+    const auto entry = manager.limits.find(resource);
+    if (entry == manager.limits.end() || entry->second.waiting == 0
         || !takeToken(entry->second.book, now))
         return false;
     --entry->second.waiting;
     return true;
 }
 
-void abandonWaiting(loan_manager &desk, const resource_id &resource)
+void abandonWaiting(loan_manager &manager, const resource_id &resource)
 {
-    const auto entry = desk.limits.find(resource);
-    assert(entry != desk.limits.end() && entry->second.waiting > 0);
+    const auto entry = manager.limits.find(resource);
+    assert(entry != manager.limits.end() && entry->second.waiting > 0);
     --entry->second.waiting;
 }
 
-time_point nextTokenAt(const loan_manager &desk, const resource_id &resource)
+time_point nextTokenAt(const loan_manager &manager, const resource_id &resource)
 {
-    const auto entry = desk.limits.find(resource);
-    return entry == desk.limits.end() ? noDeadline
-                                      : availableAt(entry->second.book.bucket, oneToken);
+    const auto entry = manager.limits.find(resource);
+    return entry == manager.limits.end() ? noDeadline
+                                         : availableAt(entry->second.book.bucket, oneToken);
 }
 
 share_count neededShares(const limit_entry &entry, time_point now)
@@ -395,136 +410,141 @@
     if (entry.book.rate == 0)
         return std::min<share_count>(static_cast<share_count>(entry.inUse) + entry.waiting,
                                      entry.book.total);
-    return sharesForRate(entry.book, std::max(slowHeadroom * decayed(entry.demand, now).slow,
+    return sharesForRate(entry.book, std::max(demandHeadroom * decayed(entry.demand, now).slow,
                                               provenLeast(entry.demand, now)));
 }
 
-std::vector<loan_message> poll(loan_manager &desk, time_point now)
+std::vector<loan_message> poll(loan_manager &manager, time_point now)
 {
-    refill(desk.budget, now);
-    ask_sheet sheet;
-    return_sheet returns;
+    refill(manager.byteBudget, now);
+    requests_by_peer requests;
+    returns_by_lender returns;
     const auto visit = [&](const resource_id &resource, limit_entry &entry) {
         advance(entry.book, now);
-        returnUnusedTokens(desk, resource, entry, returns, now);
-        if (!desk.areLoansOn)
+        returnUnusedTokens(manager, resource, entry, returns, now);
+        if (!manager.areLoansOn)
             return;
-        askForRate(desk, resource, entry, sheet, now);
-        askForTokens(desk, resource, entry, sheet, now);
-        askForRenewals(desk, resource, entry, sheet, returns, now);
+        requestRate(manager, resource, entry, requests, now);
+        requestTokens(manager, resource, entry, requests, now);
+        requestRenewals(manager, resource, entry, requests, returns, now);
     };
-    if (now >= desk.nextScan) {
-        desk.nextScan = now + desk.settings.scanEvery;
-        for (auto each = desk.active.begin(); each != desk.active.end();) {
-            limit_entry &entry = desk.limits.at(*each);
+    if (now >= manager.nextScanAt) {
+        manager.nextScanAt = now + manager.settings.scanInterval;
+        for (auto each = manager.active.begin(); each != manager.active.end();) {
+            limit_entry &entry = manager.limits.at(*each);
             visit(*each, entry);
-            returnUnused(desk, *each, entry, returns, now);
-            each = isActive(entry, now) ? std::next(each) : desk.active.erase(each);
+            returnLastingSurplus(manager, *each, entry, returns, now);
+            each = isActive(entry, now) ? std::next(each) : manager.active.erase(each);
         }
     } else {
-        for (const resource_id &each : desk.urgent)
-            visit(each, desk.limits.at(each));
+        for (const resource_id &each : manager.urgent)
+            visit(each, manager.limits.at(each));
     }
-    // A limit whose statements still wait is asked for again at its next retry.
-    std::erase_if(desk.urgent,
-                  [&desk](const resource_id &each) { return desk.limits.at(each).waiting == 0; });
-    std::vector<loan_message> messages = sendRequests(desk, sheet, now);
-    appendReturns(desk, now, messages, std::move(returns));
+    // Limits with waiting statements stay urgent, so that the next retry requests tokens again.
+    std::erase_if(manager.urgent, [&manager](const resource_id &each) {
+        return manager.limits.at(each).waiting == 0;
+    });
+    std::vector<loan_message> messages = sendRequests(manager, requests, now);
+    appendReturns(manager, now, messages, std::move(returns));
     return messages;
 }
 
-time_point nextPollAt(const loan_manager &desk)
+time_point nextPollAt(const loan_manager &manager)
 {
-    time_point next = desk.nextScan;
-    for (const resource_id &each : desk.urgent)
-        next = std::min({ next, desk.limits.at(each).nextAsk, desk.limits.at(each).nextTokenAsk });
+    time_point next = manager.nextScanAt;
+    for (const resource_id &each : manager.urgent)
+        next = std::min({ next, manager.limits.at(each).nextRateRequestAt,
+                          manager.limits.at(each).nextTokenRequestAt });
     return next;
 }
 
-std::vector<loan_message> onLoanRequest(loan_manager &desk, const loan_request &request,
+std::vector<loan_message> onLoanRequest(loan_manager &manager, const loan_request &request,
                                         time_point now)
 {
-    std::uint64_t &last = desk.lastRequests[request.borrower];
-    if (request.number <= last || request.borrower == desk.self.incarnation)
+    std::uint64_t &last = manager.lastRequestNumbers[request.borrower];
+    if (request.number <= last || request.borrower == manager.self.incarnation)
         return {};
     last = request.number;
-    refill(desk.budget, now);
+    refill(manager.byteBudget, now);
     loan_grant grant{ request.borrower, request.sentAt, {} };
-    return_sheet returns;
-    // A lender without budget lends nothing; the returns that it owes are still sent.
-    const bool canLend = desk.areLoansOn && desk.budget.level >= answerBytesBound * oneToken;
-    for (const loan_request_item &ask : request.asks) {
-        const auto found = desk.limits.find(ask.resource);
-        if (found == desk.limits.end())
+    returns_by_lender returns;
+    // Without byte budget nothing is lent, but loans that are not needed are still returned.
+    const bool canLend =
+            manager.areLoansOn && manager.byteBudget.level >= maxAnswerBytes * oneToken;
+    for (const loan_request_item &item : request.asks) {
+        const auto found = manager.limits.find(item.resource);
+        if (found == manager.limits.end())
             continue;
         limit_entry &entry = found->second;
         const share_count lendable = lendableShares(entry.book, now);
         const share_count need = currentNeed(entry, now);
         if (entry.waiting == 0)
-            returnSurplus(desk, ask.resource, entry, static_cast<double>(need), returns, now);
-        const bool isAffordable = ask.kind == loan_kind::Rate || canSpareBytes(desk);
+            returnSurplus(manager, item.resource, entry, static_cast<double>(need), returns, now);
+        const bool isAffordable = item.kind == loan_kind::Rate || canAffordTokenLoans(manager);
         if (!canLend || !isAffordable || (entry.book.rate > 0 && entry.waiting > 0))
             continue;
-        const lent_part part = ask.kind == loan_kind::Rate ? rateToLend(entry, ask, need, lendable)
-                                                           : tokensToLend(entry, ask, lendable);
-        if (!part.isAgreed)
+        const loan_offer offer = item.kind == loan_kind::Rate
+                                         ? offerRate(entry, item, need, lendable)
+                                         : offerTokens(entry, item, lendable);
+        if (!offer.isGranted)
             continue;
         if (auto terms =
-                    grantLoan(entry.book, ask.resource, desk.self.incarnation, request.borrower,
-                              ask.kind, part.shares, part.tokens, desk.settings.times, now))
+                    grantLoan(entry.book, item.resource, manager.self.incarnation, request.borrower,
+                              item.kind, offer.shares, offer.tokens, manager.settings.times, now))
             grant.loans.push_back(std::move(*terms));
     }
     std::vector<loan_message> messages;
-    appendReturns(desk, now, messages, std::move(returns));
+    appendReturns(manager, now, messages, std::move(returns));
     if (!grant.loans.empty()) {
         messages.push_back({ request.borrower, std::move(grant) });
-        takeUpTo(desk.budget, sizeOf(messages.back()) * oneToken, now);
+        takeUpTo(manager.byteBudget, sizeOf(messages.back()) * oneToken, now);
     }
     return messages;
 }
 
-std::vector<resource_id> onLoanGrant(loan_manager &desk, const loan_grant &grant, time_point now)
+std::vector<resource_id> onLoanGrant(loan_manager &manager, const loan_grant &grant, time_point now)
 {
     std::vector<resource_id> changed;
-    if (grant.borrower != desk.self.incarnation)
+    if (grant.borrower != manager.self.incarnation)
         return changed;
     for (const loan_terms &terms : grant.loans) {
-        const auto entry = desk.limits.find(terms.resource);
-        if (entry == desk.limits.end())
+        const auto entry = manager.limits.find(terms.resource);
+        if (entry == manager.limits.end())
             continue;
         const share_count before = usableShares(entry->second.book, now);
         if (!receiveLoan(entry->second.book, terms, time_point(duration(grant.sentAt)), now))
             continue;
-        desk.active.insert(terms.resource);
+        manager.active.insert(terms.resource);
         limit_entry &changedEntry = entry->second;
         if (changedEntry.book.usable <= before)
             continue;
         changed.push_back(terms.resource);
         if (terms.kind == loan_kind::Rate) {
-            // Crumbs show that the peers have nothing left; asking on would only cost traffic.
-            if ((changedEntry.book.usable - before) * substantialPart
+            // A small gain shows that the peers have little left to lend, so the backoff continues
+            // to limit the traffic.
+            if ((changedEntry.book.usable - before) * substantialGainDivisor
                 >= missingRate(changedEntry, now))
-                changedEntry.retry = duration::zero();
+                changedEntry.rateRetryBackoff = duration::zero();
             continue;
         }
-        // The next poll returns what the waiting statements do not use.
-        desk.urgent.insert(terms.resource);
-        const auto giver = std::find(changedEntry.candidates.begin(), changedEntry.candidates.end(),
-                                     terms.id.lender);
-        if (giver != changedEntry.candidates.end())
+        // The next poll returns the tokens that the waiting statements do not use.
+        manager.urgent.insert(terms.resource);
+        const auto lender = std::find(changedEntry.candidates.begin(),
+                                      changedEntry.candidates.end(), terms.id.lender);
+        if (lender != changedEntry.candidates.end())
             changedEntry.nextTokenCandidate =
-                    static_cast<std::size_t>(giver - changedEntry.candidates.begin());
+                    static_cast<std::size_t>(lender - changedEntry.candidates.begin());
     }
     return changed;
 }
 
-std::vector<resource_id> onLoanReturns(loan_manager &desk, const loan_returns &returns,
+std::vector<resource_id> onLoanReturns(loan_manager &manager, const loan_returns &returns,
                                        time_point now)
 {
     std::vector<resource_id> changed;
     for (const loan_return &each : returns.loans) {
-        const auto entry = desk.limits.find(each.resource);
-        if (entry != desk.limits.end() && acceptReturn(entry->second.book, each, now))
+        const auto entry = manager.limits.find(each.resource);
+        if (entry != manager.limits.end() && acceptReturn(entry->second.book, each, now))
             changed.push_back(each.resource);
     }
     return changed;
--- a/tests/unit-limit-manager.cpp
+++ b/tests/unit-limit-manager.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of keepers with a fake table and a fake network in virtual time.
+/// @brief Tests of limit managers with a fake platform table and a fake network in virtual time.
 
 #include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/rendezvous.hpp>
@@ -26,17 +26,17 @@
 
 struct node
 {
-    limit_manager keeper;
+    limit_manager manager;
     bool isAlive = true;
     time_point pausedUntil{};
-    double offered = 0; ///< statements per second
-    double arrivals = 0; ///< fraction of the next statement
+    double offeredRate = 0; ///< statements per second
+    double arrivalFraction = 0; ///< accumulated fraction of the next statement
     std::uint64_t granted = 0;
     std::uint64_t refused = 0;
-    std::uint32_t demand = 0; ///< connections that it would open
+    std::uint32_t demand = 0; ///< connections that the node needs
     std::uint32_t limit = 0;
     std::uint32_t open = 0;
-    time_point closeAt = noDeadline; ///< when exchanges above the limit have ended
+    time_point closeAt = noDeadline; ///< when the exchanges on connections above the limit end
     bool isExpired = false;
 };
 
@@ -61,13 +61,14 @@
     std::uint64_t nextEvent = 0;
     configuration config;
     std::map<std::string, table_row> table;
-    std::map<std::string, transact_answer> remembered;
-    time_point darkUntil{};
+    std::map<std::string, transact_answer> answeredTransactions;
+    time_point platformDownUntil{};
     int answersToLose = 0;
     std::uint64_t scans = 0;
     std::uint64_t writes = 0;
-    std::uint64_t faults = 0; ///< messages lost and doubled, each in a thousand
-    share_count connections = 16; ///< greatest sum that is allowed now
+    std::uint64_t messageFaultsPerThousand =
+            0; ///< rate of lost and, separately, of duplicated messages
+    share_count connections = 16; ///< maximum sum over all instances
 
     void after(duration delay, std::function<void()> run)
     {
@@ -78,12 +79,12 @@
     {
         std::vector<peer_ref> all;
         for (const auto &each : nodes)
-            if (each->isAlive && !each->keeper.isLeaving)
-                all.push_back(each->keeper.self);
+            if (each->isAlive && !each->manager.isLeaving)
+                all.push_back(each->manager.self);
         return all;
     }
 
-    /// The owner of the group in a zone.
+    /// @return the owner of the group in a zone
     node &owner(int zone)
     {
         const zone_name name{ "z" + std::to_string(zone) };
@@ -93,11 +94,11 @@
                 instances.push_back(each.instance);
         const instance_id first = rankInstances(ownerKey(group, name), instances).front();
         return **std::find_if(nodes.begin(), nodes.end(), [&](const auto &each) {
-            return each->isAlive && each->keeper.self.instance == first;
+            return each->isAlive && each->manager.self.instance == first;
         });
     }
 
-    /// Tells everybody who is live and who owns the group.
+    /// Reports the live instances and the owners of the group to all nodes.
     void announce()
     {
         const auto peers = live();
@@ -107,8 +108,8 @@
                 continue;
             const bool isOwner = owners.contains(each.get());
             apply(*each, [this, &at = *each, peers, isOwner](limit_manager_actions &actions) {
-                onPeers(at.keeper, peers, now, random, actions);
-                onOwnedGroups(at.keeper,
+                onPeers(at.manager, peers, now, random, actions);
+                onOwnedGroups(at.manager,
                               isOwner ? std::set<group_id>{ group } : std::set<group_id>{}, now,
                               random, actions);
             });
@@ -122,17 +123,17 @@
             instance = "i" + std::to_string(id);
         const peer_ref self{ id, instance_id{ instance }, zone_name{ "z" + std::to_string(zone) } };
         node &added = *nodes.emplace_back(std::make_unique<node>());
-        added.keeper = makeLimitManager(self, {}, now);
+        added.manager = makeLimitManager(self, {}, now);
         apply(added, [&](limit_manager_actions &actions) {
-            onConfiguration(added.keeper, config, now, random, actions);
+            onConfiguration(added.manager, config, now, random, actions);
         });
         return added;
     }
 
     transact_answer transact(const transact_request &request)
     {
-        const auto known = remembered.find(request.id);
-        if (known != remembered.end())
+        const auto known = answeredTransactions.find(request.id);
+        if (known != answeredTransactions.end())
             return known->second;
         transact_answer answer{ true, {} };
         for (const row_check &check : request.checks)
@@ -147,47 +148,49 @@
             for (const std::string &key : request.deletes)
                 table.erase(key);
         }
-        return remembered[request.id] = answer;
+        return answeredTransactions[request.id] = answer;
     }
 
-    void call(node &from, const limit_platform_call &order)
+    void call(node &from, const limit_platform_call &request)
     {
-        if (now < darkUntil) {
-            after(seconds(1), [this, &from, order] { answer(from, order, {}, {}); });
+        if (now < platformDownUntil) {
+            after(seconds(1), [this, &from, request] { answer(from, request, {}, {}); });
             return;
         }
-        after(milliseconds(10), [this, &from, order] {
-            if (const auto *prefix = std::get_if<std::string>(&order.order)) {
+        after(milliseconds(10), [this, &from, request] {
+            if (const auto *prefix = std::get_if<std::string>(&request.order)) {
                 ++scans;
                 scan_answer rows;
                 for (const auto &[key, row] : table)
                     if (key.starts_with(*prefix) && row.version > 0)
                         rows.rows.push_back(row);
                 after(milliseconds(10),
-                      [this, &from, order, rows] { answer(from, order, rows, {}); });
+                      [this, &from, request, rows] { answer(from, request, rows, {}); });
                 return;
             }
-            const transact_answer result = transact(std::get<transact_request>(order.order));
+            const transact_answer result = transact(std::get<transact_request>(request.order));
             const bool isLost = answersToLose > 0 && result.committed;
             answersToLose -= isLost ? 1 : 0;
-            after(isLost ? seconds(1) : milliseconds(10), [this, &from, order, result, isLost] {
-                answer(from, order, {}, isLost ? std::nullopt : std::optional(result));
+            after(isLost ? seconds(1) : milliseconds(10), [this, &from, request, result, isLost] {
+                answer(from, request, {}, isLost ? std::nullopt : std::optional(result));
             });
         });
     }
 
-    void answer(node &to, const limit_platform_call &order, const std::optional<scan_answer> &rows,
+    void answer(node &to, const limit_platform_call &request,
+                const std::optional<scan_answer> &rows,
                 const std::optional<transact_answer> &result)
     {
-        apply(to, [this, &to, order, rows, result](limit_manager_actions &actions) {
-            if (std::holds_alternative<std::string>(order.order))
-                onScan(to.keeper, order.number, rows, now, random, actions);
+        apply(to, [this, &to, request, rows, result](limit_manager_actions &actions) {
+            if (std::holds_alternative<std::string>(request.order))
+                onScan(to.manager, request.number, rows, now, random, actions);
             else
-                onTransact(to.keeper, order.number, result, now, random, actions);
+                onTransact(to.manager, request.number, result, now, random, actions);
         });
     }
 
-    /// Runs an event now, or after the node's pause; it must own what it uses.
+    /// Runs an event now or, if the node is paused, at the end of the pause. The event must own the
+    /// data that it uses.
     void apply(node &at, const std::function<void(limit_manager_actions &)> &run)
     {
         if (!at.isAlive)
@@ -201,8 +204,8 @@
         for (const limit_manager_action &each : actions) {
             if (const auto *message = std::get_if<limit_message>(&each))
                 deliver(at, *message);
-            else if (const auto *order = std::get_if<limit_platform_call>(&each))
-                call(at, *order);
+            else if (const auto *request = std::get_if<limit_platform_call>(&each))
+                call(at, *request);
             else if (const auto *admitted = std::get_if<admission_outcome>(&each))
                 ++(admitted->granted ? at.granted : at.refused);
             else if (const auto *allowed = std::get_if<connection_limit_change>(&each))
@@ -214,35 +217,35 @@
 
     void deliver(const node &from, const limit_message &message, bool isCopy = false)
     {
-        const incarnation_id sender = from.keeper.self.incarnation;
-        if (drawBelow(random, 1'000) < faults)
+        const incarnation_id sender = from.manager.self.incarnation;
+        if (drawBelow(random, 1'000) < messageFaultsPerThousand)
             return;
-        if (!isCopy && drawBelow(random, 1'000) < faults)
+        if (!isCopy && drawBelow(random, 1'000) < messageFaultsPerThousand)
             after(milliseconds(drawBelow(random, 5'000)),
                   [this, &from, message] { deliver(from, message, true); });
         after(milliseconds(4), [this, sender, message] {
             node &to = *nodes.at(message.to - 1);
             apply(to, [this, &to, sender, message](limit_manager_actions &actions) {
-                onMessage(to.keeper, sender, message.body, now, random, actions);
+                onMessage(to.manager, sender, message.body, now, random, actions);
             });
         });
     }
 
-    /// Opens connections up to the limit and keeps them open. Above the limit idle ones are closed
-    /// at once and the others just before connectionWindDown.
+    /// Opens connections up to the limit and keeps them open. Above the limit, idle connections are
+    /// closed at once and busy ones just before connectionDrainInterval has passed.
     void useConnections(node &each)
     {
         each.open = std::max(each.open, std::min(each.limit, each.demand));
         if (each.open <= each.limit)
             each.closeAt = noDeadline;
         else if (each.closeAt == noDeadline)
-            each.closeAt = now + connectionWindDown - milliseconds(50);
+            each.closeAt = now + connectionDrainInterval - milliseconds(50);
         if (each.open > each.limit)
             each.open = now >= each.closeAt
                                 ? each.limit
                                 : std::max(each.limit, std::min(each.open, each.demand));
         const std::uint32_t busy = std::min(each.open, each.demand);
-        setGroupDemand(each.keeper, group, each.open, each.demand - busy, now, each.open - busy);
+        setGroupDemand(each.manager, group, each.open, each.demand - busy, now, each.open - busy);
     }
 
     void step()
@@ -259,15 +262,16 @@
                 continue;
             useConnections(each);
             apply(each, [&](limit_manager_actions &actions) {
-                each.arrivals += each.offered * std::chrono::duration<double>(stepLength).count();
-                for (; each.arrivals >= 1; each.arrivals -= 1) {
+                each.arrivalFraction +=
+                        each.offeredRate * std::chrono::duration<double>(stepLength).count();
+                for (; each.arrivalFraction >= 1; each.arrivalFraction -= 1) {
                     const admission decision =
-                            admitStatement(each.keeper, workspace, 0, now, actions);
+                            admitStatement(each.manager, workspace, 0, now, actions);
                     each.granted += decision == admission::Granted ? 1 : 0;
                     each.refused += decision == admission::Refused ? 1 : 0;
                 }
-                if (nextLimitManagerTick(each.keeper) <= now)
-                    tickLimitManager(each.keeper, now, random, actions);
+                if (nextLimitManagerTick(each.manager) <= now)
+                    tickLimitManager(each.manager, now, random, actions);
             });
         }
         check();
@@ -276,20 +280,20 @@
     void check()
     {
         share_count shares = 0;
-        share_count links = 0;
+        share_count connectionShares = 0;
         share_count open = 0;
         for (auto &each : nodes) {
             if (!each->isAlive || each->isExpired)
                 continue;
-            shares += usableShares(each->keeper.rates.limits.at(workspaceLimit).book, now);
-            // Nobody can close the connections of a paused process before it runs again.
-            open += now < each->pausedUntil + connectionWindDown ? 0 : each->open;
-            const auto entry = each->keeper.connections.limits.find(groupLimit);
-            if (entry != each->keeper.connections.limits.end())
-                links += usableShares(entry->second.book, now);
+            shares += usableShares(each->manager.rates.limits.at(workspaceLimit).book, now);
+            // A paused process can't close its connections before it runs again.
+            open += now < each->pausedUntil + connectionDrainInterval ? 0 : each->open;
+            const auto entry = each->manager.connections.limits.find(groupLimit);
+            if (entry != each->manager.connections.limits.end())
+                connectionShares += usableShares(entry->second.book, now);
         }
         CHECK_TRUE(shares <= workspaceShares);
-        CHECK_TRUE(links <= connections);
+        CHECK_TRUE(connectionShares <= connections);
         CHECK_TRUE(open <= connections);
     }
 
@@ -351,30 +355,31 @@
         all.nodes[index]->isAlive = false;
         all.after(seconds(1), [this] { all.announce(); });
     }
-    /// Each book has what the table records.
+    /// Checks that each share book has the home shares that the table records.
     void checkBooks()
     {
         for (const auto &each : all.nodes) {
-            const std::string key = leaseKey(each->keeper.self.incarnation);
+            const std::string key = leaseKey(each->manager.self.incarnation);
             if (!each->isAlive)
                 continue;
-            CHECK_TRUE(each->keeper.hasJoined && !each->isExpired);
+            CHECK_TRUE(each->manager.hasJoined && !each->isExpired);
             const auto row = parseShareRow(key, all.table.at(key).value);
             LONGS_EQUAL(std::get<lease_row>(*row).homes.at(workspaceLimit),
-                        each->keeper.rates.limits.at(workspaceLimit).book.home);
+                        each->manager.rates.limits.at(workspaceLimit).book.home);
         }
     }
     void configure()
     {
         for (auto &each : all.nodes)
             all.apply(*each, [&](limit_manager_actions &actions) {
-                onConfiguration(each->keeper, all.config, all.now, all.random, actions);
+                onConfiguration(each->manager, all.config, all.now, all.random, actions);
             });
     }
 };
 
-// Guards against instances that do not join, and against shares that nobody gets.
-TEST(limit_manager, joinDividesEverything)
+// Guards against instances that do not join and shares that no instance takes. Also guards against
+// transactions and repeated scans once all shares are divided.
+TEST(limit_manager, joinDividesAllShares)
 {
     start(9);
     LONGS_EQUAL(workspaceShares, all.home(workspaceLimit));
@@ -387,32 +392,32 @@
     LONGS_EQUAL(16, sum);
     all.run(seconds(60));
     LONGS_EQUAL(0, all.writes);
-    CHECK_TRUE(all.scans <= 18); // at most one late look by each, which reads two rows
+    CHECK_TRUE(all.scans <= 18); // at most one later pool read of two rows per instance
 }
 
-// Guards against refusals inside the rate when the load meets one instance, also while the
-// platform is dark.
+// Guards against refusals of statements within the rate when all load arrives at one instance, with
+// or without the platform, and against a workspace that exceeds its rate.
 TEST(limit_manager, servesUnevenDemandWithoutPlatform)
 {
     start(9);
-    all.nodes[4]->offered = 80;
+    all.nodes[4]->offeredRate = 80;
     all.run(seconds(5));
     all.count(granted, refused);
     LONGS_EQUAL(0, refused);
-    all.darkUntil = all.now + seconds(60);
+    all.platformDownUntil = all.now + seconds(60);
     all.run(seconds(60));
     all.count(granted, refused);
     LONGS_EQUAL(0, refused);
     CHECK_TRUE(granted >= 4'780);
-    all.nodes[4]->offered = 300;
+    all.nodes[4]->offeredRate = 300;
     all.run(seconds(10));
     all.count(granted, refused);
     CHECK_TRUE(granted >= 950 && granted <= 1'101); // the rate plus at most one burst
 }
 
-// Guards against connections that stay where nobody uses them, and against a limit that ends
-// before the exchanges have.
-TEST(limit_manager, lendsConnectionsToTheBusyOwner)
+// Guards against idle connections that stay at an owner while another owner needs them, and against
+// a limit that drops because a loan is not renewed in time.
+TEST(limit_manager, lendsConnectionsToBusyOwner)
 {
     start(9);
     node &first = all.owner(0);
@@ -436,38 +441,39 @@
     CHECK_TRUE(second.open >= 11);
 }
 
-// Guards against shares that a planned stop leaves behind, and against one that never ends.
-TEST(limit_manager, leavesWithAllShares)
+// Guards against shares that remain recorded for an instance after its planned stop, and against a
+// planned stop that never ends. Open connections and loans delay the return of shares.
+TEST(limit_manager, plannedStopReturnsAllShares)
 {
     start(9);
     node &owner = all.owner(0);
-    node &busy = all.owner(1).keeper.self.instance.value == "i5" ? *all.nodes[1] : *all.nodes[4];
+    node &busy = all.owner(1).manager.self.instance.value == "i5" ? *all.nodes[1] : *all.nodes[4];
     owner.demand = 3;
-    busy.offered = 80;
+    busy.offeredRate = 80;
     all.run(seconds(5));
-    busy.offered = 0;
+    busy.offeredRate = 0;
     for (node *each : { &owner, &busy })
         all.apply(*each, [&](limit_manager_actions &actions) {
-            startLeaving(each->keeper, all.now, all.random, actions);
+            startLeaving(each->manager, all.now, all.random, actions);
         });
     all.announce();
     all.run(seconds(3));
     owner.demand = 0;
     all.run(seconds(9));
     for (const node *each : { &owner, &busy }) {
-        CHECK_TRUE(hasLeft(each->keeper));
-        LONGS_EQUAL(0, all.table.count(leaseKey(each->keeper.self.incarnation)));
+        CHECK_TRUE(hasLeft(each->manager));
+        LONGS_EQUAL(0, all.table.count(leaseKey(each->manager.self.incarnation)));
     }
     all.run(seconds(40));
     LONGS_EQUAL(16, all.home(groupLimit));
     CHECK_TRUE(all.home(workspaceLimit) >= workspaceShares * 99 / 100);
 }
 
-// Guards against shares that die with an instance.
-TEST(limit_manager, reclaimsTheSharesOfADeadInstance)
+// Guards against shares that are lost when their holder crashes and so can't return them.
+TEST(limit_manager, reclaimsSharesOfDeadInstances)
 {
     start(9);
-    const std::array<incarnation_id, 2> dead{ all.owner(0).keeper.self.incarnation, 8 };
+    const std::array<incarnation_id, 2> dead{ all.owner(0).manager.self.incarnation, 8 };
     for (const incarnation_id each : dead)
         kill(each - 1);
     all.run(seconds(50));
@@ -478,8 +484,9 @@
     CHECK_TRUE(all.writes <= 40);
 }
 
-// Guards against shares that nobody can reclaim because the witnesses died with their holders.
-TEST(limit_manager, restartOfAllInstancesFindsTheShares)
+// Guards against shares that can't be reclaimed by votes, because all instances restart at once and
+// the witnesses are gone together with the holders.
+TEST(limit_manager, reclaimsSharesAfterRestartOfAllInstances)
 {
     start(4);
     for (int i = 0; i < 4; ++i) {
@@ -494,7 +501,8 @@
     LONGS_EQUAL(16, all.home(groupLimit));
 }
 
-// Guards against a paused instance that uses shares which were reclaimed meanwhile.
+// Guards against an instance that is paused beyond the end of its lease and afterwards uses shares
+// that were reclaimed during the pause.
 TEST(limit_manager, expiredIncarnationGrantsNothing)
 {
     start(4);
@@ -505,11 +513,13 @@
     CHECK_TRUE(paused.isExpired);
     LONGS_EQUAL(0, all.table.count(leaseKey(4)));
     limit_manager_actions actions;
-    CHECK_TRUE(admitStatement(paused.keeper, workspace, 1, all.now, actions) == admission::Refused);
+    CHECK_TRUE(admitStatement(paused.manager, workspace, 1, all.now, actions)
+               == admission::Refused);
 }
 
-// Guards against a transaction that counts twice, or not at all, when its answer is lost.
-TEST(limit_manager, readsBackAfterALostAnswer)
+// Guards against a transaction that is applied twice, or whose shares are lost, because its answer
+// is lost after the commit.
+TEST(limit_manager, readsBackAfterLostAnswer)
 {
     all.answersToLose = 6;
     start(5);
@@ -523,8 +533,9 @@
     LONGS_EQUAL(workspaceShares, all.home(workspaceLimit) + all.pool(workspaceLimit).free);
 }
 
-// Guards against a change of a group's connections that never reaches the pool.
-TEST(limit_manager, followsTheConfiguration)
+// Guards against a changed connection count or a withdrawn workspace in the configuration that
+// never takes effect in the pool and the home shares.
+TEST(limit_manager, appliesConfigurationChanges)
 {
     start(9);
     for (int zone = 0; zone < 3; ++zone)
@@ -548,30 +559,31 @@
     LONGS_EQUAL(0, all.home(workspaceLimit));
 }
 
-// Guards against shares that count twice when faults come together.
+// Guards against shares that are counted twice when faults coincide: paused instances, platform
+// outages, lost answers, expired incarnations, and lost or duplicated messages.
 TEST(limit_manager, limitsHoldUnderRandomFaults)
 {
     start(9);
     for (int round = 0; round < 200; ++round) {
-        node &any = *all.nodes[drawBelow(all.random, all.nodes.size())];
+        node &target = *all.nodes[drawBelow(all.random, all.nodes.size())];
         const duration length = milliseconds(drawBelow(all.random, 15'000));
         const std::uint64_t fault = round < 150 ? drawBelow(all.random, 8) : 8;
         if (fault == 0)
-            any.pausedUntil = std::max(any.pausedUntil, all.now + length);
+            target.pausedUntil = std::max(target.pausedUntil, all.now + length);
         else if (fault == 1)
-            all.darkUntil = all.now + length;
+            all.platformDownUntil = all.now + length;
         else if (fault == 2)
             all.answersToLose = 3;
         else if (fault == 3)
-            any.isExpired = true;
-        any.demand = static_cast<std::uint32_t>(drawBelow(all.random, 12));
-        any.offered = static_cast<double>(drawBelow(all.random, 80));
-        all.faults = round < 150 ? 50 : 0;
+            target.isExpired = true;
+        target.demand = static_cast<std::uint32_t>(drawBelow(all.random, 12));
+        target.offeredRate = static_cast<double>(drawBelow(all.random, 80));
+        all.messageFaultsPerThousand = round < 150 ? 50 : 0;
         all.run(seconds(2));
         for (std::size_t i = 0, count = all.nodes.size(); i < count; ++i)
             if (all.nodes[i]->isAlive && all.nodes[i]->isExpired) {
                 all.nodes[i]->isAlive = false;
-                all.add(static_cast<int>(i % 3), all.nodes[i]->keeper.self.instance.value);
+                all.add(static_cast<int>(i % 3), all.nodes[i]->manager.self.instance.value);
             }
         all.announce();
     }
@@ -579,7 +591,7 @@
     LONGS_EQUAL(workspaceShares, all.home(workspaceLimit) + all.pool(workspaceLimit).free);
 }
 
-// Guards against a row that is read although it was damaged.
+// Guards against a truncated, altered or misplaced lease row that is accepted as valid.
 TEST(limit_manager, rowsAreParsedStrictly)
 {
     const lease_row lease{ 5,        instance_id{ "i5" },   zone_name{ "a" },
--- a/tests/unit-loan-policy.cpp
+++ b/tests/unit-loan-policy.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of admission and loans between desks that hear each other at once.
+/// @brief Tests of admission and loans between loan managers whose messages arrive without delay.
 
 #include <fuchsiagw/core/loan_policy.hpp>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::int64_t desks = 9;
+constexpr std::int64_t managerCount = 9;
 
 time_point at(std::int64_t millis)
 {
@@ -31,20 +31,20 @@
     {
         random_engine random(3);
         std::vector<peer_ref> live;
-        for (incarnation_id i = 1; i <= desks; ++i)
+        for (incarnation_id i = 1; i <= managerCount; ++i)
             live.push_back({ i, instance_id{ std::to_string(i) }, zone_name{ i < 4 ? "a" : "b" } });
         std::vector<incarnation_id> holders;
         for (const peer_ref &each : live)
             holders.push_back(each.incarnation);
         all.clear();
         for (const peer_ref &each : live) {
-            loan_manager &desk = all.emplace_back(makeLoanManager(each, {}, at(0)));
-            share_book &book = openLimit(desk, resource, std::int64_t(rate * oneToken),
+            loan_manager &manager = all.emplace_back(makeLoanManager(each, {}, at(0)));
+            share_book &book = openLimit(manager, resource, std::int64_t(rate * oneToken),
                                          token_amount(burst * oneToken), workspaceShares, at(0))
                                        .book;
-            addHome(book, workspaceShares / desks, 0, at(0));
-            setCandidates(desk, resource, holders, live, random);
-            setHomeUntil(desk, noDeadline, at(0));
+            addHome(book, workspaceShares / managerCount, 0, at(0));
+            setCandidates(manager, resource, holders, live, random);
+            setHomeUntil(manager, noDeadline, at(0));
         }
     }
     void deliver(const std::vector<loan_message> &messages, time_point now)
@@ -61,27 +61,27 @@
                 onLoanReturns(to, *returns, now);
         }
     }
-    /// Sends `perSecond` statements to one desk and returns how many were granted.
+    /// Sends a statement to one loan manager each `everyMillis` and returns how many were granted.
     int run(std::size_t busy, std::int64_t from, std::int64_t until, std::int64_t everyMillis)
     {
         int granted = 0;
         std::deque<std::int64_t> waiting; // arrival times
         for (std::int64_t now = from; now < until; now += 5) {
-            loan_manager &desk = all[busy];
+            loan_manager &manager = all[busy];
             if (now % everyMillis == 0) {
-                const admission decision = admit(desk, resource, at(now));
+                const admission decision = admit(manager, resource, at(now));
                 granted += decision == admission::Granted ? 1 : 0;
                 if (decision == admission::Wait)
                     waiting.push_back(now);
             }
             for (loan_manager &each : all)
                 deliver(poll(each, at(now)), at(now));
-            while (!waiting.empty() && admitWaiting(desk, resource, at(now))) {
+            while (!waiting.empty() && admitWaiting(manager, resource, at(now))) {
                 waiting.pop_front();
                 ++granted;
             }
             for (; !waiting.empty() && waiting.front() + 200 <= now; waiting.pop_front())
-                abandonWaiting(desk, resource);
+                abandonWaiting(manager, resource);
         }
         for (; !waiting.empty(); waiting.pop_front())
             abandonWaiting(all[busy], resource);
@@ -89,8 +89,9 @@
     }
 };
 
-// Guards against a workspace that gets a ninth of its rate because the balancer uses one instance.
-TEST(loan_policy, convergesWhenAllTrafficMeetsOneInstance)
+// Guards against a workspace that gets only a ninth of its rate, because the load balancer sends
+// all its statements to one of nine instances.
+TEST(loan_policy, convergesWhenOneInstanceGetsAllTraffic)
 {
     open(100, 100);
     run(0, 0, 2'000, 10);
@@ -98,8 +99,8 @@
     CHECK_TRUE(all[0].limits[resource].book.usable > 850'000);
 }
 
-// Guards against shares that stay with an instance after its demand has moved elsewhere.
-TEST(loan_policy, followsAShiftOfDemand)
+// Guards against shares that stay with a borrower after the demand has moved to another instance.
+TEST(loan_policy, followsShiftOfDemand)
 {
     open(100, 100);
     run(0, 0, 6'000, 10);
@@ -107,15 +108,17 @@
     CHECK_TRUE(run(8, 6'500, 8'500, 10) > 180);
 }
 
-// Guards against a burst of 5 at nine instances that nobody can use.
-TEST(loan_policy, servesFromATinyBurst)
+// Guards against an unusable burst: a burst of 5 divided among nine instances leaves each with less
+// than one token.
+TEST(loan_policy, servesFromTinyBurst)
 {
     open(5, 5);
     run(4, 0, 3'000, 1'000);
     CHECK_TRUE(run(4, 3'000, 13'000, 250) >= 36);
 }
 
-// Guards against control traffic that grows with a workspace's excess.
+// Guards against control traffic that grows with the load above a workspace's rate, because each
+// statement without a token could send loan requests.
 TEST(loan_policy, excessDoesNotFloodThePeers)
 {
     open(100, 100);
@@ -126,8 +129,8 @@
     CHECK_TRUE(bytes < 10 * 1'500);
 }
 
-// Guards against new loans while the operators have switched them off.
-TEST(loan_policy, switchedOffMeansNoNewLoans)
+// Guards against new loans while operators have switched loans off.
+TEST(loan_policy, grantsNoLoansWhenSwitchedOff)
 {
     open(100, 100);
     for (loan_manager &each : all)
@@ -138,8 +141,8 @@
     CHECK_TRUE(onLoanRequest(all[0], request, at(2'000)).empty());
 }
 
-// Guards against a request that comes twice and lends twice.
-TEST(loan_policy, answersARequestOnce)
+// Guards against a duplicated request message that makes the lender lend twice.
+TEST(loan_policy, answersRequestOnce)
 {
     open(100, 100);
     const loan_request request{ 2, 1, 0, { { resource, loan_kind::Rate, 1'000 } } };
@@ -148,8 +151,9 @@
     LONGS_EQUAL(1'000, all[0].limits[resource].book.lent);
 }
 
-// Guards against a lender that gives away connections which are open, or shares that it needs.
-TEST(loan_policy, lendsAtMostHalfOfTheSpare)
+// Guards against a lender that lends the shares of its open connections, or more than half of its
+// spare shares.
+TEST(loan_policy, lendsAtMostHalfOfSpareShares)
 {
     open(100, 100);
     const resource_id group{ resource_kind::Connections, "g1" };
