--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -529,11 +529,11 @@
         }
         // The next poll returns the tokens that the waiting statements do not use.
         manager.urgent.insert(terms.resource);
-        const auto lender = std::find(changedEntry.candidates.begin(),
-                                      changedEntry.candidates.end(), terms.id.lender);
-        if (lender != changedEntry.candidates.end())
+        const auto lenderPlace = std::find(changedEntry.candidates.begin(),
+                                           changedEntry.candidates.end(), terms.id.lender);
+        if (lenderPlace != changedEntry.candidates.end())
             changedEntry.nextTokenCandidate =
-                    static_cast<std::size_t>(lender - changedEntry.candidates.begin());
+                    static_cast<std::size_t>(lenderPlace - changedEntry.candidates.begin());
     }
     return changed;
 }
--- a/tests/unit-limit-manager.cpp
+++ b/tests/unit-limit-manager.cpp
@@ -151,41 +151,42 @@
         return answeredTransactions[request.id] = answer;
     }
 
-    void call(node &from, const limit_platform_call &request)
+    void call(node &from, const limit_platform_call &platformCall)
     {
         if (now < platformDownUntil) {
-            after(seconds(1), [this, &from, request] { answer(from, request, {}, {}); });
+            after(seconds(1), [this, &from, platformCall] { answer(from, platformCall, {}, {}); });
             return;
         }
-        after(milliseconds(10), [this, &from, request] {
-            if (const auto *prefix = std::get_if<std::string>(&request.order)) {
+        after(milliseconds(10), [this, &from, platformCall] {
+            if (const auto *prefix = std::get_if<std::string>(&platformCall.order)) {
                 ++scans;
                 scan_answer rows;
                 for (const auto &[key, row] : table)
                     if (key.starts_with(*prefix) && row.version > 0)
                         rows.rows.push_back(row);
                 after(milliseconds(10),
-                      [this, &from, request, rows] { answer(from, request, rows, {}); });
+                      [this, &from, platformCall, rows] { answer(from, platformCall, rows, {}); });
                 return;
             }
-            const transact_answer result = transact(std::get<transact_request>(request.order));
+            const transact_answer result = transact(std::get<transact_request>(platformCall.order));
             const bool isLost = answersToLose > 0 && result.committed;
             answersToLose -= isLost ? 1 : 0;
-            after(isLost ? seconds(1) : milliseconds(10), [this, &from, request, result, isLost] {
-                answer(from, request, {}, isLost ? std::nullopt : std::optional(result));
-            });
+            after(isLost ? seconds(1) : milliseconds(10),
+                  [this, &from, platformCall, result, isLost] {
+                      answer(from, platformCall, {}, isLost ? std::nullopt : std::optional(result));
+                  });
         });
     }
 
-    void answer(node &to, const limit_platform_call &request,
+    void answer(node &to, const limit_platform_call &platformCall,
                 const std::optional<scan_answer> &rows,
                 const std::optional<transact_answer> &result)
     {
-        apply(to, [this, &to, request, rows, result](limit_manager_actions &actions) {
-            if (std::holds_alternative<std::string>(request.order))
-                onScan(to.manager, request.number, rows, now, random, actions);
+        apply(to, [this, &to, platformCall, rows, result](limit_manager_actions &actions) {
+            if (std::holds_alternative<std::string>(platformCall.order))
+                onScan(to.manager, platformCall.number, rows, now, random, actions);
             else
-                onTransact(to.manager, request.number, result, now, random, actions);
+                onTransact(to.manager, platformCall.number, result, now, random, actions);
         });
     }
 
@@ -204,8 +205,8 @@
         for (const limit_manager_action &each : actions) {
             if (const auto *message = std::get_if<limit_message>(&each))
                 deliver(at, *message);
-            else if (const auto *request = std::get_if<limit_platform_call>(&each))
-                call(at, *request);
+            else if (const auto *platformCall = std::get_if<limit_platform_call>(&each))
+                call(at, *platformCall);
             else if (const auto *admitted = std::get_if<admission_outcome>(&each))
                 ++(admitted->granted ? at.granted : at.refused);
             else if (const auto *allowed = std::get_if<connection_limit_change>(&each))
