--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -75,7 +75,8 @@
 }
 
 /// @return the shares to be borrowed as a rate loan, which lasts for seconds; none if the bucket is
-/// at least half full. A small part of a small burst is borrowed with token loans instead.
+/// at least half full, because then the rate is sufficient. A small part of a small burst is
+/// borrowed with token loans instead.
 share_count missingRate(const limit_entry &entry, time_point now)
 {
     const share_book &book = entry.book;
@@ -133,9 +134,9 @@
 using requests_by_peer =
         std::map<incarnation_id, std::map<std::pair<resource_id, loan_kind>, share_count>>;
 
-duration nextBackoff(duration retry, const loan_settings &settings)
+duration nextBackoff(duration backoff, const loan_settings &settings)
 {
-    return std::clamp(retry * 2, settings.minRetryInterval, settings.maxRetryInterval);
+    return std::clamp(backoff * 2, settings.minRetryInterval, settings.maxRetryInterval);
 }
 
 void requestRate(const loan_manager &manager, const resource_id &resource, limit_entry &entry,
--- a/tests/unit-limit-manager.cpp
+++ b/tests/unit-limit-manager.cpp
@@ -66,8 +66,8 @@
     int answersToLose = 0;
     std::uint64_t scans = 0;
     std::uint64_t writes = 0;
-    std::uint64_t messageFaultsPerThousand =
-            0; ///< rate of lost and, separately, of duplicated messages
+    /// Rate of lost messages and, separately, of duplicated messages.
+    std::uint64_t messageFaultsPerThousand = 0;
     share_count connections = 16; ///< maximum sum over all instances
 
     void after(duration delay, std::function<void()> run)
--- a/tests/unit-loan-policy.cpp
+++ b/tests/unit-loan-policy.cpp
@@ -119,7 +119,7 @@
 
 // Guards against control traffic that grows with the load above a workspace's rate, because each
 // statement without a token could send loan requests.
-TEST(loan_policy, excessDoesNotFloodThePeers)
+TEST(loan_policy, excessLoadDoesNotFloodPeers)
 {
     open(100, 100);
     run(0, 0, 3'000, 10);
