--- a/include/fuchsiagw/core/loan_policy.hpp
+++ b/include/fuchsiagw/core/loan_policy.hpp
@@ -25,7 +25,7 @@
 struct loan_settings
 {
     loan_times times;
-    /// Covers several round trips between zones. It bounds the delay of a statement above the rate.
+    /// Covers several round trips between zones. Delays a statement above the rate once.
     duration maxAdmissionWait = std::chrono::milliseconds(200);
     duration scanInterval = std::chrono::milliseconds(100);
     duration renewalLeadTime = std::chrono::seconds(1); ///< before the end of a loan
