--- a/bench/bench-config-spread.cpp
+++ b/bench/bench-config-spread.cpp
@@ -64,7 +64,8 @@
         world_.onMessage = [this](std::size_t from, const core::spread_message &message) {
             onMessage(from, message);
         };
-        world_.onTakenIn = [this](std::size_t instance, core::configuration_version version) {
+        world_.onVersionInstalled = [this](std::size_t instance,
+                                           core::configuration_version version) {
             taken_[instance] = version;
             if (version == wanted_
                 && std::count(taken_.begin(), taken_.end(), version)
@@ -126,7 +127,7 @@
     {
         for (std::size_t i = 0; i < world_.size(); ++i) {
             const core::duration age = world_.proofAge(i);
-            measured_.unproven += age >= core::defaultUnprovenWait ? 1 : 0;
+            measured_.unproven += age >= core::defaultProofLifetime ? 1 : 0;
             ++measured_.samples;
             measured_.oldestProof = std::max(measured_.oldestProof, secondsOf(age));
         }
--- a/include/fuchsiagw/core/config_store.hpp
+++ b/include/fuchsiagw/core/config_store.hpp
@@ -135,8 +135,8 @@
 /// @brief Tells whether a version may exist that only this submit knows of.
 ///
 /// While a submit runs, and after one that ended unsettled until the next successful read of the
-/// platform, spread_state::hasUnsettledSubmit must be set.
-[[nodiscard]] bool isUnsettled(const submit_state &state);
+/// platform, spread_state::hasUnresolvedSubmit must be set.
+[[nodiscard]] bool isUnresolved(const submit_state &state);
 
 /// Where a version can be fetched. An empty instance is the platform.
 struct fetch_source
@@ -148,19 +148,19 @@
     friend bool operator==(const fetch_source &, const fetch_source &) = default;
 };
 
-enum class take_in_result : std::uint8_t {
-    Taken,
-    Known, ///< not newer than what is in force
+enum class install_result : std::uint8_t {
+    Installed,
+    NotNewer, ///< not newer than what is in force
     Damaged, ///< not a valid configuration, or not the announced version or content
 };
 
-inline constexpr std::array<std::string_view, 3> takeInResultNames{ "taken", "known", "damaged" };
+inline constexpr std::array<std::string_view, 3> installResultNames{ "taken", "known", "damaged" };
 
 /// The version in force and the way to a newer one. Invariant: `current->version` never decreases.
 struct config_store
 {
     std::shared_ptr<const configuration> current = std::make_shared<configuration>();
-    std::string currentName; ///< object name of `current`
+    std::string currentObjectName; ///< object name of `current`
     std::string currentBody; ///< its canonical text, for peers that ask
     std::deque<std::shared_ptr<const configuration>> earlier; ///< for explaining conflicts
     std::vector<fetch_source> sources; ///< of newer versions, greatest version first
@@ -171,15 +171,16 @@
 /// @brief Notes that a newer version exists at a source.
 /// @return a fetch to start now
 /// @complexity linear in the number of sources
-[[nodiscard]] std::optional<fetch_source> noteVersion(config_store &store,
-                                                      const fetch_source &source, time_point now);
+[[nodiscard]] std::optional<fetch_source>
+addFetchSource(config_store &store, const fetch_source &source, time_point now);
 
 /// @brief Takes in a body, however it arrived. Only a greater version is taken, and only if the
 /// body is canonical and matches @p source.
 /// @param source with its version, and its object name if known
 /// @complexity linear in the size of @p body
-[[nodiscard]] take_in_result takeIn(config_store &store, const fetch_source &source,
-                                    std::string_view body, const configuration_codec &codec);
+[[nodiscard]] install_result installVersion(config_store &store, const fetch_source &source,
+                                            std::string_view body,
+                                            const configuration_codec &codec);
 
 /// @brief Notes that a fetch failed or gave a damaged body; the source is tried last from now on.
 void onFetchFailed(config_store &store, const fetch_source &source);
--- a/include/fuchsiagw/core/config_tree.hpp
+++ b/include/fuchsiagw/core/config_tree.hpp
@@ -21,13 +21,13 @@
 inline constexpr std::size_t readersPerZone = 2;
 
 /// An entry instance of the platform's list.
-struct tree_member
+struct tree_node
 {
     zone_name zone;
     instance_id instance;
 
-    friend bool operator==(const tree_member &, const tree_member &) = default;
-    friend bool operator<(const tree_member &left, const tree_member &right)
+    friend bool operator==(const tree_node &, const tree_node &) = default;
+    friend bool operator<(const tree_node &left, const tree_node &right)
     {
         return std::tie(left.zone, left.instance) < std::tie(right.zone, right.instance);
     }
@@ -49,10 +49,10 @@
 /// whole tree has no parents.
 /// @param live the list; its order does not matter
 /// @complexity O(n log n) in the size of the list
-[[nodiscard]] tree_place placeOf(std::vector<tree_member> live, const tree_member &self);
+[[nodiscard]] tree_place placeOf(std::vector<tree_node> live, const tree_node &self);
 
 /// @brief Hash of an instance id for sums over sets of instances; the same on every machine.
 /// @complexity linear in the size of the id
-[[nodiscard]] std::uint64_t memberHash(const instance_id &instance);
+[[nodiscard]] std::uint64_t instanceHash(const instance_id &instance);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/freshness.hpp
+++ b/include/fuchsiagw/core/freshness.hpp
@@ -12,9 +12,9 @@
 
 namespace fuchsiagw::core {
 
-inline constexpr duration defaultUnprovenWait = std::chrono::seconds(5);
-inline constexpr duration minUnprovenWait = std::chrono::seconds(1);
-inline constexpr duration maxUnprovenWait = std::chrono::seconds(60);
+inline constexpr duration defaultProofLifetime = std::chrono::seconds(5);
+inline constexpr duration minProofLifetime = std::chrono::seconds(1);
+inline constexpr duration maxProofLifetime = std::chrono::seconds(60);
 
 /// Where a proof comes from; docs/design.md section 7, (a) to (d).
 enum class proof_source : std::uint8_t {
@@ -47,7 +47,7 @@
     configuration_version held = 0; ///< version in force at this instance; 0: none
     freshness_proof usable; ///< newest proof that `held` satisfies
     freshness_proof pending; ///< newest proof of a version that has not arrived yet
-    duration unprovenWait = defaultUnprovenWait; ///< setting `keys.unproven_wait`
+    duration proofLifetime = defaultProofLifetime; ///< setting `keys.unproven_wait`
 };
 
 /// @brief Takes in a proof; an older one changes nothing.
@@ -56,21 +56,21 @@
 
 /// @brief Notes that @p version is in force now. Versions only increase.
 /// @complexity constant
-void setHeld(freshness &state, configuration_version version);
+void setHeldVersion(freshness &state, configuration_version version);
 
 /// @brief Proof (a): the platform answered with @p version to a question sent at @p sentAt.
-void provePlatform(freshness &state, configuration_version version, time_point sentAt);
+void addPlatformProof(freshness &state, configuration_version version, time_point sentAt);
 
 /// @brief Proof (b): a peer stated a proof of the given age, asked at @p sentAt.
 /// @param age age when the peer answered; a negative one counts as 0
-void provePeer(freshness &state, configuration_version version, duration age, time_point sentAt);
+void addPeerProof(freshness &state, configuration_version version, duration age, time_point sentAt);
 
 /// @brief Proof (d): an operator signed @p version against a challenge issued at @p issuedAt.
-void proveOperator(freshness &state, configuration_version version, time_point issuedAt);
+void addOperatorProof(freshness &state, configuration_version version, time_point issuedAt);
 
 /// @return the time from which keys are refused if no further proof comes; time_point::min() if
 /// there is no usable proof
-[[nodiscard]] time_point provenUntil(const freshness &state);
+[[nodiscard]] time_point proofExpiresAt(const freshness &state);
 
 /// @brief Tells whether keys may be accepted at @p now.
 /// @complexity constant
--- a/include/fuchsiagw/core/release_note.hpp
+++ b/include/fuchsiagw/core/release_note.hpp
@@ -135,7 +135,7 @@
 
 /// @return the difference that leads from @p from to @p to
 /// @complexity linear in the sizes, times the logarithm of the sections
-[[nodiscard]] section_changes describeDifference(const configuration &from,
+[[nodiscard]] section_changes diffConfigurations(const configuration &from,
                                                  const configuration &to);
 
 /// @brief Applies a note.
--- a/include/fuchsiagw/daemon/cluster.hpp
+++ b/include/fuchsiagw/daemon/cluster.hpp
@@ -48,11 +48,12 @@
     void onNoAnswer(const core::instance_id &instance, core::time_point now);
 
     /// @brief Takes in a configuration that a submit of this instance has made.
-    void takeIn(const core::fetch_source &source, std::string_view body, core::time_point now);
+    void installVersion(const core::fetch_source &source, std::string_view body,
+                        core::time_point now);
 
     /// @brief Sets whether a version may exist that only a submit of this instance knows of, see
-    /// core::isUnsettled().
-    void setUnsettledSubmit(bool isUnsettled) { spread.hasUnsettledSubmit = isUnsettled; }
+    /// core::isUnresolved().
+    void setUnresolvedSubmit(bool isUnresolved) { spread.hasUnresolvedSubmit = isUnresolved; }
 
     /// @brief Tells the others what this instance is about to do.
     void setState(core::sender_state state, core::time_point now);
@@ -76,7 +77,7 @@
     void takeList(core::instance_list &&newList, core::time_point now);
     void listen(core::time_point now);
     void perform(std::vector<core::spread_action> &actions, core::time_point now);
-    void readVersion(std::uint64_t root, std::uint64_t wave);
+    void readVersion(std::uint64_t root, std::uint64_t roundNumber);
     void fetch(const core::fetch_source &source);
     void apply(const std::vector<core::membership_change> &changes, core::time_point now);
     void updatePeers();
--- a/include/fuchsiagw/daemon/settings.hpp
+++ b/include/fuchsiagw/daemon/settings.hpp
@@ -32,7 +32,7 @@
     std::string logLevel;
     std::string logFile; ///< empty: standard error
 
-    std::chrono::milliseconds unprovenWait{ 0 };
+    std::chrono::milliseconds proofLifetime{ 0 };
     std::chrono::milliseconds drainLimit{ 0 };
     std::chrono::milliseconds defaultDeadline{ 0 };
     std::chrono::milliseconds answerLimit{ 0 };
--- a/include/fuchsiagw/testing/config_world.hpp
+++ b/include/fuchsiagw/testing/config_world.hpp
@@ -100,7 +100,7 @@
     world_faults faults;
     /// Called before each request of a submit, with its step; also for take-ins, see the tests.
     std::function<void(core::submit_step, std::size_t instance)> onSubmitStep;
-    std::function<void(std::size_t instance, core::configuration_version)> onTakenIn;
+    std::function<void(std::size_t instance, core::configuration_version)> onVersionInstalled;
     std::function<void(std::size_t instance, core::configuration_version)> onBodyArrived;
     /// Called for each message between instances.
     std::function<void(std::size_t from, const core::spread_message &)> onMessage;
@@ -108,7 +108,7 @@
 private:
     struct instance
     {
-        core::tree_member self;
+        core::tree_node self;
         std::uint64_t incarnation = 0;
         core::spread_state spread;
         core::freshness proofs;
@@ -127,7 +127,8 @@
     void perform(std::size_t index, const std::vector<core::spread_action> &actions);
     void deliver(std::size_t from, std::size_t to, const core::spread_message &message);
     void fetch(std::size_t index, const std::optional<core::fetch_source> &source);
-    void takeIn(std::size_t index, const core::fetch_source &source, const std::string &body);
+    void installVersion(std::size_t index, const core::fetch_source &source,
+                        const std::string &body);
     void callPlatform(std::size_t index, const core::submit_action &action, platform_event done);
     core::platform_answer apply(const core::submit_action &action);
     void step(const std::shared_ptr<operation> &run, const core::submit_action &action);
@@ -143,7 +144,7 @@
     core::time_point now_{ std::chrono::seconds(100) };
     std::multimap<core::time_point, std::function<void()>> events_;
     std::vector<instance> instances_;
-    std::vector<core::tree_member> live_;
+    std::vector<core::tree_node> live_;
     std::map<core::instance_id, std::size_t> indexOf_;
     std::map<std::string, std::pair<std::uint64_t, std::string>> rows_;
     std::map<std::string, std::string> objects_;
--- a/include/fuchsiagw/testing/gateway_world_history.hpp
+++ b/include/fuchsiagw/testing/gateway_world_history.hpp
@@ -92,7 +92,7 @@
     std::map<core::key_hash, core::time_point> withdrawn;
     std::vector<std::pair<core::key_hash, core::workspace_id>> keys;
     core::configuration config; ///< newest
-    core::duration unprovenWait{};
+    core::duration proofLifetime{};
     std::vector<std::pair<std::size_t, core::configuration_version>> lastVersions;
     std::map<core::group_id, std::map<core::workspace_id, workspace_data>> finalData;
     std::vector<core::group_id> withoutPrimary; ///< at the end
--- a/include/fuchsiagw/wire/admin_json.hpp
+++ b/include/fuchsiagw/wire/admin_json.hpp
@@ -68,7 +68,7 @@
 /// What one instance says about itself.
 struct status_report
 {
-    core::tree_member self;
+    core::tree_node self;
     std::string state; ///< starting, serving or draining
     core::configuration_version version = 0;
     core::configuration_version everywhere = 0; ///< 0: not known
--- a/include/fuchsiagw/wire/vouch.hpp
+++ b/include/fuchsiagw/wire/vouch.hpp
@@ -20,8 +20,8 @@
     struct challenge
     {
         std::string text;
-        std::uint64_t root = 0; ///< wave that was running, see onOperatorStatement()
-        std::uint64_t wave = 0;
+        std::uint64_t root = 0; ///< round that was running, see onOperatorProof()
+        std::uint64_t roundNumber = 0;
         core::time_point issuedAt;
     };
     std::deque<challenge> open;
--- a/src/core/config_spread.cpp
+++ b/src/core/config_spread.cpp
@@ -57,7 +57,7 @@
     spread_message message;
     message.kind = kind;
     message.root = state.root;
-    message.wave = state.wave;
+    message.roundNumber = state.roundNumber;
     message.held = proofs.held;
     return message;
 }
@@ -66,12 +66,12 @@
                 const spread_child &child, time_point now, std::vector<action> &actions)
 {
     spread_message message = messageOf(state, proofs, spread_kind::Digest);
-    message.provenWave = state.provenWave;
+    message.provenRound = state.provenRound;
     message.provenVersion = state.provenVersion;
     message.included = child.counted & state.included;
     message.oldest = state.everywhere;
-    const auto left = std::chrono::duration_cast<std::chrono::microseconds>(state.windowEnd - now
-                                                                            - state.settings.hop);
+    const auto left = std::chrono::duration_cast<std::chrono::microseconds>(
+            state.windowEndsAt - now - state.settings.hopAllowance);
     message.windowMicroseconds =
             static_cast<std::uint32_t>(std::max<std::int64_t>(left.count(), 0));
     send(actions, peer, message);
@@ -79,20 +79,20 @@
 
 void remember(spread_state &state, time_point at)
 {
-    state.sent.push_back({ state.root, state.wave, at });
+    state.sent.push_back({ state.root, state.roundNumber, at });
     if (state.sent.size() > maxSentAcknowledgements)
         state.sent.pop_front();
 }
 
-/// Opens a wave here and passes it on. The bits of earlier waves move by the difference.
-void openWave(spread_state &state, std::uint64_t root, std::uint64_t wave, duration window,
-              time_point now, std::vector<action> &actions)
+/// Opens a round here and passes it on. The bits of earlier waves move by the difference.
+void openRound(spread_state &state, std::uint64_t root, std::uint64_t roundNumber, duration window,
+               time_point now, std::vector<action> &actions)
 {
     const bool isNewRoot = root != state.root;
-    const std::uint64_t steps = wave - state.wave;
-    assert(isNewRoot || wave > state.wave);
+    const std::uint64_t steps = roundNumber - state.roundNumber;
+    assert(isNewRoot || roundNumber > state.roundNumber);
     for (auto &[peer, child] : state.children) {
-        const bool wasCounted = child.acknowledgedWave == state.wave && !state.isOpen;
+        const bool wasCounted = child.acknowledgedRound == state.roundNumber && !state.isOpen;
         if (isNewRoot || steps > maxSentAcknowledgements) {
             child.counted = 0;
         } else {
@@ -101,26 +101,26 @@
                     static_cast<std::uint16_t>(((child.counted << 1U) | last) << (steps - 1));
         }
         if (isNewRoot)
-            child.acknowledgedWave = 0;
+            child.acknowledgedRound = 0;
     }
     if (isNewRoot) {
         state.sent.clear();
-        state.provenWave = 0;
+        state.provenRound = 0;
         state.provenVersion = 0;
-        state.evidenceWave = 0;
-        state.evidenceVersion = 0;
+        state.localProofRound = 0;
+        state.localProofVersion = 0;
     }
     state.root = root;
-    state.wave = wave;
+    state.roundNumber = roundNumber;
     state.isOpen = true;
-    state.windowEnd = now + window;
+    state.windowEndsAt = now + window;
     state.resendAt = now + window * resendPercent / 100;
-    state.awaitsRead = state.place.isReader || isRoot(state);
-    if (state.awaitsRead) {
+    state.isAwaitingRead = state.place.isReader || isRoot(state);
+    if (state.isAwaitingRead) {
         action read;
         read.what = action::kind::ReadPlatform;
         read.root = root;
-        read.wave = wave;
+        read.roundNumber = roundNumber;
         actions.push_back(std::move(read));
     }
 }
@@ -132,49 +132,50 @@
         sendDigest(state, proofs, peer, child, now, actions);
 }
 
-/// Sums up this instance and the children that acknowledged the wave.
+/// Sums up this instance and the children that acknowledged the round.
 spread_message reportOf(const spread_state &state, const freshness &proofs)
 {
     spread_message report = messageOf(state, proofs, spread_kind::Acknowledgement);
     report.newest = proofs.held;
     report.oldest = proofs.held;
     report.count = 1;
-    report.memberSum = memberHash(state.self.instance);
-    report.hasUnsettledSubmit = state.hasUnsettledSubmit;
-    report.provenWave = state.evidenceWave;
-    report.provenVersion = state.evidenceVersion;
+    report.instanceHashSum = instanceHash(state.self.instance);
+    report.hasUnresolvedSubmit = state.hasUnresolvedSubmit;
+    report.provenRound = state.localProofRound;
+    report.provenVersion = state.localProofVersion;
     for (const auto &[peer, child] : state.children) {
-        if (child.acknowledgedWave != state.wave)
+        if (child.acknowledgedRound != state.roundNumber)
             continue;
         const spread_message &part = child.report;
         report.newest = std::max(report.newest, part.newest);
         report.oldest = std::min(report.oldest, part.oldest);
         report.count += part.count;
-        report.memberSum += part.memberSum;
-        report.hasUnsettledSubmit = report.hasUnsettledSubmit || part.hasUnsettledSubmit;
-        if (std::tie(part.provenWave, part.provenVersion)
-            > std::tie(report.provenWave, report.provenVersion)) {
-            report.provenWave = part.provenWave;
+        report.instanceHashSum += part.instanceHashSum;
+        report.hasUnresolvedSubmit = report.hasUnresolvedSubmit || part.hasUnresolvedSubmit;
+        if (std::tie(part.provenRound, part.provenVersion)
+            > std::tie(report.provenRound, report.provenVersion)) {
+            report.provenRound = part.provenRound;
             report.provenVersion = part.provenVersion;
         }
     }
     return report;
 }
 
-/// Turns the proof of a wave into one of this instance: from the newest counted acknowledgement
-/// before that wave, or for the root from the wave's own start.
+/// Turns the proof of a round into one of this instance: from the newest counted
+/// acknowledgement before that round, or for the root from the round's own start.
 void useProof(const spread_state &state, freshness &proofs, proof_source source)
 {
-    if (state.provenWave == 0)
+    if (state.provenRound == 0)
         return;
     for (auto each = state.sent.rbegin(); each != state.sent.rend(); ++each) {
         if (each->root != state.root)
             continue;
-        bool isBefore = each->wave == state.provenWave;
+        bool isBefore = each->roundNumber == state.provenRound;
         if (!isRoot(state)) {
-            const std::uint64_t bit = state.wave - 1 - each->wave;
-            isBefore = each->wave < state.provenWave && each->wave < state.wave
-                       && bit < maxSentAcknowledgements && ((state.included >> bit) & 1U) != 0;
+            const std::uint64_t bit = state.roundNumber - 1 - each->roundNumber;
+            isBefore = each->roundNumber < state.provenRound
+                       && each->roundNumber < state.roundNumber && bit < maxSentAcknowledgements
+                       && ((state.included >> bit) & 1U) != 0;
         }
         if (isBefore) {
             addProof(proofs, { state.provenVersion, each->at, source });
@@ -186,43 +187,44 @@
 bool isFullReport(const spread_state &state, const spread_message &report)
 {
     std::uint64_t sum = 0;
-    for (const tree_member &each : state.live)
-        sum += memberHash(each.instance);
-    return state.place.isListed && !report.hasUnsettledSubmit && report.count == state.live.size()
-           && report.memberSum == sum;
+    for (const tree_node &each : state.live)
+        sum += instanceHash(each.instance);
+    return state.place.isListed && !report.hasUnresolvedSubmit && report.count == state.live.size()
+           && report.instanceHashSum == sum;
 }
 
 void closeAsRoot(spread_state &state, freshness &proofs, const spread_message &report)
 {
     proof_source source = proof_source::Platform;
-    std::uint64_t wave = report.provenWave;
+    std::uint64_t roundNumber = report.provenRound;
     configuration_version version = report.provenVersion;
     const bool isFull = isFullReport(state, report);
     if (isFull)
         state.everywhere = std::max(state.everywhere, report.oldest);
-    if (wave < state.wave && isFull && !report.hasUnsettledSubmit) {
-        wave = state.wave;
+    if (roundNumber < state.roundNumber && isFull && !report.hasUnresolvedSubmit) {
+        roundNumber = state.roundNumber;
         version = report.newest;
         source = proof_source::Report;
     }
-    if (wave > state.provenWave) {
-        state.provenWave = wave;
+    if (roundNumber > state.provenRound) {
+        state.provenRound = roundNumber;
         state.provenVersion = version;
         useProof(state, proofs, source);
     }
 }
 
-/// Closes the wave if nothing is awaited any more or its window has ended.
+/// Closes the round if nothing is awaited any more or its window has ended.
 void closeIfDone(spread_state &state, freshness &proofs, time_point now,
                  std::vector<action> &actions)
 {
     if (!state.isOpen)
         return;
-    bool isDone = !state.awaitsRead;
+    bool isDone = !state.isAwaitingRead;
     for (const auto &[peer, child] : state.children)
-        isDone =
-                isDone && (child.acknowledgedWave == state.wave || !isWaitedFor(state, child, now));
-    if (!isDone && now < state.windowEnd)
+        isDone = isDone
+                 && (child.acknowledgedRound == state.roundNumber
+                     || !isWaitedFor(state, child, now));
+    if (!isDone && now < state.windowEndsAt)
         return;
     state.isOpen = false;
     state.resendAt = time_point::max();
@@ -240,20 +242,21 @@
     state.parent = {};
     state.included = 0xffff;
     state.isOpen = false;
-    state.nextWave = now;
-    state.fastWaves = firstFastWaves;
-    state.adoptionDeadline = now;
+    state.nextRoundAt = now;
+    state.fastRoundsLeft = firstFastWaves;
+    state.nextAdoptionAt = now;
     state.adoptionIndex = 0;
 }
 
-void startWave(spread_state &state, freshness &proofs, time_point now, std::vector<action> &actions)
+void startRound(spread_state &state, freshness &proofs, time_point now,
+                std::vector<action> &actions)
 {
-    const bool isFast = state.fastWaves > 0;
-    state.fastWaves -= isFast ? 1 : 0;
+    const bool isFast = state.fastRoundsLeft > 0;
+    state.fastRoundsLeft -= isFast ? 1 : 0;
     const duration period = isFast ? state.settings.fastPeriod : state.settings.period;
-    openWave(state, state.ownRoot, ++state.ownWave, period * windowPercent / 100, now, actions);
+    openRound(state, state.ownRoot, ++state.ownRound, period * windowPercent / 100, now, actions);
     remember(state, now);
-    state.nextWave = now + period;
+    state.nextRoundAt = now + period;
     passOn(state, proofs, now, actions);
 }
 
@@ -275,22 +278,22 @@
     if (message.root == state.ownRoot || !isAcceptedParent(state, from, now))
         return;
     fetchIfNewer(proofs, from, message.held, actions);
-    const bool isKnownWave = message.root == state.root && message.wave <= state.wave;
+    const bool isKnownWave = message.root == state.root && message.roundNumber <= state.roundNumber;
     if (isKnownWave && from == state.parent) {
         // The acknowledgement may have been lost. Its time of sending stays the first one.
-        if (message.wave == state.wave && !state.isOpen)
+        if (message.roundNumber == state.roundNumber && !state.isOpen)
             send(actions, from, reportOf(state, proofs));
         return;
     }
     state.parent = from;
-    state.parentDeadline = now + state.settings.parentSilence;
+    state.parentDeadline = now + state.settings.parentTimeout;
     state.children.erase(from);
     if (isKnownWave)
         return;
-    openWave(state, message.root, message.wave,
-             std::chrono::microseconds(message.windowMicroseconds), now, actions);
+    openRound(state, message.root, message.roundNumber,
+              std::chrono::microseconds(message.windowMicroseconds), now, actions);
     state.included = message.included;
-    state.provenWave = message.provenWave;
+    state.provenRound = message.provenRound;
     state.provenVersion = message.provenVersion;
     state.everywhere = std::max(state.everywhere, message.oldest);
     useProof(state, proofs, proof_source::Peer);
@@ -308,30 +311,30 @@
     child.isAdopted = child.isAdopted || isNew;
     child.heardAt = now;
     fetchIfNewer(proofs, from, message.held, actions);
-    if (message.wave == 0 && state.wave > 0)
+    if (message.roundNumber == 0 && state.roundNumber > 0)
         sendDigest(state, proofs, from, child, now, actions);
-    if (message.root != state.root || message.wave != state.wave || !state.isOpen
-        || child.acknowledgedWave == message.wave)
+    if (message.root != state.root || message.roundNumber != state.roundNumber || !state.isOpen
+        || child.acknowledgedRound == message.roundNumber)
         return;
-    child.acknowledgedWave = message.wave;
+    child.acknowledgedRound = message.roundNumber;
     child.report = message;
     closeIfDone(state, proofs, now, actions);
 }
 
 } // namespace
 
-spread_state startSpread(const tree_member &self, incarnation_id incarnation,
+spread_state startSpread(const tree_node &self, incarnation_id incarnation,
                          const spread_settings &settings, time_point now)
 {
     spread_state state;
     state.self = self;
-    state.ownRoot = memberHash(self.instance) ^ incarnation;
+    state.ownRoot = instanceHash(self.instance) ^ incarnation;
     state.settings = settings;
     becomeRoot(state, now);
     return state;
 }
 
-void setLive(spread_state &state, const std::vector<tree_member> &live, time_point now)
+void setLiveInstances(spread_state &state, const std::vector<tree_node> &live, time_point now)
 {
     if (live == state.live)
         return;
@@ -350,7 +353,7 @@
     const auto &parents = state.place.parents;
     if (!isRoot(state) && std::find(parents.begin(), parents.end(), state.parent) == parents.end())
         state.parentDeadline = now;
-    state.adoptionDeadline = std::min(state.adoptionDeadline, now);
+    state.nextAdoptionAt = std::min(state.nextAdoptionAt, now);
 }
 
 void tickSpread(spread_state &state, freshness &proofs, time_point now,
@@ -363,20 +366,20 @@
     if (!isRoot(state) && now >= state.parentDeadline)
         becomeRoot(state, now);
     const auto &parents = state.place.parents;
-    if (isRoot(state) && !parents.empty() && now >= state.adoptionDeadline) {
+    if (isRoot(state) && !parents.empty() && now >= state.nextAdoptionAt) {
         spread_message question = messageOf(state, proofs, spread_kind::Acknowledgement);
-        question.wave = 0;
+        question.roundNumber = 0;
         send(actions, parents[state.adoptionIndex++ % parents.size()], question);
-        state.adoptionDeadline = now + adoptionPause;
+        state.nextAdoptionAt = now + adoptionPause;
     }
-    if (isRoot(state) && now >= state.nextWave)
-        startWave(state, proofs, now, actions);
+    if (isRoot(state) && now >= state.nextRoundAt)
+        startRound(state, proofs, now, actions);
     if (state.isOpen && now >= state.resendAt) {
-        const duration left = state.windowEnd - now;
+        const duration left = state.windowEndsAt - now;
         state.resendAt =
                 left < shortestResend ? time_point::max() : now + left * resendPercent / 100;
         for (const auto &[peer, child] : state.children) {
-            if (child.acknowledgedWave != state.wave && isWaitedFor(state, child, now))
+            if (child.acknowledgedRound != state.roundNumber && isWaitedFor(state, child, now))
                 sendDigest(state, proofs, peer, child, now, actions);
         }
     }
@@ -384,11 +387,11 @@
 
 time_point nextSpreadTime(const spread_state &state)
 {
-    time_point next = isRoot(state) ? state.nextWave : state.parentDeadline;
+    time_point next = isRoot(state) ? state.nextRoundAt : state.parentDeadline;
     if (isRoot(state) && !state.place.parents.empty())
-        next = std::min(next, state.adoptionDeadline);
+        next = std::min(next, state.nextAdoptionAt);
     if (state.isOpen)
-        next = std::min({ next, state.windowEnd, state.resendAt });
+        next = std::min({ next, state.windowEndsAt, state.resendAt });
     return next;
 }
 
@@ -413,36 +416,36 @@
 }
 
 void onPlatformVersion(spread_state &state, freshness &proofs, std::uint64_t root,
-                       std::uint64_t wave, configuration_version version, time_point sentAt,
+                       std::uint64_t roundNumber, configuration_version version, time_point sentAt,
                        time_point now, std::vector<spread_action> &actions)
 {
-    provePlatform(proofs, version, sentAt);
+    addPlatformProof(proofs, version, sentAt);
     if (root != state.root)
         return;
-    if (wave > state.evidenceWave) {
-        state.evidenceWave = wave;
-        state.evidenceVersion = version;
+    if (roundNumber > state.localProofRound) {
+        state.localProofRound = roundNumber;
+        state.localProofVersion = version;
     }
-    if (wave == state.wave) {
-        state.awaitsRead = false;
+    if (roundNumber == state.roundNumber) {
+        state.isAwaitingRead = false;
         closeIfDone(state, proofs, now, actions);
     }
 }
 
-void onOperatorStatement(spread_state &state, freshness &proofs, std::uint64_t root,
-                         std::uint64_t wave, configuration_version version, time_point issuedAt)
+void onOperatorProof(spread_state &state, freshness &proofs, std::uint64_t root,
+                     std::uint64_t roundNumber, configuration_version version, time_point issuedAt)
 {
-    proveOperator(proofs, version, issuedAt);
-    if (root == state.root && wave > state.evidenceWave) {
-        state.evidenceWave = wave;
-        state.evidenceVersion = version;
+    addOperatorProof(proofs, version, issuedAt);
+    if (root == state.root && roundNumber > state.localProofRound) {
+        state.localProofRound = roundNumber;
+        state.localProofVersion = version;
     }
 }
 
-void onTakenIn(spread_state &state, freshness &proofs, configuration_version version,
-               std::vector<spread_action> &actions)
+void onVersionInstalled(spread_state &state, freshness &proofs, configuration_version version,
+                        std::vector<spread_action> &actions)
 {
-    setHeld(proofs, version);
+    setHeldVersion(proofs, version);
     const spread_message message = messageOf(state, proofs, spread_kind::Announcement);
     if (!isRoot(state))
         send(actions, state.parent, message);
--- a/src/core/config_store.cpp
+++ b/src/core/config_store.cpp
@@ -293,13 +293,13 @@
     return {};
 }
 
-bool isUnsettled(const submit_state &state)
+bool isUnresolved(const submit_state &state)
 {
     return state.step == submit_step::Commit || state.mayHaveCommitted;
 }
 
-std::optional<fetch_source> noteVersion(config_store &store, const fetch_source &source,
-                                        time_point now)
+std::optional<fetch_source> addFetchSource(config_store &store, const fetch_source &source,
+                                           time_point now)
 {
     if (source.version <= store.current->version)
         return std::nullopt;
@@ -317,32 +317,32 @@
     return nextFetch(store, now);
 }
 
-take_in_result takeIn(config_store &store, const fetch_source &source, std::string_view body,
-                      const configuration_codec &codec)
+install_result installVersion(config_store &store, const fetch_source &source,
+                              std::string_view body, const configuration_codec &codec)
 {
     if (source.version <= store.current->version)
-        return take_in_result::Known;
+        return install_result::NotNewer;
     auto read = std::make_shared<configuration>();
     std::string problem;
     if (codec.read(body, *read, problem) || codec.write(*read) != body)
-        return take_in_result::Damaged;
+        return install_result::Damaged;
     const std::string name = objectNameOf(read->version, codec.digest(body));
     // A peer may be ahead of what it announced; never behind.
     if (read->version < source.version || (!source.objectName.empty() && source.objectName != name))
-        return take_in_result::Damaged;
+        return install_result::Damaged;
     assert(read->version > store.current->version);
     if (store.current->version > 0)
         store.earlier.push_back(store.current);
     if (store.earlier.size() > maxEarlier)
         store.earlier.pop_front();
     store.current = std::move(read);
-    store.currentName = name;
+    store.currentObjectName = name;
     store.currentBody = body;
     store.isFetching = false;
     std::erase_if(store.sources, [&store](const fetch_source &each) {
         return each.version <= store.current->version;
     });
-    return take_in_result::Taken;
+    return install_result::Installed;
 }
 
 void onFetchFailed(config_store &store, const fetch_source &source)
@@ -373,7 +373,7 @@
         return section_changes{};
     for (const auto &each : store.earlier) {
         if (each->version == version)
-            return describeDifference(*each, *store.current);
+            return diffConfigurations(*each, *store.current);
     }
     return std::nullopt;
 }
--- a/src/core/config_tree.cpp
+++ b/src/core/config_tree.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-tree_place placeOf(std::vector<tree_member> live, const tree_member &self)
+tree_place placeOf(std::vector<tree_node> live, const tree_node &self)
 {
     std::sort(live.begin(), live.end());
     live.erase(std::unique(live.begin(), live.end()), live.end());
@@ -86,7 +86,7 @@
     return place;
 }
 
-std::uint64_t memberHash(const instance_id &instance)
+std::uint64_t instanceHash(const instance_id &instance)
 {
     // FNV-1a, then the finalizer of splitmix64 so that sums of similar names differ.
     std::uint64_t hash = 0xcbf29ce484222325ULL;
--- a/src/core/freshness.cpp
+++ b/src/core/freshness.cpp
@@ -15,7 +15,7 @@
         target = proof;
 }
 
-void setHeld(freshness &state, configuration_version version)
+void setHeldVersion(freshness &state, configuration_version version)
 {
     assert(version >= state.held);
     state.held = version;
@@ -26,31 +26,31 @@
     }
 }
 
-void provePlatform(freshness &state, configuration_version version, time_point sentAt)
+void addPlatformProof(freshness &state, configuration_version version, time_point sentAt)
 {
     addProof(state, { version, sentAt, proof_source::Platform });
 }
 
-void provePeer(freshness &state, configuration_version version, duration age, time_point sentAt)
+void addPeerProof(freshness &state, configuration_version version, duration age, time_point sentAt)
 {
     addProof(state, { version, sentAt - std::max(age, duration::zero()), proof_source::Peer });
 }
 
-void proveOperator(freshness &state, configuration_version version, time_point issuedAt)
+void addOperatorProof(freshness &state, configuration_version version, time_point issuedAt)
 {
     addProof(state, { version, issuedAt, proof_source::Operator });
 }
 
-time_point provenUntil(const freshness &state)
+time_point proofExpiresAt(const freshness &state)
 {
     if (state.held == 0 || state.usable.source == proof_source::None)
         return time_point::min();
-    return state.usable.at + std::clamp(state.unprovenWait, minUnprovenWait, maxUnprovenWait);
+    return state.usable.at + std::clamp(state.proofLifetime, minProofLifetime, maxProofLifetime);
 }
 
 bool isProven(const freshness &state, time_point now)
 {
-    return now < provenUntil(state);
+    return now < proofExpiresAt(state);
 }
 
 } // namespace fuchsiagw::core
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -374,7 +374,7 @@
     state.config = config;
     state.keys = indexKeys(config);
     state.nextOwnerCheck = turn.now;
-    setHeld(state.proof, config.version);
+    setHeldVersion(state.proof, config.version);
     for (auto &[group, owner] : state.owners) {
         const auto settings = config.groups.find(group);
         if (settings != config.groups.end())
--- a/src/core/release_note.cpp
+++ b/src/core/release_note.cpp
@@ -261,7 +261,7 @@
     return sections;
 }
 
-section_changes describeDifference(const configuration &from, const configuration &to)
+section_changes diffConfigurations(const configuration &from, const configuration &to)
 {
     section_changes changes;
     const std::map<section, section_value> before = sectionsOf(from);
@@ -298,7 +298,7 @@
                 return refuse(problem, error_kind::NoteInvalid, std::move(text));
         }
     }
-    const section_changes actual = describeDifference(base, next);
+    const section_changes actual = diffConfigurations(base, next);
     if (actual != note.list) {
         std::string text;
         compareLists("added", note.list.added, actual.added, text);
--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -73,7 +73,7 @@
 
 void cluster::start(core::time_point now)
 {
-    const core::tree_member self{ settings_.zone, settings_.instance };
+    const core::tree_node self{ settings_.zone, settings_.instance };
     spread = core::startSpread(self, gateway_.incarnation, {}, now);
     nextList_ = now;
     nextSeedProbe_ = now;
@@ -153,7 +153,7 @@
 
 void cluster::updateTree(core::time_point now)
 {
-    std::vector<core::tree_member> live{ { settings_.zone, settings_.instance } };
+    std::vector<core::tree_node> live{ { settings_.zone, settings_.instance } };
     if (hasList_) {
         live.clear();
         for (const core::instance_entry &each : list.instances) {
@@ -165,7 +165,7 @@
             live.push_back({ known.zone, instance });
         live.push_back({ settings_.zone, unknownInstances });
     }
-    core::setLive(spread, live, now);
+    core::setLiveInstances(spread, live, now);
     std::set<core::instance_id> expected;
     for (const core::instance_id &each : spread.place.children)
         expected.insert(each);
@@ -221,23 +221,23 @@
     for (const core::spread_action &each : actions) {
         const core::known_instance *peer = core::findInstance(members, each.peer);
         if (each.what == kind::ReadPlatform) {
-            readVersion(each.root, each.wave);
+            readVersion(each.root, each.roundNumber);
         } else if (peer != nullptr && each.what == kind::Send) {
             outputs_.toPeers(send_datagram{ peer->address, peer->incarnation,
                                             digest{ senderInfo(), each.message } });
         } else if (peer != nullptr && each.what == kind::Fetch) {
             if (const auto next =
-                        core::noteVersion(store, { each.peer, each.message.held, {} }, now))
+                        core::addFetchSource(store, { each.peer, each.message.held, {} }, now))
                 fetch(*next);
         }
     }
 }
 
-void cluster::readVersion(std::uint64_t root, std::uint64_t wave)
+void cluster::readVersion(std::uint64_t root, std::uint64_t roundNumber)
 {
     outputs_.toPlatform(
             platform::read_row{ std::string(core::configurationRowKey) },
-            [this, root, wave](platform::platform_result &&result, core::time_point sentAt) {
+            [this, root, roundNumber](platform::platform_result &&result, core::time_point sentAt) {
                 core::configuration_row row;
                 // Without the row no configuration was ever accepted: version 0 is the newest.
                 const bool isEmpty = result.isAnswered && !result.isFound;
@@ -245,11 +245,11 @@
                     return;
                 const core::time_point now = sentAt;
                 std::vector<core::spread_action> actions;
-                core::onPlatformVersion(spread, gateway_.proof, root, wave, row.version, sentAt,
-                                        now, actions);
+                core::onPlatformVersion(spread, gateway_.proof, root, roundNumber, row.version,
+                                        sentAt, now, actions);
                 perform(actions, now);
                 if (const auto next =
-                            core::noteVersion(store, { {}, row.version, row.objectName }, now))
+                            core::addFetchSource(store, { {}, row.version, row.objectName }, now))
                     fetch(*next);
             });
 }
@@ -268,7 +268,7 @@
             platform::get_object{ source.objectName },
             [this, source](platform::platform_result &&result, core::time_point sentAt) {
                 if (result.isFound)
-                    takeIn(source, result.object, sentAt);
+                    installVersion(source, result.object, sentAt);
                 else
                     core::onFetchFailed(store, source);
             });
@@ -280,7 +280,7 @@
     if (event.text.empty())
         core::onFetchFailed(store, source);
     else
-        takeIn(source, event.text, now);
+        installVersion(source, event.text, now);
 }
 
 void cluster::onConfigurationWanted(const configuration_wanted &event)
@@ -288,24 +288,25 @@
     outputs_.toPeers(send_configuration{ event.link, store.current->version, store.currentBody });
 }
 
-void cluster::takeIn(const core::fetch_source &source, std::string_view body, core::time_point now)
+void cluster::installVersion(const core::fetch_source &source, std::string_view body,
+                             core::time_point now)
 {
     const core::configuration_version before = store.current->version;
-    const core::take_in_result result = core::takeIn(store, source, body, codec());
-    if (result == core::take_in_result::Damaged) {
+    const core::install_result result = core::installVersion(store, source, body, codec());
+    if (result == core::install_result::Damaged) {
         logEvent(log_, log_event::ConfigurationRefused,
                  { field::number(log_key::Version, source.version),
                    field::number(log_key::Base, before) });
         core::onFetchFailed(store, source);
     }
-    if (result != core::take_in_result::Taken)
+    if (result != core::install_result::Installed)
         return;
     logEvent(log_, log_event::ConfigurationApplied,
              { field::number(log_key::Version, store.current->version),
                field::number(log_key::Base, before) });
     outputs_.onConfiguration(*store.current);
     std::vector<core::spread_action> actions;
-    core::onTakenIn(spread, gateway_.proof, store.current->version, actions);
+    core::onVersionInstalled(spread, gateway_.proof, store.current->version, actions);
     perform(actions, now);
 }
 
--- a/src/daemon/decide.cpp
+++ b/src/daemon/decide.cpp
@@ -76,7 +76,7 @@
     gateway_.queueBound = values.queueCapacity;
     gateway_.limits.answerLimit = values.answerLimit;
     gateway_.limits.connectLimit = values.connectLimit;
-    gateway_.proof.unprovenWait = values.unprovenWait;
+    gateway_.proof.proofLifetime = values.proofLifetime;
 }
 
 core::gateway_turn decide::turn()
--- a/src/daemon/operator_desk.cpp
+++ b/src/daemon/operator_desk.cpp
@@ -280,10 +280,10 @@
     // In this order: the version counts in this instance's reports before they stop to say that a
     // submit is unsettled.
     if (result.newest)
-        cluster_.takeIn({ {}, result.newest->version, result.newestName },
-                        cluster_.codec().write(*result.newest), now);
+        cluster_.installVersion({ {}, result.newest->version, result.newestName },
+                                cluster_.codec().write(*result.newest), now);
     running_.reset();
-    if (core::isUnsettled(ended.state)) {
+    if (core::isUnresolved(ended.state)) {
         hasOpenOutcome_ = true;
         nextReadBack_ = now + readBackEvery;
     }
@@ -312,7 +312,7 @@
 
 void operator_desk::updateUnsettled()
 {
-    cluster_.setUnsettledSubmit(running_.has_value() || hasOpenOutcome_);
+    cluster_.setUnresolvedSubmit(running_.has_value() || hasOpenOutcome_);
 }
 
 void operator_desk::readBack(core::time_point now)
@@ -343,7 +343,7 @@
     outputs_.toPlatform(platform::get_object{ row.objectName },
                         [this, source](platform::platform_result &&object, core::time_point) {
                             if (object.isFound)
-                                cluster_.takeIn(source, object.object, outputs_.turn().now);
+                                cluster_.installVersion(source, object.object, outputs_.turn().now);
                         });
 }
 
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -177,7 +177,7 @@
         { { "log.file", "path", "-", "", "log file; '-' writes to standard error" }, storeLogFile },
         { { "keys.unproven_wait_ms", "milliseconds", "5000", "1000 to 60000",
             "how long keys are accepted without proof that none was withdrawn" },
-          storeMilliseconds(&settings::unprovenWait, 1000, 60000) },
+          storeMilliseconds(&settings::proofLifetime, 1000, 60000) },
         { { "drain.limit_ms", "milliseconds", "30000", "1000 to 600000",
             "how long a planned stop waits for accepted requests and open transactions" },
           storeMilliseconds(&settings::drainLimit, 1000, 600000) },
--- a/src/wire/vouch.cpp
+++ b/src/wire/vouch.cpp
@@ -51,7 +51,8 @@
 {
     std::array<unsigned char, challengeBytes> bytes{};
     randombytes_buf(bytes.data(), bytes.size());
-    challenges.open.push_back({ hex(bytes.data(), bytes.size()), spread.root, spread.wave, now });
+    challenges.open.push_back(
+            { hex(bytes.data(), bytes.size()), spread.root, spread.roundNumber, now });
     if (challenges.open.size() > maxOpen)
         challenges.open.pop_front();
     const json body = { { "instance", spread.self.instance.value },
@@ -89,12 +90,12 @@
     if (mac.size() != expected.size()
         || sodium_memcmp(mac.data(), expected.data(), mac.size()) != 0)
         return answerError(error_kind::OperatorDenied, "mac: does not fit the statement");
-    core::onOperatorStatement(spread, proofs, issued->root, issued->wave, version,
-                              issued->issuedAt);
+    core::onOperatorProof(spread, proofs, issued->root, issued->roundNumber, version,
+                          issued->issuedAt);
     challenges.open.erase(issued);
     const bool isProven = core::isProven(proofs, now);
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-            isProven ? core::provenUntil(proofs) - now : core::duration::zero());
+            isProven ? core::proofExpiresAt(proofs) - now : core::duration::zero());
     const json answer = { { "accepted", true },
                           { "proven", isProven },
                           { "proven_ms", left.count() },
--- a/testing/config_world.cpp
+++ b/testing/config_world.cpp
@@ -51,7 +51,7 @@
 {
     instances_.resize(settings.instances);
     for (std::size_t i = 0; i < settings.instances; ++i) {
-        core::tree_member &self = instances_[i].self;
+        core::tree_node &self = instances_[i].self;
         self.zone.value = "zone-" + std::to_string(i % settings.zones);
         self.instance.value = "i" + std::to_string(10000 + i);
         live_.push_back(self);
@@ -96,12 +96,12 @@
 void config_world::start(std::size_t index)
 {
     instance &own = instances_[index];
-    const core::tree_member self = own.self;
+    const core::tree_node self = own.self;
     own = {};
     own.self = self;
     own.incarnation = random_();
     own.spread = core::startSpread(self, own.incarnation, {}, now_ + draw(1s));
-    core::setLive(own.spread, live_, now_);
+    core::setLiveInstances(own.spread, live_, now_);
     schedule(index);
 }
 
@@ -130,7 +130,7 @@
 {
     instance &own = instances_[index];
     own.tickAt = core::noDeadline;
-    own.spread.hasUnsettledSubmit = own.openSubmits > 0 || own.hasOpenOutcome;
+    own.spread.hasUnresolvedSubmit = own.openSubmits > 0 || own.hasOpenOutcome;
     std::vector<core::spread_action> actions;
     core::tickSpread(own.spread, own.proofs, now_, actions);
     perform(index, actions);
@@ -164,8 +164,8 @@
             deliver(index, indexOf_.at(each.peer), each.message);
             break;
         case core::spread_action::kind::Fetch:
-            fetch(index, core::noteVersion(instances_[index].store, { each.peer, each.version, {} },
-                                           now_));
+            fetch(index, core::addFetchSource(instances_[index].store,
+                                              { each.peer, each.version, {} }, now_));
             break;
         case core::spread_action::kind::ReadPlatform: {
             if (isSpreadStopped() && index != 0)
@@ -175,7 +175,7 @@
             read.key = core::configurationRowKey;
             callPlatform(index, read,
                          [this, index, sentAt = now_, root = each.root,
-                          wave = each.wave](const core::platform_answer &answer) {
+                          roundNumber = each.roundNumber](const core::platform_answer &answer) {
                              core::configuration_row row;
                              if (!answer.isAnswered
                                  || (answer.isFound && !core::readRow(answer.value, row)))
@@ -183,12 +183,12 @@
                              instance &own = instances_[index];
                              own.hasOpenOutcome = false;
                              std::vector<core::spread_action> more;
-                             core::onPlatformVersion(own.spread, own.proofs, root, wave,
+                             core::onPlatformVersion(own.spread, own.proofs, root, roundNumber,
                                                      row.version, sentAt, now_, more);
                              perform(index, more);
                              fetch(index,
-                                   core::noteVersion(own.store, { {}, row.version, row.objectName },
-                                                     now_));
+                                   core::addFetchSource(own.store,
+                                                        { {}, row.version, row.objectName }, now_));
                              schedule(index);
                          });
             break;
@@ -212,7 +212,7 @@
         onIncarnation(to, now_ + delay, [this, from, to, message] {
             instance &own = instances_[to];
             std::vector<core::spread_action> actions;
-            own.spread.hasUnsettledSubmit = own.openSubmits > 0 || own.hasOpenOutcome;
+            own.spread.hasUnresolvedSubmit = own.openSubmits > 0 || own.hasOpenOutcome;
             core::onSpreadMessage(own.spread, own.proofs, instances_[from].self.instance, message,
                                   now_, actions);
             perform(to, actions);
@@ -232,7 +232,7 @@
         callPlatform(index, read,
                      [this, index, source = *source](const core::platform_answer &answer) {
                          if (answer.isAnswered && answer.isFound)
-                             takeIn(index, source, answer.value);
+                             installVersion(index, source, answer.value);
                          else
                              core::onFetchFailed(instances_[index].store, source);
                      });
@@ -247,16 +247,16 @@
                       if (!isReachable(peer, index))
                           return;
                       core::fetch_source sent = source;
-                      sent.objectName = store.currentName;
+                      sent.objectName = store.currentObjectName;
                       onIncarnation(index, now_ + settings_.crossDelay,
                                     [this, index, sent, body = store.currentBody] {
-                                        takeIn(index, sent, body);
+                                        installVersion(index, sent, body);
                                     });
                   });
 }
 
-void config_world::takeIn(std::size_t index, const core::fetch_source &source,
-                          const std::string &body)
+void config_world::installVersion(std::size_t index, const core::fetch_source &source,
+                                  const std::string &body)
 {
     instance &own = instances_[index];
     const std::uint64_t incarnation = own.incarnation;
@@ -264,14 +264,14 @@
         onBodyArrived(index, source.version);
     if (own.incarnation != incarnation)
         return;
-    const core::take_in_result result = core::takeIn(own.store, source, body, codec());
-    if (result == core::take_in_result::Damaged)
+    const core::install_result result = core::installVersion(own.store, source, body, codec());
+    if (result == core::install_result::Damaged)
         core::onFetchFailed(own.store, source);
-    if (result != core::take_in_result::Taken)
+    if (result != core::install_result::Installed)
         return;
     own.index = core::indexKeys(*own.store.current);
     std::vector<core::spread_action> actions;
-    core::onTakenIn(own.spread, own.proofs, own.store.current->version, actions);
+    core::onVersionInstalled(own.spread, own.proofs, own.store.current->version, actions);
     perform(index, actions);
     if (settings_.error == sabotage::Revert && own.store.current->version > 1 && index == 1) {
         at(now_ + 1s, [this, index] {
@@ -280,8 +280,8 @@
                 store.current = store.earlier.front();
         });
     }
-    if (onTakenIn)
-        onTakenIn(index, own.store.current->version);
+    if (onVersionInstalled)
+        onVersionInstalled(index, own.store.current->version);
 }
 
 core::platform_answer config_world::apply(const core::submit_action &action)
@@ -435,11 +435,11 @@
     if (instances_[run->index].incarnation == incarnation) {
         instance &own = instances_[run->index];
         --own.openSubmits;
-        own.hasOpenOutcome = own.hasOpenOutcome || core::isUnsettled(run->state);
+        own.hasOpenOutcome = own.hasOpenOutcome || core::isUnresolved(run->state);
     }
     if (result.newest)
-        takeIn(run->index, { {}, result.newest->version, result.newestName },
-               codec().write(*result.newest));
+        installVersion(run->index, { {}, result.newest->version, result.newestName },
+                       codec().write(*result.newest));
     if (instances_[run->index].incarnation == incarnation)
         confirm(run);
 }
@@ -469,7 +469,7 @@
     const instance &own = instances_[index];
     core::freshness proofs = own.proofs;
     if (settings_.error == sabotage::NoProof)
-        core::provePlatform(proofs, proofs.held, now_);
+        core::addPlatformProof(proofs, proofs.held, now_);
     return core::checkKey(own.index, hash, proofs, now_);
 }
 
--- a/testing/gateway_world.cpp
+++ b/testing/gateway_world.cpp
@@ -24,7 +24,7 @@
 constexpr duration linkRefused = std::chrono::milliseconds(200);
 constexpr duration settleTime = std::chrono::seconds(9);
 /// Shorter than the product's default, so that short runs reach the bound.
-constexpr duration unprovenWait = std::chrono::seconds(2);
+constexpr duration proofLifetime = std::chrono::seconds(2);
 
 duration drawUpTo(gateway_world &world, duration greatest)
 {
@@ -291,7 +291,7 @@
         for (auto &[resource, entry] : node.state.keeper.rates.limits)
             entry.book.bucket.level = entry.book.bucket.capacity;
     } else if (world.settings.defect == gateway_defect::ProofWithoutQuestion) {
-        provePlatform(node.state.proof, node.state.config.version, world.now);
+        addPlatformProof(node.state.proof, node.state.config.version, world.now);
     } else if (world.settings.defect == gateway_defect::VersionReverts
                && node.state.config.version > 1) {
         node.state.config = world.versions.front();
@@ -328,7 +328,7 @@
                     return;
                 if (world.settings.defect != gateway_defect::ProofWithoutQuestion) {
                     takeConfiguration(turn, newest->config);
-                    provePlatform(turn.state.proof, newest->config.version, sentAt);
+                    addPlatformProof(turn.state.proof, newest->config.version, sentAt);
                 } else if (turn.state.config.version == 0) {
                     takeConfiguration(turn, world.versions.front());
                 }
@@ -353,7 +353,7 @@
             if (world.settings.defect == gateway_defect::ProofWithoutQuestion)
                 return;
             takeConfiguration(turn, config);
-            provePeer(turn.state.proof, proof.version, age, sentAt);
+            addPeerProof(turn.state.proof, proof.version, age, sentAt);
         });
     });
 }
@@ -481,7 +481,7 @@
     node.stopsAt = noDeadline;
     node.random.seed(world.random());
     node.state = makeGateway({ node.random(), node.instance, node.zone }, {}, world.now);
-    node.state.proof.unprovenWait = unprovenWait;
+    node.state.proof.proofLifetime = proofLifetime;
     node.known.clear();
     node.heard.clear();
     node.recorded = 0;
@@ -536,7 +536,7 @@
         }
     }
     world->versions.push_back(config);
-    world->history.unprovenWait = unprovenWait;
+    world->history.proofLifetime = proofLifetime;
     for (std::size_t i = 0; i < settings.gateways; ++i) {
         world_gateway node;
         node.instance = { "gateway" + std::to_string(i) };
--- a/testing/gateway_world_checks.cpp
+++ b/testing/gateway_world_checks.cpp
@@ -184,7 +184,7 @@
     for (const caller_operation &each : history.operations) {
         const auto withdrawn = history.withdrawn.find(each.key);
         if (withdrawn == history.withdrawn.end() || each.arrivedAt == noDeadline || !each.answer
-            || each.arrivedAt <= withdrawn->second + history.unprovenWait)
+            || each.arrivedAt <= withdrawn->second + history.proofLifetime)
             continue;
         const auto error = each.answer->error;
         if (error != error_kind::KeyWithdrawn && error != error_kind::KeyUnproven
--- a/tests/unit-config-matrix.cpp
+++ b/tests/unit-config-matrix.cpp
@@ -111,7 +111,8 @@
     std::string run()
     {
         world_.onSubmitStep = [this](submit_step step, std::size_t /*instance*/) { onStep(step); };
-        world_.onTakenIn = [this](std::size_t /*instance*/, core::configuration_version version) {
+        world_.onVersionInstalled = [this](std::size_t /*instance*/,
+                                           core::configuration_version version) {
             if (version >= 2)
                 reach(stage::Spread);
         };
@@ -255,7 +256,7 @@
             require(world_.versionOf(i) >= versions_[i], "M13: an instance reverted");
             versions_[i] = world_.versionOf(i);
             // M6: the wait counts from the acceptance, on cut instances too.
-            if (accepted && world_.now() > *accepted + core::defaultUnprovenWait)
+            if (accepted && world_.now() > *accepted + core::defaultProofLifetime)
                 require(world_.check(i, withdrawnKey).error.has_value(),
                         "M6: the withdrawn key is accepted");
         }
@@ -281,7 +282,7 @@
         core::configuration before;
         for (const world_commit &each : world_.commits()) {
             require(++applied[each.noteId] == 1, "a note was applied twice");
-            require(core::describeDifference(before, each.config) == notes.at(each.noteId).list,
+            require(core::diffConfigurations(before, each.config) == notes.at(each.noteId).list,
                     "the change is not the note's list");
             before = each.config;
         }
--- a/tests/unit-config-store.cpp
+++ b/tests/unit-config-store.cpp
@@ -149,7 +149,7 @@
                     return step == at ? loss::Request : loss::None;
                 });
         CHECK_TRUE(state.result.error == kind);
-        CHECK_EQUAL(kind == error_kind::NoteOutcomeUnknown, isUnsettled(state));
+        CHECK_EQUAL(kind == error_kind::NoteOutcomeUnknown, isUnresolved(state));
     }
 }
 
@@ -188,16 +188,21 @@
 {
     config_store store;
     const auto &codec = wire::configurationCodec();
-    CHECK_TRUE(takeIn(store, { { "p" }, 5, "" }, bodyOf(5), codec) == take_in_result::Taken);
-    CHECK_TRUE(takeIn(store, { { "p" }, 5, "" }, bodyOf(5), codec) == take_in_result::Known);
-    CHECK_TRUE(takeIn(store, { { "p" }, 4, "" }, bodyOf(4), codec) == take_in_result::Known);
-    CHECK_TRUE(takeIn(store, { { "p" }, 7, "" }, bodyOf(6), codec) == take_in_result::Damaged);
-    CHECK_TRUE(takeIn(store, { {}, 6, objectNameOf(6, "0") }, bodyOf(6), codec)
-               == take_in_result::Damaged);
-    CHECK_TRUE(takeIn(store, { { "p" }, 6, "" }, " " + bodyOf(6), codec)
-               == take_in_result::Damaged);
+    CHECK_TRUE(installVersion(store, { { "p" }, 5, "" }, bodyOf(5), codec)
+               == install_result::Installed);
+    CHECK_TRUE(installVersion(store, { { "p" }, 5, "" }, bodyOf(5), codec)
+               == install_result::NotNewer);
+    CHECK_TRUE(installVersion(store, { { "p" }, 4, "" }, bodyOf(4), codec)
+               == install_result::NotNewer);
+    CHECK_TRUE(installVersion(store, { { "p" }, 7, "" }, bodyOf(6), codec)
+               == install_result::Damaged);
+    CHECK_TRUE(installVersion(store, { {}, 6, objectNameOf(6, "0") }, bodyOf(6), codec)
+               == install_result::Damaged);
+    CHECK_TRUE(installVersion(store, { { "p" }, 6, "" }, " " + bodyOf(6), codec)
+               == install_result::Damaged);
     LONGS_EQUAL(5, store.current->version);
-    CHECK_TRUE(takeIn(store, { { "p" }, 6, "" }, bodyOf(7), codec) == take_in_result::Taken);
+    CHECK_TRUE(installVersion(store, { { "p" }, 6, "" }, bodyOf(7), codec)
+               == install_result::Installed);
     CHECK_TRUE(changesSince(store, 5).has_value());
     CHECK_FALSE(changesSince(store, 4).has_value());
 }
@@ -206,8 +211,8 @@
 TEST(take_in, failedSourceGivesWayToTheNext)
 {
     config_store store;
-    CHECK_TRUE(noteVersion(store, { { "p" }, 5, "" }, start).has_value());
-    CHECK_FALSE(noteVersion(store, { { "q" }, 5, "" }, start).has_value());
+    CHECK_TRUE(addFetchSource(store, { { "p" }, 5, "" }, start).has_value());
+    CHECK_FALSE(addFetchSource(store, { { "q" }, 5, "" }, start).has_value());
     onFetchFailed(store, { { "p" }, 5, "" });
     STRCMP_EQUAL("q", nextFetch(store, start)->peer.value.c_str());
     CHECK_FALSE(nextFetch(store, start + 1s).has_value());
--- a/tests/unit-config-tree.cpp
+++ b/tests/unit-config-tree.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-std::vector<tree_member> listOf(std::size_t count, std::size_t zones)
+std::vector<tree_node> listOf(std::size_t count, std::size_t zones)
 {
-    std::vector<tree_member> live;
+    std::vector<tree_node> live;
     for (std::size_t i = 0; i < count; ++i)
         live.push_back({ { "zone-" + std::to_string(i % zones) }, { "i" + std::to_string(i) } });
     return live;
@@ -31,10 +31,10 @@
         { 1, 1 }, { 9, 3 }, { 50, 4 }, { 400, 1 }, { 1600, 17 }
     };
     for (const auto &[count, zones] : sizes) {
-        const std::vector<tree_member> live = listOf(count, zones);
+        const std::vector<tree_node> live = listOf(count, zones);
         std::map<instance_id, tree_place> places;
         std::map<instance_id, instance_id> parentOf;
-        for (const tree_member &each : live)
+        for (const tree_node &each : live)
             places[each.instance] = placeOf(live, each);
         for (const auto &[instance, place] : places) {
             CHECK_TRUE(place.children.size() <= treeFanOut);
@@ -56,13 +56,13 @@
 // platform.
 TEST(config_tree, onlyHeadsCrossZones)
 {
-    const std::vector<tree_member> live = listOf(1600, 17);
+    const std::vector<tree_node> live = listOf(1600, 17);
     std::map<instance_id, zone_name> zoneOf;
-    for (const tree_member &each : live)
+    for (const tree_node &each : live)
         zoneOf[each.instance] = each.zone;
     std::size_t crossing = 0;
     std::size_t readers = 0;
-    for (const tree_member &each : live) {
+    for (const tree_node &each : live) {
         const tree_place place = placeOf(live, each);
         readers += place.isReader ? 1 : 0;
         for (const instance_id &child : place.children)
@@ -76,8 +76,8 @@
 // that finds no peer while the list lags.
 TEST(config_tree, silentParentHasASubstitute)
 {
-    const std::vector<tree_member> live = listOf(60, 3);
-    for (const tree_member &each : live) {
+    const std::vector<tree_node> live = listOf(60, 3);
+    for (const tree_node &each : live) {
         const tree_place place = placeOf(live, each);
         if (place.parents.empty())
             continue;
--- a/tests/unit-ctl.cpp
+++ b/tests/unit-ctl.cpp
@@ -58,9 +58,9 @@
 
     void takeInNow(const core::configuration &config)
     {
-        (void)core::takeIn(store, { { "p" }, config.version, "" }, wire::writeConfiguration(config),
-                           wire::configurationCodec());
-        core::setHeld(proofs, config.version);
+        (void)core::installVersion(store, { { "p" }, config.version, "" },
+                                   wire::writeConfiguration(config), wire::configurationCodec());
+        core::setHeldVersion(proofs, config.version);
     }
 
     wire::admin_answer submit(const std::string &body)
--- a/tests/unit-freshness.cpp
+++ b/tests/unit-freshness.cpp
@@ -20,7 +20,7 @@
 freshness holding(configuration_version version)
 {
     freshness state;
-    setHeld(state, version);
+    setHeldVersion(state, version);
     return state;
 }
 
@@ -48,14 +48,14 @@
 
     explicit small_cluster(std::size_t count)
     {
-        std::vector<tree_member> live;
+        std::vector<tree_node> live;
         for (std::size_t i = 0; i < count; ++i)
             live.push_back({ { i % 2 == 0 ? "a" : "b" }, { "i" + std::to_string(10 + i) } });
-        for (const tree_member &each : live) {
+        for (const tree_node &each : live) {
             instance &made = instances[each.instance];
             made.spread = startSpread(each, instances.size(), {}, now);
-            setLive(made.spread, live, now);
-            setHeld(made.proofs, newest);
+            setLiveInstances(made.spread, live, now);
+            setHeldVersion(made.proofs, newest);
         }
     }
 
@@ -68,8 +68,8 @@
             if (each.what == spread_action::kind::Send && !isCut)
                 messages.push_back({ now + 4ms, self, each.peer, each.message });
             if (each.what == spread_action::kind::ReadPlatform && hasPlatform)
-                onPlatformVersion(own.spread, own.proofs, each.root, each.wave, newest, now, now,
-                                  more);
+                onPlatformVersion(own.spread, own.proofs, each.root, each.roundNumber, newest, now,
+                                  now, more);
             perform(self, more);
         }
     }
@@ -116,7 +116,7 @@
 {
     small_cluster cluster(60);
     cluster.runFor(5s);
-    std::vector<tree_member> live{ { { "a" }, { "i09" } } };
+    std::vector<tree_node> live{ { { "a" }, { "i09" } } };
     for (const auto &[id, each] : cluster.instances) {
         if (id.value != "i10")
             live.push_back(each.spread.self);
@@ -124,8 +124,8 @@
     cluster.cut.insert({ "i10" });
     auto &added = cluster.instances[{ "i09" }];
     added.spread = startSpread(live.front(), 99, {}, cluster.now);
-    setLive(added.spread, live, cluster.now);
-    setHeld(added.proofs, 1);
+    setLiveInstances(added.spread, live, cluster.now);
+    setHeldVersion(added.proofs, 1);
     random_engine random(seed);
     std::map<instance_id, int> learnsAt; // steps of 50 ms
     for (const auto &[id, each] : cluster.instances)
@@ -133,7 +133,7 @@
     for (int i = 0; i < 240; ++i) {
         for (auto &[id, each] : cluster.instances) {
             if (learnsAt.at(id) == i && id.value != "i10")
-                setLive(each.spread, live, cluster.now);
+                setLiveInstances(each.spread, live, cluster.now);
         }
         cluster.runFor(50ms);
         if (i >= 20) // the new instance has had a second for its first proof
@@ -152,34 +152,34 @@
 TEST(freshness, ageCountsFromTheQuestion)
 {
     freshness state = holding(3);
-    provePlatform(state, 3, start);
-    CHECK_TRUE(provenUntil(state) == start + 5s);
-    provePeer(state, 3, 2s, start + 1s);
-    CHECK_TRUE(provenUntil(state) == start + 5s);
-    provePeer(state, 3, -7s, start + 1s);
-    CHECK_TRUE(provenUntil(state) == start + 6s);
-    state.unprovenWait = 1h;
-    CHECK_TRUE(provenUntil(state) == start + 1s + maxUnprovenWait);
+    addPlatformProof(state, 3, start);
+    CHECK_TRUE(proofExpiresAt(state) == start + 5s);
+    addPeerProof(state, 3, 2s, start + 1s);
+    CHECK_TRUE(proofExpiresAt(state) == start + 5s);
+    addPeerProof(state, 3, -7s, start + 1s);
+    CHECK_TRUE(proofExpiresAt(state) == start + 6s);
+    state.proofLifetime = 1h;
+    CHECK_TRUE(proofExpiresAt(state) == start + 1s + maxProofLifetime);
 }
 
 // Guards against a proof of a newer version that vouches for the older one in force.
 TEST(freshness, proofOfANewerVersionWaitsForIt)
 {
     freshness state = holding(3);
-    provePlatform(state, 4, start);
+    addPlatformProof(state, 4, start);
     CHECK_FALSE(isProven(state, start));
-    setHeld(state, 4);
+    setHeldVersion(state, 4);
     CHECK_TRUE(isProven(state, start));
     CHECK_FALSE(isProven(state, start + 5s));
-    proveOperator(state, 4, start + 2s);
+    addOperatorProof(state, 4, start + 2s);
     CHECK_TRUE(isProven(state, start + 6s));
     CHECK_FALSE(isProven(freshness{}, start));
 }
 
 TEST_GROUP(config_spread){};
 
-// Guards against a depth of the tree that uses up the wait for a proof. One lost wave must not
-// cause refusals.
+// Guards against a depth of the tree that uses up the wait for a proof. One lost round must
+// not cause refusals.
 TEST(config_spread, ageIsBoundedAtEveryDepth)
 {
     small_cluster cluster(120);
@@ -187,7 +187,7 @@
     for (int i = 0; i < 40; ++i) {
         cluster.runFor(50ms);
         LONGS_EQUAL(cluster.instances.size(), cluster.countProven());
-        CHECK_TRUE(cluster.oldestProof() < defaultUnprovenWait - spread_settings{}.period);
+        CHECK_TRUE(cluster.oldestProof() < defaultProofLifetime - spread_settings{}.period);
     }
 }
 
@@ -214,7 +214,7 @@
     cluster.cut.clear();
     cluster.runFor(5s);
     LONGS_EQUAL(30, cluster.countProven());
-    cluster.instances.at({ "i25" }).spread.hasUnsettledSubmit = true;
+    cluster.instances.at({ "i25" }).spread.hasUnresolvedSubmit = true;
     cluster.runFor(8s);
     LONGS_EQUAL(0, cluster.countProven());
 }
@@ -254,11 +254,11 @@
     cluster.runFor(10s);
     LONGS_EQUAL(0, cluster.countProven());
     auto &head = cluster.instances.at({ "i10" });
-    const std::uint64_t wave = head.spread.wave;
+    const std::uint64_t roundNumber = head.spread.roundNumber;
     const std::uint64_t root = head.spread.root;
     const time_point issuedAt = cluster.now;
     cluster.runFor(300ms);
-    onOperatorStatement(head.spread, head.proofs, root, wave, 1, issuedAt);
+    onOperatorProof(head.spread, head.proofs, root, roundNumber, 1, issuedAt);
     cluster.runFor(2s);
     LONGS_EQUAL(29, cluster.countProven());
     cluster.runFor(5s);
--- a/tests/unit-gateway-forward.cpp
+++ b/tests/unit-gateway-forward.cpp
@@ -38,7 +38,7 @@
     state.peers[{ "b" }] = { 2, { "z" }, "b", true, {} };
     state.isDraining = true; // the peer is the only owner
     applyConfiguration(turn, makeConfiguration());
-    provePlatform(state.proof, 1, start);
+    addPlatformProof(state.proof, 1, start);
 
     caller_request request;
     request.ticket = 7;
--- a/tests/unit-key-check.cpp
+++ b/tests/unit-key-check.cpp
@@ -29,8 +29,8 @@
 freshness provenAt(time_point at)
 {
     freshness state;
-    setHeld(state, 7);
-    provePlatform(state, 7, at);
+    setHeldVersion(state, 7);
+    addPlatformProof(state, 7, at);
     return state;
 }
 
@@ -56,7 +56,7 @@
 {
     const key_index index = indexKeys(exampleConfiguration());
     const freshness proof = provenAt(start);
-    const time_point late = start + defaultUnprovenWait;
+    const time_point late = start + defaultProofLifetime;
     CHECK_FALSE(checkKey(index, validHash, proof, late - 1us).error.has_value());
     CHECK_TRUE(checkKey(index, validHash, proof, late).error == error_kind::KeyUnproven);
     CHECK_TRUE(checkKey(index, otherHash, proof, late).error == error_kind::KeyUnproven);
--- a/tests/unit-operator-desk.cpp
+++ b/tests/unit-operator-desk.cpp
@@ -151,14 +151,14 @@
 {
     const auto ticket = ask(wire::admin_route::SubmitNote, groupNote);
     while (answers.empty()) {
-        CHECK_TRUE(instances->spread.hasUnsettledSubmit);
+        CHECK_TRUE(instances->spread.hasUnresolvedSubmit);
         LONGS_EQUAL(0, gateway.config.version);
         serveNext();
     }
     LONGS_EQUAL(200, answers.at(ticket).status);
     LONGS_EQUAL(1, bodyOf(ticket).at("version").get<int>());
     LONGS_EQUAL(1, gateway.config.version);
-    CHECK_FALSE(instances->spread.hasUnsettledSubmit);
+    CHECK_FALSE(instances->spread.hasUnresolvedSubmit);
     const auto status = ask(wire::admin_route::NoteStatus, {}, "first");
     serveAll();
     CHECK_TRUE(bodyOf(status).at("in_force_here").get<bool>());
@@ -208,13 +208,13 @@
             serveNext(loss::Request);
     }
     CHECK_EQUAL(std::string("note_outcome_unknown"), bodyOf(ticket).at("error").get<std::string>());
-    CHECK_TRUE(instances->spread.hasUnsettledSubmit);
+    CHECK_TRUE(instances->spread.hasUnresolvedSubmit);
     LONGS_EQUAL(0, gateway.config.version);
-    for (int i = 0; i < 20 && instances->spread.hasUnsettledSubmit; ++i) {
+    for (int i = 0; i < 20 && instances->spread.hasUnresolvedSubmit; ++i) {
         pass(500ms);
         serveAll();
     }
-    CHECK_FALSE(instances->spread.hasUnsettledSubmit);
+    CHECK_FALSE(instances->spread.hasUnresolvedSubmit);
     LONGS_EQUAL(1, gateway.config.version);
 }
 
--- a/tests/unit-peer-codec.cpp
+++ b/tests/unit-peer-codec.cpp
@@ -71,7 +71,7 @@
 {
     digest_message<core::spread_message> digest;
     digest.sender = { { "i" }, { "z" }, "127.0.0.1:1", sender_state::Leaving };
-    digest.report.wave = 1'234'567;
+    digest.report.roundNumber = 1'234'567;
     std::string message;
     CHECK_FALSE(sender.seal(peer_kind::Digest, 0, digest, message));
     CHECK_FALSE(receiver.open(message, peer_transport::Datagram, now, opened));
@@ -79,7 +79,7 @@
     digest_message<core::spread_message> read;
     CHECK_FALSE(readBody(opened.body, read));
     CHECK_TRUE(read.sender == digest.sender);
-    LONGS_EQUAL(1'234'567, read.report.wave);
+    LONGS_EQUAL(1'234'567, read.report.roundNumber);
     digest.sender = sender_info{ {}, {}, {}, sender_state::Leaving };
     CHECK_FALSE(readBody(writeBody(digest), read));
     CHECK_TRUE(read.sender.instance.empty() && read.sender.state == sender_state::Leaving);
@@ -103,8 +103,8 @@
                               "192.168.100.200:65535" };
         core::spread_message &report = digest.report;
         report.root = random();
-        report.memberSum = random();
-        report.wave = report.provenWave = 600'000 + second; // a week
+        report.instanceHashSum = random();
+        report.roundNumber = report.provenRound = 600'000 + second; // a week
         report.held = report.oldest = report.newest = report.provenVersion = 3'000'000; // two years
         report.included = 0xffff;
         report.windowMicroseconds = 1'000'000;
--- a/tests/unit-release-note.cpp
+++ b/tests/unit-release-note.cpp
@@ -49,7 +49,7 @@
     note_problem problem;
     const std::error_code error = applyNote(base, { "n1", base.version, list }, result, problem);
     CHECK_TEXT(!error, problem.text.c_str());
-    CHECK_TRUE(describeDifference(base, result) == list);
+    CHECK_TRUE(diffConfigurations(base, result) == list);
     LONGS_EQUAL(base.version + 1, result.version);
     return result;
 }
--- a/tests/unit-settings.cpp
+++ b/tests/unit-settings.cpp
@@ -41,7 +41,7 @@
     const auto problems = read(valid + "keys:\n  unproven_wait_ms: 1000\n", result);
     CHECK_TRUE(problems.empty());
     CHECK_EQUAL(std::string("alajuela"), result.zone.value);
-    CHECK_EQUAL(1000, result.unprovenWait.count());
+    CHECK_EQUAL(1000, result.proofLifetime.count());
     CHECK_EQUAL(30000, result.drainLimit.count());
     CHECK_EQUAL(0x11, result.clusterKey[31]);
 }
