--- a/include/fuchsiagw/core/config_spread.hpp
+++ b/include/fuchsiagw/core/config_spread.hpp
@@ -1,17 +1,18 @@
 /// @file
-/// @brief Spread of versions and freshness proofs over the tree, without a clock shared by
-/// instances.
+/// @brief Distribution of configuration versions and freshness proofs over the tree of instances,
+/// without a shared clock.
 ///
-/// Each second the root starts a round: a digest goes down the tree, acknowledgements come
-/// up. A proof of round p says "version v was the newest when round p started". An
-/// instance whose acknowledgement of round k < p reached the root in time knows that
-/// round p started after it sent that acknowledgement, so it counts the age of the proof from
-/// there. The acknowledgement is thus the question of proof (b). The age is between two and three
-/// periods at every depth, with two messages per link and period.
+/// Once per period the root starts a round: a digest is sent down the tree, and acknowledgements
+/// are aggregated on the way up. The proof of round p states "version v was the newest when round p
+/// started". If the acknowledgement that an instance sent in round k < p reached the root in time,
+/// round p started after that acknowledgement was sent. The instance therefore counts the age of
+/// the proof from that sending time; the acknowledgement acts as the request of proof (b). The age
+/// of a proof is between two and three periods at every depth, with two messages per link and
+/// period.
 ///
-/// The proof of a round is a read of the platform that was started after the round's
-/// digest arrived, an operator's statement against a challenge issued after it, or the
-/// acknowledgements of every listed instance.
+/// A round is proven by a read of the platform that started after the round's digest arrived, by an
+/// operator's statement for a challenge that was issued after it, or by the acknowledgements of
+/// every listed instance.
 
 #pragma once
 
@@ -25,8 +26,8 @@
 namespace fuchsiagw::core {
 
 enum class spread_kind : std::uint8_t {
-    Digest, ///< parent to child
-    Acknowledgement, ///< child to parent; round 0 asks to be adopted
+    Digest, ///< sent by the parent to its children
+    Acknowledgement, ///< sent by a child to its parent; round 0 asks to become a child
     Announcement, ///< a new version is in force at the sender
 };
 
@@ -35,23 +36,23 @@
     spread_kind kind = spread_kind::Digest;
     std::uint64_t root = 0; ///< hash of the root's id and incarnation
     std::uint64_t roundNumber = 0; ///< starts at 1 for each root
-    configuration_version held = 0;
-    /// Digest: round of the newest proof. Acknowledgement: newest round that the
-    /// subtree can prove.
+    configuration_version held = 0; ///< version in force at the sender
+    /// Digest: newest round that is proven. Acknowledgement: newest round that the subtree can
+    /// prove.
     std::uint64_t provenRound = 0;
     configuration_version provenVersion = 0;
     // Digest only
-    std::uint16_t included =
-            0; ///< bit i: the receiver's acknowledgement of roundNumber-1-i was counted
-    std::uint32_t windowMicroseconds = 0; ///< remaining time in which an acknowledgement counts
-    /// Digest: version that every listed instance held at the end of a round; 0: not known.
-    /// Acknowledgement: least version held in the subtree.
+    /// Bit i: the receiver's acknowledgement of round roundNumber-1-i reached the root in time.
+    std::uint16_t included = 0;
+    std::uint32_t windowMicroseconds = 0; ///< time left for the receiver's acknowledgement
+    /// Digest: least version in force over all listed instances at the end of a round; 0: unknown.
+    /// Acknowledgement: least version in force in the subtree.
     configuration_version oldest = 0;
     // Acknowledgement only
-    configuration_version newest = 0; ///< greatest version held in the subtree
-    std::uint32_t count = 0; ///< instances in the subtree that answered
-    std::uint64_t instanceHashSum = 0; ///< sum of their instanceHash()
-    bool hasUnresolvedSubmit = false; ///< a submit of the subtree may have taken effect unseen
+    configuration_version newest = 0; ///< greatest version in force in the subtree
+    std::uint32_t count = 0; ///< instances of the subtree that acknowledged the round
+    std::uint64_t instanceHashSum = 0; ///< sum of instanceHash() over these instances
+    bool hasUnresolvedSubmit = false; ///< a submit in the subtree may have created a version
 
     template <typename archive>
     void serialize(archive &ar)
@@ -61,13 +62,13 @@
     }
 };
 
-/// What the caller must do.
+/// Action that the caller must perform.
 struct spread_action
 {
     enum class kind : std::uint8_t {
         Send, ///< `message` to `peer`
-        ReadPlatform, ///< read the version row; answer with onPlatformVersion() and `roundNumber`
-        Fetch, ///< `version` is in force at `peer`, see addFetchSource()
+        ReadPlatform, ///< read the version row, then call onPlatformVersion()
+        Fetch, ///< call addFetchSource(): `version` is in force at `peer`
     };
     kind what = kind::Send;
     instance_id peer;
@@ -80,10 +81,10 @@
 struct spread_settings
 {
     duration period = std::chrono::seconds(1);
-    duration fastPeriod = std::chrono::milliseconds(250); ///< of the first waves of a new root
-    duration hopAllowance =
-            std::chrono::milliseconds(60); ///< window left to the parent at each level
-    /// One period, the longest window and a margin for the delay between zones.
+    duration fastPeriod = std::chrono::milliseconds(250); ///< period of a new root's first rounds
+    /// Each level's window ends this much before that of its parent, for the acknowledgement's way.
+    duration hopAllowance = std::chrono::milliseconds(60);
+    /// One period plus the longest window plus a margin for the delay between zones.
     duration parentTimeout = std::chrono::milliseconds(1700);
 };
 
@@ -91,37 +92,39 @@
 {
     time_point heardAt = time_point::min();
     std::uint64_t acknowledgedRound = 0;
-    spread_message report; ///< newest acknowledgement
-    std::uint16_t counted = 0; ///< bit i: its acknowledgement of roundNumber-1-i was in ours
-    bool isAdopted = false;
+    spread_message report; ///< the child's newest acknowledgement
+    /// Bit i: this instance's acknowledgement of round roundNumber-1-i included the child's.
+    std::uint16_t counted = 0;
+    bool isAdopted = false; ///< the child asked for it; it is not a child by the instance list
 };
 
 /// Invariant: at most maxSentAcknowledgements entries in `sent`, ordered by round.
 struct spread_state
 {
     tree_node self;
-    std::uint64_t ownRoot = 0; ///< hash of id and incarnation
-    std::uint64_t ownRound = 0; ///< newest round that this instance started; never repeated
+    std::uint64_t ownRoot = 0; ///< value of `root` in rounds that this instance starts
+    std::uint64_t ownRound = 0; ///< newest round that this instance started; only increases
     spread_settings settings;
     std::vector<tree_node> live;
     tree_place place;
     std::map<instance_id, spread_child> children;
     bool hasUnresolvedSubmit = false;
 
-    instance_id parent; ///< whose digests are taken; empty: this instance is a root
+    instance_id parent; ///< instance whose digests are accepted; empty: this instance is a root
     time_point parentDeadline = time_point::min();
-    time_point nextAdoptionAt = time_point::min(); ///< when the next parent is asked
+    time_point nextAdoptionAt =
+            time_point::min(); ///< time of the next request to a candidate parent
     std::size_t adoptionIndex = 0;
 
-    std::uint64_t root = 0; ///< of the current round
+    std::uint64_t root = 0; ///< root of the current round
     std::uint64_t roundNumber = 0;
-    std::uint16_t included = 0; ///< own acknowledgements that were counted
-    time_point nextRoundAt = time_point::min(); ///< for a root
+    std::uint16_t included = 0; ///< as in the newest digest; all bits are set at a root
+    time_point nextRoundAt = time_point::min(); ///< used by a root only
     time_point windowEndsAt = time_point::min();
     time_point resendAt = time_point::max();
-    bool isOpen = false; ///< the round has not been closed here
-    bool isAwaitingRead = false; ///< of the platform, for this round
-    unsigned fastRoundsLeft = 0; ///< of a new root, still to come
+    bool isOpen = false; ///< the round is not closed at this instance yet
+    bool isAwaitingRead = false; ///< this round's read of the platform has not been answered
+    unsigned fastRoundsLeft = 0; ///< rounds that a new root still starts at fastPeriod
 
     struct sent_acknowledgement
     {
@@ -129,59 +132,61 @@
         std::uint64_t roundNumber = 0;
         time_point at;
     };
-    std::deque<sent_acknowledgement> sent; ///< for a root: the starts of its waves
+    std::deque<sent_acknowledgement> sent; ///< at a root: the start times of its rounds
 
-    std::uint64_t localProofRound = 0; ///< newest round that this instance can prove itself
+    std::uint64_t localProofRound = 0; ///< newest round that this instance proved itself
     configuration_version localProofVersion = 0;
-    std::uint64_t provenRound = 0; ///< of the current root
+    std::uint64_t provenRound = 0; ///< newest proven round of the current root
     configuration_version provenVersion = 0;
-    configuration_version everywhere = 0; ///< every listed instance holds it or a newer one
-    configuration_version heldByPeer = 0; ///< greatest version that a peer said it holds
+    configuration_version everywhere = 0; ///< every listed instance has it or a newer one in force
+    configuration_version heldByPeer = 0; ///< greatest version that a peer reported to be in force
 };
 
-/// @brief Creates the state of an instance that has just started.
-/// @param incarnation random number of this start
+/// @brief Creates the state of an instance at its start.
+/// @param incarnation random number that is drawn at each start
 [[nodiscard]] spread_state startSpread(const tree_node &self, incarnation_id incarnation,
                                        const spread_settings &settings, time_point now);
 
-/// @brief Takes in a new copy of the platform's list of entry instances.
+/// @brief Replaces the copy of the platform's list of entry instances and recomputes the tree.
 /// @complexity O(n log n) in the size of the list
 void setLiveInstances(spread_state &state, const std::vector<tree_node> &live, time_point now);
 
-/// @brief Does what is due. Call it at least every 50 ms, or at nextSpreadTime().
+/// @brief Performs the timed work. Must be called at least every 50 ms, or at nextSpreadTime().
 /// @complexity linear in the number of children
 void tickSpread(spread_state &state, freshness &proofs, time_point now,
                 std::vector<spread_action> &actions);
 
-/// @return the time of the next tick that has something to do
+/// @return the earliest time at which tickSpread() has work
 [[nodiscard]] time_point nextSpreadTime(const spread_state &state);
 
-/// @brief Takes in a message of a peer. Late and repeated messages change nothing.
+/// @brief Processes a message of a peer. Late and duplicate messages are harmless.
 /// @complexity linear in the number of children
 void onSpreadMessage(spread_state &state, freshness &proofs, const instance_id &from,
                      const spread_message &message, time_point now,
                      std::vector<spread_action> &actions);
 
-/// @brief Takes in the platform's answer to ReadPlatform, which was sent at @p sentAt.
-/// @param root, roundNumber as given with the action
+/// @brief Processes the platform's answer to a ReadPlatform request that was sent at @p sentAt.
+/// @param root, roundNumber values from the action
 void onPlatformVersion(spread_state &state, freshness &proofs, std::uint64_t root,
                        std::uint64_t roundNumber, configuration_version version, time_point sentAt,
                        time_point now, std::vector<spread_action> &actions);
 
-/// @brief Takes in an operator's statement (d). It serves the subtree too.
-/// @param root, roundNumber those of the state when the challenge was issued, at @p issuedAt
+/// @brief Processes an operator's statement, proof (d). It proves the round for the subtree too.
+/// @param root, roundNumber values of the state at @p issuedAt, when the challenge was issued
 void onOperatorProof(spread_state &state, freshness &proofs, std::uint64_t root,
                      std::uint64_t roundNumber, configuration_version version, time_point issuedAt);
 
-/// @brief Notes that a version came into force here and announces it to the neighbours.
+/// @brief Records that a version came into force at this instance, and announces it to the parent
+/// and the children.
 void onVersionInstalled(spread_state &state, freshness &proofs, configuration_version version,
                         std::vector<spread_action> &actions);
 
-/// @brief Tells whether an operator may be told that @p version is accepted.
+/// @brief Tells whether the acceptance of @p version may be reported to an operator.
 ///
-/// Another instance must hold it as well. Otherwise a restart of this one during an outage of the
-/// platform would lose it, and proof (c) would vouch for the version before.
-/// @return true also if this instance is the only listed one
+/// Another instance must have the version in force too. Otherwise a restart of this instance during
+/// an outage of the platform would lose the version, and proof (c) would state that the previous
+/// version is the newest.
+/// @return true if a peer has it in force, or if this instance is the only listed one
 [[nodiscard]] bool isHeldElsewhere(const spread_state &state, configuration_version version);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/config_store.hpp
+++ b/include/fuchsiagw/core/config_store.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The two ways of a configuration: submitting a note to the platform, and taking in a
-/// version. Both are state machines without I/O.
+/// @brief State machines without I/O that submit a release note to the platform, and that fetch and
+/// install a version of the configuration.
 
 #pragma once
 
@@ -18,10 +18,10 @@
 
 namespace fuchsiagw::core {
 
-/// Row of the table service with the newest version.
+/// Key of the row in the platform's table service that names the newest version.
 inline constexpr std::string_view configurationRowKey = "configuration";
 
-/// Text forms, which the package wire provides. All of them are pure functions.
+/// Serialization functions, provided by the wire library. All of them are pure.
 struct configuration_codec
 {
     std::string (*write)(const configuration &config) = nullptr;
@@ -31,7 +31,7 @@
     std::string (*writeNote)(const release_note &note) = nullptr;
 };
 
-/// Value of the row `configuration`: version, note id and object name, divided by spaces.
+/// Value of the row `configuration`: version, note id and object name, separated by spaces.
 struct configuration_row
 {
     configuration_version version = 0;
@@ -43,22 +43,22 @@
 
 [[nodiscard]] std::string writeRow(const configuration_row &row);
 
-/// @return false if @p text is not a row; @p row is then unchanged
+/// @return false if @p text can't be parsed; @p row is then unchanged
 [[nodiscard]] bool readRow(std::string_view text, configuration_row &row);
 
-/// @return name of the object with the body of a version, made from its content
+/// @return name of the object that stores the body of a version; it contains the body's digest
 [[nodiscard]] std::string objectNameOf(configuration_version version, std::string_view digest);
 
-/// @return key of the row that remembers the version and digest of an applied note
+/// @return key of the row that stores the version and digest of an applied note
 [[nodiscard]] std::string noteRowKey(std::string_view noteId);
 
-/// Steps of a submit; each but the last is one request to the platform.
+/// Steps of a submit. Each step except Finish is one request to the platform.
 enum class submit_step : std::uint8_t {
-    ReadRow, ///< the newest version
-    ReadNote, ///< whether the note was applied before
-    ReadObject, ///< the body of the newest version
-    PutObject, ///< the body of the next version
-    Commit, ///< compare-and-set of the row, together with the note's row
+    ReadRow, ///< reads which version is the newest
+    ReadNote, ///< reads whether the note was applied before
+    ReadObject, ///< reads the body of the newest version
+    PutObject, ///< stores the body of the next version
+    Commit, ///< compare-and-set of the row, atomic with the creation of the note's row
     Finish,
 };
 
@@ -66,37 +66,39 @@
                                                                   "read_object", "put_object",
                                                                   "commit",      "finish" };
 
-/// One request to the platform, or the end.
+/// One request to the platform, or the end of the submit.
 struct submit_action
 {
     submit_step step = submit_step::Finish;
-    time_point notBefore = time_point::min(); ///< pause before a retry
-    std::string key; ///< of the row or object to read or put
-    std::string body; ///< of the object
+    time_point notBefore = time_point::min(); ///< earliest time to send; later for a retry
+    std::string key; ///< row or object to read or put
+    std::string body; ///< body of the object to put
     std::string transactionId;
-    std::vector<std::pair<std::string, std::uint64_t>> checks; ///< row and its version
-    std::vector<std::pair<std::string, std::string>> puts; ///< row and its value
+    std::vector<std::pair<std::string, std::uint64_t>> checks; ///< row key, expected version
+    std::vector<std::pair<std::string, std::string>> puts; ///< row key, new value
 };
 
 /// The platform's answer to a submit_action.
 struct platform_answer
 {
-    bool isAnswered = false; ///< false: no answer, or the platform reported that it is unavailable
-    bool isFound = false; ///< row or object exists, or the transaction committed
+    bool isAnswered = false; ///< false: timeout, or the platform reported unavailability
+    bool isFound = false; ///< the row or object exists, or the transaction committed
     std::uint64_t rowVersion = 0;
-    std::string value; ///< of the row, or body of the object
+    std::string value; ///< value of the row, or body of the object
 };
 
-/// How a submit ended. Invariant: `newest` is set if `error` is empty. The instance takes it in and
-/// waits for isHeldElsewhere() before it answers the operator; if that does not come in time, the
-/// answer is NoteOutcomeUnknown. An acceptance that was told is then visible to proof (c).
+/// Outcome of a submit. Invariant: `newest` is set if `error` is empty.
+///
+/// The submitting instance installs `newest` and waits until isHeldElsewhere() is true before it
+/// reports success to the operator; after a timeout it reports NoteOutcomeUnknown. A version whose
+/// acceptance was reported is therefore visible to proofs from proof_source::Report.
 struct submit_result
 {
-    std::error_code error; ///< empty: applied
-    note_problem problem; ///< for an error that is no I/O error
-    configuration_version version = 0; ///< that the note made
+    std::error_code error; ///< empty if the note was applied
+    note_problem problem; ///< details, unless `error` is an I/O error
+    configuration_version version = 0; ///< version that the note created
     bool wasAppliedBefore = false;
-    std::shared_ptr<const configuration> newest; ///< if it was read
+    std::shared_ptr<const configuration> newest; ///< newest version; null if it was not read
     std::string newestName; ///< object name of `newest`
 };
 
@@ -104,18 +106,18 @@
 {
     release_note note;
     std::string noteDigest;
-    time_point deadline; ///< after which the submit ends with what is known
+    time_point deadline; ///< retries stop here; the error then tells whether a commit may exist
     submit_step step = submit_step::ReadRow;
-    bool mayHaveCommitted = false; ///< a commit was sent and its answer is not known
-    unsigned failures = 0; ///< in a row
-    unsigned refusals = 0; ///< of the commit
+    bool mayHaveCommitted = false; ///< a commit was sent and its outcome is unknown
+    unsigned consecutiveFailures = 0; ///< requests without an answer
+    unsigned commitConflicts = 0; ///< commits that the platform refused
     std::uint64_t rowVersion = 0;
     configuration_row row;
     std::shared_ptr<const configuration> base;
     std::shared_ptr<const configuration> next;
     std::string nextName;
     std::string nextBody;
-    submit_result result; ///< valid once step is Finish
+    submit_result result; ///< valid if `step` is Finish
 };
 
 /// @brief Starts a submit.
@@ -123,72 +125,77 @@
 [[nodiscard]] submit_action startSubmit(submit_state &state, release_note note, time_point deadline,
                                         const configuration_codec &codec);
 
-/// @brief Takes in the answer to the last action.
+/// @brief Processes the platform's answer to the last action.
 ///
-/// Before a retry of the commit the row and the note's row are read back, in this order: if the
-/// row has moved and the note's row is still missing, the commit can't take effect any more.
-/// @return the next action; after Finish the result is in the state
+/// Before a commit is retried, the row `configuration` and then the note's row are read again. If
+/// the version of the first has changed and the second does not exist, the earlier commit can no
+/// longer take effect, because its check of the row version fails.
+/// @return the next action; if its step is Finish, the result is in @p state
 /// @complexity linear in the size of the configuration, times the logarithm of its sections
 [[nodiscard]] submit_action continueSubmit(submit_state &state, const platform_answer &answer,
                                            time_point now, const configuration_codec &codec);
 
-/// @brief Tells whether a version may exist that only this submit knows of.
+/// @brief Tells whether this submit may have created a version that no instance knows of yet.
 ///
-/// While a submit runs, and after one that ended unsettled until the next successful read of the
-/// platform, spread_state::hasUnresolvedSubmit must be set.
+/// The caller must set spread_state::hasUnresolvedSubmit while a submit runs, and after a submit
+/// that ended unresolved until the next successful read of the platform.
 [[nodiscard]] bool isUnresolved(const submit_state &state);
 
-/// Where a version can be fetched. An empty instance is the platform.
+/// Peer or platform from which a version can be fetched.
 struct fetch_source
 {
-    instance_id peer;
+    instance_id peer; ///< empty: the platform
     configuration_version version = 0;
-    std::string objectName; ///< from the platform's row; empty for a peer
+    std::string objectName; ///< object name in the platform's row; empty for a peer
 
     friend bool operator==(const fetch_source &, const fetch_source &) = default;
 };
 
 enum class install_result : std::uint8_t {
     Installed,
-    NotNewer, ///< not newer than what is in force
-    Damaged, ///< not a valid configuration, or not the announced version or content
+    NotNewer, ///< not newer than the version in force
+    Damaged, ///< not a valid configuration, or not the announced version or digest
 };
 
 inline constexpr std::array<std::string_view, 3> installResultNames{ "taken", "known", "damaged" };
 
-/// The version in force and the way to a newer one. Invariant: `current->version` never decreases.
+/// The version in force, and the sources of newer ones. Invariant: `current->version` never
+/// decreases.
 struct config_store
 {
     std::shared_ptr<const configuration> current = std::make_shared<configuration>();
     std::string currentObjectName; ///< object name of `current`
-    std::string currentBody; ///< its canonical text, for peers that ask
-    std::deque<std::shared_ptr<const configuration>> earlier; ///< for explaining conflicts
-    std::vector<fetch_source> sources; ///< of newer versions, greatest version first
-    time_point fetchDeadline = time_point::min(); ///< until then one fetch is under way
+    std::string currentBody; ///< canonical text of `current`, sent to peers that request it
+    std::deque<std::shared_ptr<const configuration>>
+            earlier; ///< previous versions, for the difference that a NoteConflict reports
+    std::vector<fetch_source> sources; ///< greatest version first; a failed source moves to the end
+    time_point fetchDeadline = time_point::min(); ///< deadline of the running fetch
     bool isFetching = false;
 };
 
-/// @brief Notes that a newer version exists at a source.
+/// @brief Adds a source of a newer version, or updates the version that a known source announced.
 /// @return a fetch to start now
 /// @complexity linear in the number of sources
 [[nodiscard]] std::optional<fetch_source>
 addFetchSource(config_store &store, const fetch_source &source, time_point now);
 
-/// @brief Takes in a body, however it arrived. Only a greater version is taken, and only if the
-/// body is canonical and matches @p source.
-/// @param source with its version, and its object name if known
+/// @brief Installs a body from any source if its version is greater than the one in force, its text
+/// is canonical and it matches @p source.
+/// @param source the source, with the announced version, and the object name if it is known
 /// @complexity linear in the size of @p body
 [[nodiscard]] install_result installVersion(config_store &store, const fetch_source &source,
                                             std::string_view body,
                                             const configuration_codec &codec);
 
-/// @brief Notes that a fetch failed or gave a damaged body; the source is tried last from now on.
+/// @brief Ends a fetch that failed or returned a damaged body, and moves its source to the end of
+/// the list.
 void onFetchFailed(config_store &store, const fetch_source &source);
 
-/// @return a fetch to start now; also after the deadline of one that got no answer
+/// @return a fetch to start now, if none is running or the running one has timed out
 [[nodiscard]] std::optional<fetch_source> nextFetch(config_store &store, time_point now);
 
-/// @return what changed since @p version, if that version is still in memory
+/// @return the difference between @p version and the current version; empty if @p version is no
+/// longer in memory
 [[nodiscard]] std::optional<section_changes> changesSince(const config_store &store,
                                                           configuration_version version);
 
--- a/include/fuchsiagw/core/config_tree.hpp
+++ b/include/fuchsiagw/core/config_tree.hpp
@@ -1,10 +1,12 @@
 /// @file
-/// @brief Place of an instance in the tree over which configuration and freshness spread.
+/// @brief Place of an instance in the distribution tree of configuration versions and freshness
+/// proofs.
 ///
-/// The instances of a zone form one subtree in order of their ids; the first one is the zone's
-/// head. The heads form the upper tree in order of their zones. An instance has at most 8
-/// children: 8 in its zone, or for a head 4 in its zone and 4 heads. Every instance computes its
-/// place from its own copy of the list, so no message is needed to build the tree.
+/// The instances of a zone form one subtree in order of their ids, and the first of them is the
+/// zone's head. The heads form the upper tree in order of their zones. An instance has at most 8
+/// children: 8 in its zone, or for a head 4 in its zone and the heads of 4 other zones. Every
+/// instance computes its place from its own copy of the platform's instance list, so no message is
+/// needed to build the tree.
 
 #pragma once
 
@@ -17,10 +19,11 @@
 
 inline constexpr std::size_t treeFanOut = 8;
 
-/// Instances of a zone that read the platform's version row: one may fail without a gap.
+/// Instances per zone that read the platform's version row. If one of them fails, the other still
+/// supplies proofs.
 inline constexpr std::size_t readersPerZone = 2;
 
-/// An entry instance of the platform's list.
+/// An entry instance in the platform's list.
 struct tree_node
 {
     zone_name zone;
@@ -36,22 +39,24 @@
 /// Invariant: `parents` and `children` share no instance and do not contain the instance itself.
 struct tree_place
 {
-    bool isListed = false; ///< an unlisted instance has no children and reports to its zone's head
-    bool isReader = false; ///< reads the platform
-    std::vector<instance_id> parents; ///< nearest first; the next one replaces a silent one
+    bool isListed = false; ///< false: no children, and the parent is the zone's head
+    bool isReader = false; ///< reads the platform's version row
+    std::vector<instance_id>
+            parents; ///< in order of preference; the next one replaces an unresponsive one
     std::vector<instance_id> children;
 };
 
-/// @brief Computes the place of an instance.
+/// @brief Computes the place of @p self.
 ///
-/// The first parent is the tree parent. It is followed by the other ancestors in the zone, the
-/// zone's second instance, and the head and second instance of each ancestor zone. The root of the
-/// whole tree has no parents.
-/// @param live the list; its order does not matter
+/// The first parent is the parent in the tree. The substitutes follow: the other ancestors in the
+/// zone, the zone's second instance, and the head and second instance of each ancestor zone. The
+/// root of the whole tree has no parents.
+/// @param live the platform's list, in any order
 /// @complexity O(n log n) in the size of the list
 [[nodiscard]] tree_place placeOf(std::vector<tree_node> live, const tree_node &self);
 
-/// @brief Hash of an instance id for sums over sets of instances; the same on every machine.
+/// @brief Hashes an instance id. The sum of the hashes identifies a set of instances, so the hash
+/// is the same on every machine.
 /// @complexity linear in the size of the id
 [[nodiscard]] std::uint64_t instanceHash(const instance_id &instance);
 
--- a/include/fuchsiagw/core/configuration.hpp
+++ b/include/fuchsiagw/core/configuration.hpp
@@ -17,13 +17,13 @@
 
 using configuration_version = std::uint64_t;
 
-/// Bound on the length of every name in the configuration; a session token relies on it.
+/// Greatest length of a name in the configuration. The format of session tokens depends on it.
 inline constexpr std::size_t maxNameLength = 63;
 
-/// Characters of a key hash.
+/// Hexadecimal digits of a key hash.
 inline constexpr std::size_t keyHashLength = 64;
 
-/// BLAKE2b-256 of a caller's key in lower-case hexadecimal; the key itself is never kept.
+/// BLAKE2b-256 of a caller's key in lower-case hexadecimal. The key itself is never stored.
 using key_hash = std::string;
 
 enum class key_state : std::uint8_t {
@@ -33,20 +33,22 @@
 
 inline constexpr std::array<std::string_view, 2> keyStateNames{ "valid", "withdrawn" };
 
-/// A kind of read that may be served by a replica.
+/// A class of reads that replicas may serve.
 struct read_class
 {
-    std::chrono::milliseconds maxAge{ 0 }; ///< greatest accepted age of the data
+    std::chrono::milliseconds maxAge{ 0 }; ///< greatest age of the data that a read accepts
 
     friend bool operator==(const read_class &, const read_class &) = default;
 };
 
-/// A customer. Invariant: rate > 0 and burst > 0.
+/// Limits, groups and keys of a workspace, which is one customer of the proxy. Invariant:
+/// rate > 0 and burst > 0.
 struct workspace_settings
 {
-    double rate = 0; ///< statements per second over all instances together
-    double burst = 0; ///< statements
-    std::vector<group_id> groups; ///< groups that it may use; ascending, each once
+    double rate = 0; ///< statements per second, summed over all instances
+    double burst = 0; ///< capacity of the rate's token bucket in statements
+    std::vector<group_id>
+            groups; ///< groups that the workspace may use; ascending, without duplicates
     std::map<std::string, read_class> readClasses;
     std::map<key_hash, key_state> keys; ///< a withdrawn key never becomes valid again
 
@@ -56,7 +58,7 @@
 struct member_settings
 {
     zone_name zone;
-    std::string address; ///< IP number and port
+    std::string address; ///< IP address and port
 
     friend bool operator==(const member_settings &, const member_settings &) = default;
 };
@@ -65,15 +67,15 @@
 struct group_settings
 {
     std::map<member_id, member_settings> members;
-    std::uint32_t slots = 1; ///< statements that a member executes at once
-    std::uint32_t connections = 1; ///< over all instances together
+    std::uint32_t slots = 1; ///< greatest number of concurrent statements per member
+    std::uint32_t connections = 1; ///< greatest number of connections, summed over all instances
 
     friend bool operator==(const group_settings &, const group_settings &) = default;
 };
 
-/// Automatic actions that operators can switch off.
+/// Automatic actions that an operator can switch off.
 enum class automatic_action : std::uint8_t {
-    All, ///< master switch
+    All, ///< switches off every automatic action
     Promotion,
     Rebalancing,
     Loans,
@@ -84,25 +86,26 @@
                                                                        "rebalancing", "loans",
                                                                        "probing" };
 
-/// Invariant: a version names one content for ever.
+/// Invariant: a version number never refers to two different contents.
 struct configuration
 {
-    configuration_version version = 0; ///< 0: none yet
+    configuration_version version = 0; ///< 0: no configuration has been accepted yet
     std::map<workspace_id, workspace_settings> workspaces;
     std::map<group_id, group_settings> groups;
-    std::map<automatic_action, bool> switches; ///< missing: on
-    std::map<key_hash, workspace_id> retiredKeys; ///< keys of workspaces that no longer exist;
-                                                  ///< never valid again
+    std::map<automatic_action, bool> switches; ///< an action without an entry is on
+    std::map<key_hash, workspace_id> retiredKeys; ///< keys of deleted workspaces; they never
+                                                  ///< become valid again
 
     friend bool operator==(const configuration &, const configuration &) = default;
 };
 
-/// @brief Tells whether an automatic action may happen: both its own switch and the master are on.
+/// @brief Tells whether an automatic action is allowed: its own switch and the switch of All are
+/// on.
 /// @complexity logarithmic in the number of switches
 [[nodiscard]] bool isAutomatic(const configuration &config, automatic_action action);
 
-/// @brief Tells whether @p text may name a workspace, group, member, zone or read class: 1 to
-/// maxNameLength letters, digits, '-', '_' or '.'.
+/// @brief Tells whether @p text is a valid name of a workspace, group, member, zone or read class:
+/// 1 to maxNameLength letters, digits, '-', '_' or '.'.
 /// @complexity linear in the size of @p text
 [[nodiscard]] bool isName(std::string_view text);
 
@@ -110,8 +113,8 @@
 /// @complexity linear in the size of @p text
 [[nodiscard]] bool isKeyHash(std::string_view text);
 
-/// @brief Checks every invariant that a configuration states.
-/// @return the first problem with the path of its field; empty if there is none
+/// @brief Checks the invariants of a configuration.
+/// @return the first violation, with the path of its field; empty if the configuration is valid
 /// @complexity linear in the size of the configuration, times the logarithm of its keys
 [[nodiscard]] std::string findProblem(const configuration &config);
 
--- a/include/fuchsiagw/core/freshness.hpp
+++ b/include/fuchsiagw/core/freshness.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief Proofs that an instance holds the newest configuration.
+/// @brief Proofs that the configuration in force at an instance is the newest.
 ///
-/// A proof says "version v was the newest at time t". It is stated in the clock of the instance
-/// that uses it, with t counted from the time when that instance sent its question. Whatever was
-/// withdrawn before t is then part of any version that is not below v.
+/// A proof states "version v was the newest at time t". The time t is in the clock of the instance
+/// that uses the proof: it is the time at which that instance sent its request, or earlier. A key
+/// that was withdrawn before t is therefore withdrawn in every version from v on.
 
 #pragma once
 
@@ -16,13 +16,13 @@
 inline constexpr duration minProofLifetime = std::chrono::seconds(1);
 inline constexpr duration maxProofLifetime = std::chrono::seconds(60);
 
-/// Where a proof comes from; docs/design.md section 7, (a) to (d).
+/// Origin of a proof; see docs/design.md section 7, (a) to (d).
 enum class proof_source : std::uint8_t {
     None,
-    Platform,
-    Peer,
-    Report,
-    Operator,
+    Platform, ///< (a) the platform's version row
+    Peer, ///< (b) a proof that a peer forwarded
+    Report, ///< (c) acknowledgements of all listed instances
+    Operator, ///< (d) an operator's answer to a challenge
 };
 
 inline constexpr std::array<std::string_view, 5> proofSourceNames{ "none", "platform", "peer",
@@ -41,7 +41,8 @@
     proof_source source = proof_source::None;
 };
 
-/// Invariant: `usable.version <= held < pending.version`, as far as the proofs exist.
+/// Freshness of the configuration at one instance. Invariant: `usable.version <= held` and
+/// `held < pending.version`, for those of the two proofs that exist.
 struct freshness
 {
     configuration_version held = 0; ///< version in force at this instance; 0: none
@@ -50,25 +51,25 @@
     duration proofLifetime = defaultProofLifetime; ///< setting `keys.unproven_wait`
 };
 
-/// @brief Takes in a proof; an older one changes nothing.
+/// @brief Adds a proof. A proof that is older than the known one is ignored.
 /// @complexity constant
 void addProof(freshness &state, const freshness_proof &proof);
 
-/// @brief Notes that @p version is in force now. Versions only increase.
+/// @brief Records that @p version is in force now. It must not be lower than the previous one.
 /// @complexity constant
 void setHeldVersion(freshness &state, configuration_version version);
 
-/// @brief Proof (a): the platform answered with @p version to a question sent at @p sentAt.
+/// @brief Adds proof (a): the platform answered a request sent at @p sentAt with @p version.
 void addPlatformProof(freshness &state, configuration_version version, time_point sentAt);
 
-/// @brief Proof (b): a peer stated a proof of the given age, asked at @p sentAt.
-/// @param age age when the peer answered; a negative one counts as 0
+/// @brief Adds proof (b): a peer answered a request sent at @p sentAt with a proof of age @p age.
+/// @param age age of the proof when the peer answered; a negative age counts as 0
 void addPeerProof(freshness &state, configuration_version version, duration age, time_point sentAt);
 
-/// @brief Proof (d): an operator signed @p version against a challenge issued at @p issuedAt.
+/// @brief Adds proof (d): an operator signed @p version for a challenge issued at @p issuedAt.
 void addOperatorProof(freshness &state, configuration_version version, time_point issuedAt);
 
-/// @return the time from which keys are refused if no further proof comes; time_point::min() if
+/// @return the time from which keys are refused unless a newer proof arrives; time_point::min() if
 /// there is no usable proof
 [[nodiscard]] time_point proofExpiresAt(const freshness &state);
 
--- a/include/fuchsiagw/core/platform_protocol.hpp
+++ b/include/fuchsiagw/core/platform_protocol.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief What the proxy and the platform (table service, object store, instance list) say to each
-/// other.
+/// @brief Requests and answers between the proxy and the platform (table service, object store,
+/// instance list).
 ///
-/// This is the whole interface to the platform. The JSON form is in wire/platform_json.hpp, the
-/// transport in net/; another transport or a test bench can stand behind these structs.
+/// This is the whole interface to the platform. The JSON encoding is in wire/platform_json.hpp and
+/// the transport in net/. Another transport or a test double can implement the same structs.
 
 #pragma once
 
@@ -38,7 +38,7 @@
     friend bool operator==(const scan_answer &, const scan_answer &) = default;
 };
 
-/// Condition of a transaction: the row has exactly this version.
+/// Precondition of a transaction: the row has exactly this version.
 struct row_check
 {
     std::string key;
@@ -55,13 +55,13 @@
     friend bool operator==(const row_put &, const row_put &) = default;
 };
 
-/// Body of `POST /transact`. Everything happens together or not at all.
+/// Body of `POST /transact`. All puts and deletes take effect atomically, or none does.
 struct transact_request
 {
-    std::string id; ///< a repeated request with the same id gets the first result
+    std::string id; ///< idempotency key: a repeated request gets the result of the first
     std::vector<row_check> checks;
     std::vector<row_put> puts;
-    std::vector<std::string> deletes; ///< keys
+    std::vector<std::string> deletes; ///< keys of rows to delete
 
     friend bool operator==(const transact_request &, const transact_request &) = default;
 };
@@ -89,7 +89,7 @@
 
 enum class instance_state : std::uint8_t {
     Live,
-    Leaving, ///< gets no new work
+    Leaving, ///< shutting down; receives no new work
 };
 
 inline constexpr std::array<std::string_view, 2> instanceStateNames{ "live", "leaving" };
@@ -99,13 +99,13 @@
     return instanceStateNames.at(static_cast<std::size_t>(state));
 }
 
-/// An instance as the platform's list, which lags, shows it.
+/// Entry of the platform's instance list, which lags behind the actual state.
 struct instance_entry
 {
     instance_id instance; ///< the member id if the instance is an upstream
     instance_kind kind = instance_kind::Entry;
     zone_name zone;
-    std::string address; ///< IP number and port; the peer address if the instance is an entry
+    std::string address; ///< IP address and port; for an entry instance its peer address
     instance_state state = instance_state::Live;
 
     friend bool operator==(const instance_entry &, const instance_entry &) = default;
--- a/include/fuchsiagw/core/release_note.hpp
+++ b/include/fuchsiagw/core/release_note.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// @brief Release notes: the only way to change the configuration.
+/// @brief Release notes, the only means to change the configuration.
 ///
-/// A note lists the sections that it adds, changes and withdraws. It is applied only if the list is
-/// the exact difference that it makes.
+/// A note lists the sections that it adds, changes and withdraws. It is applied only if its list is
+/// exactly the difference between the configurations before and after it.
 
 #pragma once
 
@@ -18,10 +18,10 @@
 namespace fuchsiagw::core {
 
 enum class section_kind : std::uint8_t {
-    Group, ///< slots and connections
+    Group, ///< slots and connections of a group
     Member,
-    Workspace, ///< groups that it may use
-    Rate, ///< rate and burst; exists with its workspace
+    Workspace, ///< groups that a workspace may use
+    Rate, ///< rate and burst of a workspace; every workspace has exactly one
     Key,
     ReadClass,
     Switch,
@@ -36,7 +36,7 @@
     return sectionKindNames.at(static_cast<std::size_t>(kind));
 }
 
-/// Names one section of a configuration.
+/// Identifies one section of a configuration.
 struct section
 {
     section_kind kind = section_kind::Group;
@@ -74,7 +74,7 @@
     friend bool operator==(const rate_section &, const rate_section &) = default;
 };
 
-/// A key has no content beside its hash.
+/// A key has no content besides its hash.
 struct key_section
 {
     friend bool operator==(const key_section &, const key_section &) = default;
@@ -91,8 +91,8 @@
 using section_value = std::variant<group_section, member_settings, workspace_section, rate_section,
                                    key_section, read_class, switch_section>;
 
-/// A difference between two configurations. Invariant: a section is in one list at most, and the
-/// value of a section has the alternative of its kind.
+/// Difference between two configurations. Invariant: a section occurs in at most one of the three
+/// lists, and its value holds the alternative that belongs to its kind.
 struct section_changes
 {
     std::map<section, section_value> added;
@@ -108,8 +108,8 @@
 
 struct release_note
 {
-    std::string id; ///< a name; the note with this id is applied once at most
-    configuration_version base = 0; ///< version that the note changes
+    std::string id; ///< a valid name; at most one note with this id is ever applied
+    configuration_version base = 0; ///< version to which the note applies
     section_changes list;
 
     friend bool operator==(const release_note &, const release_note &) = default;
@@ -119,28 +119,27 @@
 struct note_problem
 {
     error_kind kind = error_kind::NoteInvalid; ///< NoteInvalid, NoteConflict or NoteNotExact
-    std::string text; ///< for people
-    section_changes actual; ///< the difference that the note makes, for NoteNotExact
+    std::string text; ///< human-readable
+    section_changes actual; ///< for NoteNotExact: the difference that the note really makes
 };
 
-/// @return for people, such as "member m1 of group hire"; key hashes are shortened
+/// @return a human-readable name, such as "member m1 of group hire"; key hashes are shortened
 [[nodiscard]] std::string toString(const section &where);
 
-/// @return for people, such as "rate 5, burst 10"; empty for keys
+/// @return a human-readable value, such as "rate 5, burst 10"; empty for keys
 [[nodiscard]] std::string toString(const section_value &value);
 
-/// @return every section that is in force, with its content
+/// @return every section in force, with its content
 /// @complexity linear in the size of @p config, times the logarithm of its sections
 [[nodiscard]] std::map<section, section_value> sectionsOf(const configuration &config);
 
-/// @return the difference that leads from @p from to @p to
+/// @return the changes that turn @p from into @p to
 /// @complexity linear in the sizes, times the logarithm of the sections
 [[nodiscard]] section_changes diffConfigurations(const configuration &from,
                                                  const configuration &to);
 
-/// @brief Applies a note.
+/// @brief Applies a note to the newest configuration.
 /// @param base the newest configuration
-/// @param note the note
 /// @param result the next version; set only on success
 /// @param problem set only on failure
 /// @return NoteConflict if @p note names another base; NoteInvalid if the result breaks an
--- a/src/core/config_spread.cpp
+++ b/src/core/config_spread.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Waves over the tree.
+/// @brief Rounds of digests and acknowledgements over the tree.
 
 #include <fuchsiagw/core/config_spread.hpp>
 
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr std::size_t maxSentAcknowledgements = 16; ///< as many as `included` has bits
-constexpr unsigned firstFastWaves = 4;
+constexpr std::size_t maxSentAcknowledgements = 16; ///< the number of bits of `included`
+constexpr unsigned initialFastRounds = 4;
 constexpr int windowPercent = 70; ///< part of the period in which acknowledgements count
-constexpr int resendPercent = 40; ///< part of the window's rest after which a digest is repeated
-constexpr auto shortestResend = std::chrono::milliseconds(100); ///< rest of a window
-constexpr int missedPeriods = 3; ///< a child that is silent for so long is not waited for
-constexpr auto adoptionPause = std::chrono::milliseconds(300);
+constexpr int resendPercent = 40; ///< part of the remaining window before a resend
+constexpr auto minResendWindow = std::chrono::milliseconds(100); ///< no resend in less time
+constexpr int maxMissedPeriods = 3; ///< a round doesn't wait for a child after them
+constexpr auto adoptionRetryInterval = std::chrono::milliseconds(300);
 
 using action = spread_action;
 
@@ -25,10 +25,10 @@
     return state.parent.empty();
 }
 
-bool isWaitedFor(const spread_state &state, const spread_child &child, time_point now)
+bool isResponsive(const spread_state &state, const spread_child &child, time_point now)
 {
     return child.heardAt != time_point::min()
-           && now - child.heardAt < missedPeriods * state.settings.period;
+           && now - child.heardAt < maxMissedPeriods * state.settings.period;
 }
 
 void send(std::vector<action> &actions, const instance_id &peer, const spread_message &message)
@@ -52,7 +52,7 @@
     actions.push_back(std::move(next));
 }
 
-spread_message messageOf(const spread_state &state, const freshness &proofs, spread_kind kind)
+spread_message makeMessage(const spread_state &state, const freshness &proofs, spread_kind kind)
 {
     spread_message message;
     message.kind = kind;
@@ -65,40 +65,41 @@
 void sendDigest(const spread_state &state, const freshness &proofs, const instance_id &peer,
                 const spread_child &child, time_point now, std::vector<action> &actions)
 {
-    spread_message message = messageOf(state, proofs, spread_kind::Digest);
+    spread_message message = makeMessage(state, proofs, spread_kind::Digest);
     message.provenRound = state.provenRound;
     message.provenVersion = state.provenVersion;
     message.included = child.counted & state.included;
     message.oldest = state.everywhere;
-    const auto left = std::chrono::duration_cast<std::chrono::microseconds>(
+    const auto remaining = std::chrono::duration_cast<std::chrono::microseconds>(
             state.windowEndsAt - now - state.settings.hopAllowance);
     message.windowMicroseconds =
-            static_cast<std::uint32_t>(std::max<std::int64_t>(left.count(), 0));
+            static_cast<std::uint32_t>(std::max<std::int64_t>(remaining.count(), 0));
     send(actions, peer, message);
 }
 
-void remember(spread_state &state, time_point at)
+void recordSentAcknowledgement(spread_state &state, time_point at)
 {
     state.sent.push_back({ state.root, state.roundNumber, at });
     if (state.sent.size() > maxSentAcknowledgements)
         state.sent.pop_front();
 }
 
-/// Opens a round here and passes it on. The bits of earlier waves move by the difference.
+/// Opens a round at this instance. The bits in `counted` shift by the number of rounds since the
+/// last one.
 void openRound(spread_state &state, std::uint64_t root, std::uint64_t roundNumber, duration window,
                time_point now, std::vector<action> &actions)
 {
     const bool isNewRoot = root != state.root;
-    const std::uint64_t steps = roundNumber - state.roundNumber;
+    const std::uint64_t advancedRounds = roundNumber - state.roundNumber;
     assert(isNewRoot || roundNumber > state.roundNumber);
     for (auto &[peer, child] : state.children) {
         const bool wasCounted = child.acknowledgedRound == state.roundNumber && !state.isOpen;
-        if (isNewRoot || steps > maxSentAcknowledgements) {
+        if (isNewRoot || advancedRounds > maxSentAcknowledgements) {
             child.counted = 0;
         } else {
             const unsigned last = wasCounted ? 1U : 0U;
-            child.counted =
-                    static_cast<std::uint16_t>(((child.counted << 1U) | last) << (steps - 1));
+            child.counted = static_cast<std::uint16_t>(((child.counted << 1U) | last)
+                                                       << (advancedRounds - 1));
         }
         if (isNewRoot)
             child.acknowledgedRound = 0;
@@ -125,17 +126,17 @@
     }
 }
 
-void passOn(const spread_state &state, const freshness &proofs, time_point now,
-            std::vector<action> &actions)
+void sendDigests(const spread_state &state, const freshness &proofs, time_point now,
+                 std::vector<action> &actions)
 {
     for (const auto &[peer, child] : state.children)
         sendDigest(state, proofs, peer, child, now, actions);
 }
 
-/// Sums up this instance and the children that acknowledged the round.
-spread_message reportOf(const spread_state &state, const freshness &proofs)
+/// Aggregates this instance and the children that acknowledged the round.
+spread_message makeReport(const spread_state &state, const freshness &proofs)
 {
-    spread_message report = messageOf(state, proofs, spread_kind::Acknowledgement);
+    spread_message report = makeMessage(state, proofs, spread_kind::Acknowledgement);
     report.newest = proofs.held;
     report.oldest = proofs.held;
     report.count = 1;
@@ -146,45 +147,45 @@
     for (const auto &[peer, child] : state.children) {
         if (child.acknowledgedRound != state.roundNumber)
             continue;
-        const spread_message &part = child.report;
-        report.newest = std::max(report.newest, part.newest);
-        report.oldest = std::min(report.oldest, part.oldest);
-        report.count += part.count;
-        report.instanceHashSum += part.instanceHashSum;
-        report.hasUnresolvedSubmit = report.hasUnresolvedSubmit || part.hasUnresolvedSubmit;
-        if (std::tie(part.provenRound, part.provenVersion)
+        const spread_message &childReport = child.report;
+        report.newest = std::max(report.newest, childReport.newest);
+        report.oldest = std::min(report.oldest, childReport.oldest);
+        report.count += childReport.count;
+        report.instanceHashSum += childReport.instanceHashSum;
+        report.hasUnresolvedSubmit = report.hasUnresolvedSubmit || childReport.hasUnresolvedSubmit;
+        if (std::tie(childReport.provenRound, childReport.provenVersion)
             > std::tie(report.provenRound, report.provenVersion)) {
-            report.provenRound = part.provenRound;
-            report.provenVersion = part.provenVersion;
+            report.provenRound = childReport.provenRound;
+            report.provenVersion = childReport.provenVersion;
         }
     }
     return report;
 }
 
-/// Turns the proof of a round into one of this instance: from the newest counted
-/// acknowledgement before that round, or for the root from the round's own start.
-void useProof(const spread_state &state, freshness &proofs, proof_source source)
+/// Derives this instance's own proof from the proof of a round. Its time is that of the newest
+/// counted acknowledgement before the proven round, or at the root the start of the round.
+void applyRoundProof(const spread_state &state, freshness &proofs, proof_source source)
 {
     if (state.provenRound == 0)
         return;
     for (auto each = state.sent.rbegin(); each != state.sent.rend(); ++each) {
         if (each->root != state.root)
             continue;
-        bool isBefore = each->roundNumber == state.provenRound;
+        bool isUsable = each->roundNumber == state.provenRound;
         if (!isRoot(state)) {
             const std::uint64_t bit = state.roundNumber - 1 - each->roundNumber;
-            isBefore = each->roundNumber < state.provenRound
+            isUsable = each->roundNumber < state.provenRound
                        && each->roundNumber < state.roundNumber && bit < maxSentAcknowledgements
                        && ((state.included >> bit) & 1U) != 0;
         }
-        if (isBefore) {
+        if (isUsable) {
             addProof(proofs, { state.provenVersion, each->at, source });
             return;
         }
     }
 }
 
-bool isFullReport(const spread_state &state, const spread_message &report)
+bool isCompleteReport(const spread_state &state, const spread_message &report)
 {
     std::uint64_t sum = 0;
     for (const tree_node &each : state.live)
@@ -198,10 +199,10 @@
     proof_source source = proof_source::Platform;
     std::uint64_t roundNumber = report.provenRound;
     configuration_version version = report.provenVersion;
-    const bool isFull = isFullReport(state, report);
-    if (isFull)
+    const bool isComplete = isCompleteReport(state, report);
+    if (isComplete)
         state.everywhere = std::max(state.everywhere, report.oldest);
-    if (roundNumber < state.roundNumber && isFull && !report.hasUnresolvedSubmit) {
+    if (roundNumber < state.roundNumber && isComplete && !report.hasUnresolvedSubmit) {
         roundNumber = state.roundNumber;
         version = report.newest;
         source = proof_source::Report;
@@ -209,11 +210,11 @@
     if (roundNumber > state.provenRound) {
         state.provenRound = roundNumber;
         state.provenVersion = version;
-        useProof(state, proofs, source);
+        applyRoundProof(state, proofs, source);
     }
 }
 
-/// Closes the round if nothing is awaited any more or its window has ended.
+/// Closes the round if no answer is outstanding or its window has ended.
 void closeIfDone(spread_state &state, freshness &proofs, time_point now,
                  std::vector<action> &actions)
 {
@@ -223,16 +224,16 @@
     for (const auto &[peer, child] : state.children)
         isDone = isDone
                  && (child.acknowledgedRound == state.roundNumber
-                     || !isWaitedFor(state, child, now));
+                     || !isResponsive(state, child, now));
     if (!isDone && now < state.windowEndsAt)
         return;
     state.isOpen = false;
     state.resendAt = time_point::max();
-    const spread_message report = reportOf(state, proofs);
+    const spread_message report = makeReport(state, proofs);
     if (isRoot(state)) {
         closeAsRoot(state, proofs, report);
     } else {
-        remember(state, now);
+        recordSentAcknowledgement(state, now);
         send(actions, state.parent, report);
     }
 }
@@ -243,7 +244,7 @@
     state.included = 0xffff;
     state.isOpen = false;
     state.nextRoundAt = now;
-    state.fastRoundsLeft = firstFastWaves;
+    state.fastRoundsLeft = initialFastRounds;
     state.nextAdoptionAt = now;
     state.adoptionIndex = 0;
 }
@@ -255,9 +256,9 @@
     state.fastRoundsLeft -= isFast ? 1 : 0;
     const duration period = isFast ? state.settings.fastPeriod : state.settings.period;
     openRound(state, state.ownRoot, ++state.ownRound, period * windowPercent / 100, now, actions);
-    remember(state, now);
+    recordSentAcknowledgement(state, now);
     state.nextRoundAt = now + period;
-    passOn(state, proofs, now, actions);
+    sendDigests(state, proofs, now, actions);
 }
 
 bool isAcceptedParent(const spread_state &state, const instance_id &from, time_point now)
@@ -265,11 +266,11 @@
     if (from == state.parent)
         return true;
     const auto &parents = state.place.parents;
-    const auto offered = std::find(parents.begin(), parents.end(), from);
-    if (offered == parents.end())
+    const auto candidate = std::find(parents.begin(), parents.end(), from);
+    if (candidate == parents.end())
         return isRoot(state) && !parents.empty() && !state.children.contains(from);
     const auto current = std::find(parents.begin(), parents.end(), state.parent);
-    return offered < current || isRoot(state) || now >= state.parentDeadline;
+    return candidate < current || isRoot(state) || now >= state.parentDeadline;
 }
 
 void onDigest(spread_state &state, freshness &proofs, const instance_id &from,
@@ -280,9 +281,10 @@
     fetchIfNewer(proofs, from, message.held, actions);
     const bool isKnownWave = message.root == state.root && message.roundNumber <= state.roundNumber;
     if (isKnownWave && from == state.parent) {
-        // The acknowledgement may have been lost. Its time of sending stays the first one.
+        // The acknowledgement may have been lost, so it is sent again. The recorded time stays that
+        // of the first one, because the parent may have received either.
         if (message.roundNumber == state.roundNumber && !state.isOpen)
-            send(actions, from, reportOf(state, proofs));
+            send(actions, from, makeReport(state, proofs));
         return;
     }
     state.parent = from;
@@ -296,8 +298,8 @@
     state.provenRound = message.provenRound;
     state.provenVersion = message.provenVersion;
     state.everywhere = std::max(state.everywhere, message.oldest);
-    useProof(state, proofs, proof_source::Peer);
-    passOn(state, proofs, now, actions);
+    applyRoundProof(state, proofs, proof_source::Peer);
+    sendDigests(state, proofs, now, actions);
     closeIfDone(state, proofs, now, actions);
 }
 
@@ -349,7 +351,7 @@
         if (child != state.parent)
             state.children[child].isAdopted = false;
     }
-    // A parent that is no longer listed is given up at once.
+    // An instance that is no longer among the candidate parents is dropped at the next tick.
     const auto &parents = state.place.parents;
     if (!isRoot(state) && std::find(parents.begin(), parents.end(), state.parent) == parents.end())
         state.parentDeadline = now;
@@ -360,26 +362,26 @@
                 std::vector<spread_action> &actions)
 {
     std::erase_if(state.children, [&](const auto &each) {
-        return each.second.isAdopted && !isWaitedFor(state, each.second, now);
+        return each.second.isAdopted && !isResponsive(state, each.second, now);
     });
     closeIfDone(state, proofs, now, actions);
     if (!isRoot(state) && now >= state.parentDeadline)
         becomeRoot(state, now);
     const auto &parents = state.place.parents;
     if (isRoot(state) && !parents.empty() && now >= state.nextAdoptionAt) {
-        spread_message question = messageOf(state, proofs, spread_kind::Acknowledgement);
-        question.roundNumber = 0;
-        send(actions, parents[state.adoptionIndex++ % parents.size()], question);
-        state.nextAdoptionAt = now + adoptionPause;
+        spread_message adoptionRequest = makeMessage(state, proofs, spread_kind::Acknowledgement);
+        adoptionRequest.roundNumber = 0;
+        send(actions, parents[state.adoptionIndex++ % parents.size()], adoptionRequest);
+        state.nextAdoptionAt = now + adoptionRetryInterval;
     }
     if (isRoot(state) && now >= state.nextRoundAt)
         startRound(state, proofs, now, actions);
     if (state.isOpen && now >= state.resendAt) {
-        const duration left = state.windowEndsAt - now;
-        state.resendAt =
-                left < shortestResend ? time_point::max() : now + left * resendPercent / 100;
+        const duration remaining = state.windowEndsAt - now;
+        state.resendAt = remaining < minResendWindow ? time_point::max()
+                                                     : now + remaining * resendPercent / 100;
         for (const auto &[peer, child] : state.children) {
-            if (child.acknowledgedRound != state.roundNumber && isWaitedFor(state, child, now))
+            if (child.acknowledgedRound != state.roundNumber && isResponsive(state, child, now))
                 sendDigest(state, proofs, peer, child, now, actions);
         }
     }
@@ -446,7 +448,7 @@
                         std::vector<spread_action> &actions)
 {
     setHeldVersion(proofs, version);
-    const spread_message message = messageOf(state, proofs, spread_kind::Announcement);
+    const spread_message message = makeMessage(state, proofs, spread_kind::Announcement);
     if (!isRoot(state))
         send(actions, state.parent, message);
     for (const auto &[peer, child] : state.children)
--- a/src/core/config_store.cpp
+++ b/src/core/config_store.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief State machines of submitting and of taking in a configuration.
+/// @brief State machines that submit a release note and install a configuration.
 
 #include <fuchsiagw/core/config_store.hpp>
 
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr std::string_view objectPrefix = "configuration-";
-constexpr auto firstPause = std::chrono::milliseconds(50);
-constexpr auto longestPause = std::chrono::milliseconds(1600);
-constexpr unsigned mostDoublings = 5; ///< from firstPause to longestPause
-constexpr auto fetchTime = std::chrono::seconds(2); ///< for one fetch, then another source is asked
-constexpr std::size_t maxEarlier = 8;
+constexpr auto initialRetryDelay = std::chrono::milliseconds(50);
+constexpr auto maxRetryDelay = std::chrono::milliseconds(1600);
+constexpr unsigned maxRetryDoublings = 5; ///< initialRetryDelay * 2^5 is maxRetryDelay
+constexpr auto fetchTimeout = std::chrono::seconds(2); ///< after it the next source is tried
+constexpr std::size_t maxEarlierVersions = 8;
 constexpr std::size_t maxSources = 8;
-constexpr unsigned maxRefusals = 3; ///< one shows the winner; more mean a platform at fault
+constexpr unsigned maxCommitConflicts = 3; ///< repeated ones mean a faulty platform
 
-bool splitTwo(std::string_view text, std::string_view &first, std::string_view &rest)
+bool splitAtSpace(std::string_view text, std::string_view &first, std::string_view &rest)
 {
     const std::size_t space = text.find(' ');
     if (space == std::string_view::npos || space == 0 || space + 1 == text.size())
@@ -44,7 +44,8 @@
     return {};
 }
 
-submit_action applied(submit_state &state, configuration_version version, bool wasAppliedBefore)
+submit_action finishApplied(submit_state &state, configuration_version version,
+                            bool wasAppliedBefore)
 {
     state.mayHaveCommitted = false;
     state.result.version = version;
@@ -52,7 +53,7 @@
     return finish(state, {});
 }
 
-submit_action actionOf(const submit_state &state)
+submit_action makeAction(const submit_state &state)
 {
     submit_action action;
     action.step = state.step;
@@ -71,7 +72,8 @@
         action.body = state.nextBody;
         break;
     case submit_step::Commit:
-        // The digest covers id, base and list: the same submit has the same id at every instance.
+        // The digest covers the note's id, base and changes. The same note thus has the same
+        // transaction id at every instance.
         action.transactionId = "note-" + state.noteDigest;
         action.checks = { { std::string(configurationRowKey), state.rowVersion },
                           { noteRowKey(state.note.id), 0 } };
@@ -86,44 +88,45 @@
     return action;
 }
 
-submit_action go(submit_state &state, submit_step step)
+submit_action enterStep(submit_state &state, submit_step step)
 {
     state.step = step;
-    return actionOf(state);
+    return makeAction(state);
 }
 
-submit_action retry(submit_state &state, time_point now)
+submit_action scheduleRetry(submit_state &state, time_point now)
 {
-    const duration pause = std::min<duration>(
-            firstPause * (1U << std::min(state.failures, mostDoublings)), longestPause);
-    ++state.failures;
-    if (now + pause >= state.deadline)
+    const duration delay = std::min<duration>(
+            initialRetryDelay * (1U << std::min(state.consecutiveFailures, maxRetryDoublings)),
+            maxRetryDelay);
+    ++state.consecutiveFailures;
+    if (now + delay >= state.deadline)
         return finish(state, state.mayHaveCommitted ? error_kind::NoteOutcomeUnknown
                                                     : error_kind::PlatformUnavailable);
     if (state.step == submit_step::Commit)
         state.step = submit_step::ReadRow;
-    submit_action action = actionOf(state);
-    action.notBefore = now + pause;
+    submit_action action = makeAction(state);
+    action.notBefore = now + delay;
     return action;
 }
 
-submit_action damaged(submit_state &state, std::string text)
+submit_action failDamaged(submit_state &state, std::string text)
 {
     const error_kind kind =
             state.mayHaveCommitted ? error_kind::NoteOutcomeUnknown : error_kind::Internal;
     return finish(state, kind, { kind, std::move(text), {} });
 }
 
-submit_action onRow(submit_state &state, const platform_answer &answer)
+submit_action onRowRead(submit_state &state, const platform_answer &answer)
 {
     state.rowVersion = answer.isFound ? answer.rowVersion : 0;
     state.row = {};
     if (answer.isFound && !readRow(answer.value, state.row))
-        return damaged(state, "the platform's row 'configuration' is damaged");
-    return go(state, submit_step::ReadNote);
+        return failDamaged(state, "the platform's row 'configuration' is damaged");
+    return enterStep(state, submit_step::ReadNote);
 }
 
-submit_action onBase(submit_state &state, const configuration_codec &codec)
+submit_action prepareNextVersion(submit_state &state, const configuration_codec &codec)
 {
     configuration next;
     note_problem problem;
@@ -133,18 +136,19 @@
     state.nextBody = codec.write(next);
     state.nextName = objectNameOf(next.version, codec.digest(state.nextBody));
     state.next = std::make_shared<const configuration>(std::move(next));
-    return go(state, submit_step::PutObject);
+    return enterStep(state, submit_step::PutObject);
 }
 
-/// The note's row was read after the row with the newest version.
-submit_action onNote(submit_state &state, const platform_answer &answer,
-                     const configuration_codec &codec)
+/// Processes the note's row, which is read after the row with the newest version.
+submit_action onNoteRead(submit_state &state, const platform_answer &answer,
+                         const configuration_codec &codec)
 {
     if (answer.isFound) {
         std::string_view version;
         std::string_view digest;
-        if (!splitTwo(answer.value, version, digest) || !readNumber(version, state.result.version))
-            return damaged(state, "the platform's row of this note is damaged");
+        if (!splitAtSpace(answer.value, version, digest)
+            || !readNumber(version, state.result.version))
+            return failDamaged(state, "the platform's row of this note is damaged");
         if (digest != state.noteDigest) {
             state.mayHaveCommitted = false;
             return finish(state, error_kind::NoteInvalid,
@@ -157,62 +161,66 @@
             && state.nextName == state.row.objectName) {
             state.result.newest = state.next;
             state.result.newestName = state.nextName;
-            return applied(state, state.result.version, true);
+            return finishApplied(state, state.result.version, true);
         }
-        return go(state, submit_step::ReadObject);
+        return enterStep(state, submit_step::ReadObject);
     }
     if (state.mayHaveCommitted) {
-        // The row is where it was: the commit may still arrive. Its id makes a repetition safe.
+        // The newest version is unchanged, so the first commit may still take effect. The
+        // transaction id makes it safe to send the commit again.
         if (state.base && state.row.version == state.base->version)
-            return go(state, submit_step::Commit);
+            return enterStep(state, submit_step::Commit);
         state.mayHaveCommitted = false;
     }
     if (state.row.version > 0)
-        return go(state, submit_step::ReadObject);
+        return enterStep(state, submit_step::ReadObject);
     state.base = std::make_shared<configuration>();
-    return onBase(state, codec);
+    return prepareNextVersion(state, codec);
 }
 
-bool matches(const configuration &config, std::string_view body, const configuration_row &row,
-             const configuration_codec &codec)
+bool matchesRow(const configuration &config, std::string_view body, const configuration_row &row,
+                const configuration_codec &codec)
 {
     return config.version == row.version
            && objectNameOf(config.version, codec.digest(body)) == row.objectName;
 }
 
-submit_action onObject(submit_state &state, const platform_answer &answer, time_point now,
-                       const configuration_codec &codec)
+submit_action onObjectRead(submit_state &state, const platform_answer &answer, time_point now,
+                           const configuration_codec &codec)
 {
     if (!answer.isFound)
-        return retry(state, now);
+        return scheduleRetry(state, now);
     configuration read;
     std::string problem;
-    if (codec.read(answer.value, read, problem) || !matches(read, answer.value, state.row, codec))
-        return damaged(state, "the object '" + state.row.objectName
-                                      + "' does not match its name: " + problem);
+    if (codec.read(answer.value, read, problem)
+        || !matchesRow(read, answer.value, state.row, codec))
+        return failDamaged(state, "the object '" + state.row.objectName
+                                          + "' does not match its name: " + problem);
     state.base = std::make_shared<const configuration>(std::move(read));
     state.result.newest = state.base;
     state.result.newestName = state.row.objectName;
     if (state.result.wasAppliedBefore)
-        return applied(state, state.result.version, true);
-    return onBase(state, codec);
+        return finishApplied(state, state.result.version, true);
+    return prepareNextVersion(state, codec);
 }
 
-submit_action onCommit(submit_state &state, const platform_answer &answer)
+submit_action onCommitAnswer(submit_state &state, const platform_answer &answer)
 {
     if (answer.isFound) {
         state.result.newest = state.next;
         state.result.newestName = state.nextName;
-        return applied(state, state.next->version, false);
+        return finishApplied(state, state.next->version, false);
     }
-    // A definite refusal. Another submit, or the same one at another instance, was first.
+    // The platform refused the commit: another submit, or the same note submitted at another
+    // instance, committed first.
     state.mayHaveCommitted = false;
-    if (++state.refusals > maxRefusals)
+    if (++state.commitConflicts > maxCommitConflicts)
         return finish(state, error_kind::PlatformUnavailable);
-    return go(state, submit_step::ReadRow);
+    return enterStep(state, submit_step::ReadRow);
 }
 
-/// The greatest version first; among equals the one that failed least recently.
+/// Sorts by version, greatest first. Among equal versions the source that failed least recently
+/// stays first.
 void sortSources(std::vector<fetch_source> &sources)
 {
     std::stable_sort(sources.begin(), sources.end(),
@@ -235,7 +243,7 @@
     std::string_view object;
     std::string_view rest;
     configuration_row read;
-    if (!splitTwo(text, version, rest) || !splitTwo(rest, note, object)
+    if (!splitAtSpace(text, version, rest) || !splitAtSpace(rest, note, object)
         || !readNumber(version, read.version) || read.version == 0
         || object.find(' ') != std::string_view::npos)
         return false;
@@ -262,7 +270,7 @@
     state.noteDigest = codec.digest(codec.writeNote(note));
     state.note = std::move(note);
     state.deadline = deadline;
-    return go(state, submit_step::ReadRow);
+    return enterStep(state, submit_step::ReadRow);
 }
 
 submit_action continueSubmit(submit_state &state, const platform_answer &answer, time_point now,
@@ -272,21 +280,21 @@
     if (state.step == submit_step::Commit && !answer.isAnswered)
         state.mayHaveCommitted = true;
     if (!answer.isAnswered)
-        return retry(state, now);
-    state.failures = 0;
+        return scheduleRetry(state, now);
+    state.consecutiveFailures = 0;
     switch (state.step) {
     case submit_step::ReadRow:
-        return onRow(state, answer);
+        return onRowRead(state, answer);
     case submit_step::ReadNote:
-        return onNote(state, answer, codec);
+        return onNoteRead(state, answer, codec);
     case submit_step::ReadObject:
-        return onObject(state, answer, now, codec);
+        return onObjectRead(state, answer, now, codec);
     case submit_step::PutObject:
         if (!answer.isFound)
-            return damaged(state, "the platform has another content under the object's name");
-        return go(state, submit_step::Commit);
+            return failDamaged(state, "the platform has another content under the object's name");
+        return enterStep(state, submit_step::Commit);
     case submit_step::Commit:
-        return onCommit(state, answer);
+        return onCommitAnswer(state, answer);
     case submit_step::Finish:
         break;
     }
@@ -327,13 +335,13 @@
     if (codec.read(body, *read, problem) || codec.write(*read) != body)
         return install_result::Damaged;
     const std::string name = objectNameOf(read->version, codec.digest(body));
-    // A peer may be ahead of what it announced; never behind.
+    // A peer may have installed a newer version since its announcement, but never an older one.
     if (read->version < source.version || (!source.objectName.empty() && source.objectName != name))
         return install_result::Damaged;
     assert(read->version > store.current->version);
     if (store.current->version > 0)
         store.earlier.push_back(store.current);
-    if (store.earlier.size() > maxEarlier)
+    if (store.earlier.size() > maxEarlierVersions)
         store.earlier.pop_front();
     store.current = std::move(read);
     store.currentObjectName = name;
@@ -351,7 +359,7 @@
     const auto known = std::find(store.sources.begin(), store.sources.end(), source);
     if (known == store.sources.end())
         return;
-    // Last for now, whatever its version; it is heard of again if it is the only one.
+    // The source moves to the end whatever its version. It is tried again after the others.
     std::rotate(known, known + 1, store.sources.end());
 }
 
@@ -362,7 +370,7 @@
     if (store.isFetching || store.sources.empty())
         return std::nullopt;
     store.isFetching = true;
-    store.fetchDeadline = now + fetchTime;
+    store.fetchDeadline = now + fetchTimeout;
     return store.sources.front();
 }
 
--- a/src/core/config_tree.cpp
+++ b/src/core/config_tree.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Shape of the tree.
+/// @brief Computation of an instance's place in the tree.
 
 #include <fuchsiagw/core/config_tree.hpp>
 
@@ -10,11 +10,13 @@
 
 namespace {
 
-constexpr std::size_t headFanOut = treeFanOut / 2; ///< of a head, in its zone and among the heads
+constexpr std::size_t headFanOut =
+        treeFanOut / 2; ///< children of a head in its zone, and again among the heads
 
 using zone_members = std::vector<instance_id>;
 
-/// Parent in a zone's subtree: the head has headFanOut children, every other node treeFanOut.
+/// Index of the parent in a zone's subtree. The head has headFanOut children, every other node
+/// treeFanOut.
 std::size_t parentInZone(std::size_t index)
 {
     if (index <= headFanOut)
@@ -30,7 +32,7 @@
     return { first, first + treeFanOut };
 }
 
-void addOnce(std::vector<instance_id> &list, const instance_id &instance, const instance_id &self)
+void addUnique(std::vector<instance_id> &list, const instance_id &instance, const instance_id &self)
 {
     if (instance != self && std::find(list.begin(), list.end(), instance) == list.end())
         list.push_back(instance);
@@ -72,23 +74,23 @@
                 place.children.push_back(zones[zone].front());
         }
         for (std::size_t i = ownIndex; i > 0; i = parentInZone(i))
-            addOnce(place.parents, own[parentInZone(i)], self.instance);
+            addUnique(place.parents, own[parentInZone(i)], self.instance);
         if (ownIndex > 1)
-            addOnce(place.parents, own[1], self.instance);
+            addUnique(place.parents, own[1], self.instance);
     } else {
-        addOnce(place.parents, zones[ownZone].front(), self.instance);
+        addUnique(place.parents, zones[ownZone].front(), self.instance);
     }
     for (std::size_t zone = ownZone; zone > 0; zone = (zone - 1) / headFanOut) {
-        const zone_members &above = zones[(zone - 1) / headFanOut];
-        for (std::size_t i = 0; i < std::min(readersPerZone, above.size()); ++i)
-            addOnce(place.parents, above[i], self.instance);
+        const zone_members &ancestorZone = zones[(zone - 1) / headFanOut];
+        for (std::size_t i = 0; i < std::min(readersPerZone, ancestorZone.size()); ++i)
+            addUnique(place.parents, ancestorZone[i], self.instance);
     }
     return place;
 }
 
 std::uint64_t instanceHash(const instance_id &instance)
 {
-    // FNV-1a, then the finalizer of splitmix64 so that sums of similar names differ.
+    // FNV-1a, followed by the finalizer of splitmix64 so that sums over similar ids differ.
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char each : instance.value)
         hash = (hash ^ static_cast<unsigned char>(each)) * 0x100000001b3ULL;
--- a/src/core/configuration.cpp
+++ b/src/core/configuration.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Questions to a configuration.
+/// @brief Queries and validation of a configuration.
 
 #include <fuchsiagw/core/configuration.hpp>
 
--- a/src/core/release_note.cpp
+++ b/src/core/release_note.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Application of release notes with the check that the list is exact.
+/// @brief Application of release notes, including the check that the list of changes is exact.
 
 #include <fuchsiagw/core/release_note.hpp>
 
@@ -13,13 +13,13 @@
 
 constexpr std::size_t shownHashLength = 12;
 
-std::error_code refuse(note_problem &problem, error_kind kind, std::string text)
+std::error_code rejectNote(note_problem &problem, error_kind kind, std::string text)
 {
     problem = { kind, std::move(text), {} };
     return kind;
 }
 
-std::string textOf(double value)
+std::string formatNumber(double value)
 {
     std::array<char, 32> text{};
     const auto end = std::to_chars(text.data(), text.data() + text.size(), value);
@@ -27,7 +27,7 @@
 }
 
 /// Finds the workspace to which a key hash belongs or belonged.
-const workspace_id *findOwner(const configuration &config, const key_hash &hash)
+const workspace_id *findKeyOwner(const configuration &config, const key_hash &hash)
 {
     const auto retired = config.retiredKeys.find(hash);
     if (retired != config.retiredKeys.end())
@@ -39,7 +39,7 @@
     return nullptr;
 }
 
-void withdraw(configuration &config, const section &where)
+void withdrawSection(configuration &config, const section &where)
 {
     const auto workspace = config.workspaces.find({ where.owner });
     const auto group = config.groups.find({ where.owner });
@@ -66,8 +66,8 @@
         if (workspace != config.workspaces.end())
             workspace->second.readClasses.erase(where.name);
         break;
-    case section_kind::Rate: // goes with its workspace
-    case section_kind::Switch: // always exists
+    case section_kind::Rate: // removed together with its workspace
+    case section_kind::Switch: // can't be removed
         break;
     }
 }
@@ -78,8 +78,9 @@
            || kind == section_kind::ReadClass;
 }
 
-/// Writes a section; @return a problem, or an empty text.
-std::string put(configuration &config, const section &where, const section_value &value)
+/// Adds or replaces a section.
+/// @return the problem if the section can't be written; otherwise empty
+std::string writeSection(configuration &config, const section &where, const section_value &value)
 {
     if (value.index() != static_cast<std::size_t>(where.kind))
         return "the content of " + toString(where) + " is of another kind";
@@ -109,7 +110,7 @@
         workspace->second.burst = std::get<rate_section>(value).burst;
         break;
     case section_kind::Key: {
-        const workspace_id *owner = findOwner(config, where.name);
+        const workspace_id *owner = findKeyOwner(config, where.name);
         if (owner != nullptr)
             return "the " + toString(where) + " was issued to workspace '" + owner->value
                    + "' before; create another key";
@@ -152,7 +153,7 @@
 }
 
 template <typename list>
-const section &sectionIn(const list &entry)
+const section &entrySection(const list &entry)
 {
     if constexpr (std::is_same_v<list, section>)
         return entry;
@@ -161,18 +162,19 @@
 }
 
 template <typename list>
-void compareLists(std::string_view verb, const list &listed, const list &actual, std::string &text)
+void appendListDifferences(std::string_view verb, const list &listed, const list &actual,
+                           std::string &text)
 {
     const auto add = [&](std::string_view what, const section &where) {
         text.append(text.empty() ? "" : "; ").append(toString(where)).append(what).append(verb);
     };
     for (const auto &each : listed) {
-        if (!actual.contains(sectionIn(each)))
-            add(" is listed but not ", sectionIn(each));
+        if (!actual.contains(entrySection(each)))
+            add(" is listed but not ", entrySection(each));
     }
     for (const auto &each : actual) {
-        if (!listed.contains(sectionIn(each)))
-            add(" is not listed but ", sectionIn(each));
+        if (!listed.contains(entrySection(each)))
+            add(" is not listed but ", entrySection(each));
     }
 }
 
@@ -218,7 +220,7 @@
         }
         std::string operator()(const rate_section &each) const
         {
-            return "rate " + textOf(each.rate) + ", burst " + textOf(each.burst);
+            return "rate " + formatNumber(each.rate) + ", burst " + formatNumber(each.burst);
         }
         std::string operator()(const key_section & /*each*/) const { return {}; }
         std::string operator()(const read_class &each) const
@@ -284,33 +286,33 @@
                           configuration &result, note_problem &problem)
 {
     if (std::string text = findListProblem(note); !text.empty())
-        return refuse(problem, error_kind::NoteInvalid, std::move(text));
+        return rejectNote(problem, error_kind::NoteInvalid, std::move(text));
     if (note.base != base.version)
-        return refuse(problem, error_kind::NoteConflict,
-                      "the note changes version " + std::to_string(note.base)
-                              + ", the newest is version " + std::to_string(base.version));
+        return rejectNote(problem, error_kind::NoteConflict,
+                          "the note changes version " + std::to_string(note.base)
+                                  + ", the newest is version " + std::to_string(base.version));
     configuration next = base;
     for (const section &where : note.list.withdrawn)
-        withdraw(next, where);
+        withdrawSection(next, where);
     for (const auto *entries : { &note.list.added, &note.list.changed }) {
         for (const auto &[where, value] : *entries) {
-            if (std::string text = put(next, where, value); !text.empty())
-                return refuse(problem, error_kind::NoteInvalid, std::move(text));
+            if (std::string text = writeSection(next, where, value); !text.empty())
+                return rejectNote(problem, error_kind::NoteInvalid, std::move(text));
         }
     }
     const section_changes actual = diffConfigurations(base, next);
     if (actual != note.list) {
         std::string text;
-        compareLists("added", note.list.added, actual.added, text);
-        compareLists("changed", note.list.changed, actual.changed, text);
-        compareLists("withdrawn", note.list.withdrawn, actual.withdrawn, text);
+        appendListDifferences("added", note.list.added, actual.added, text);
+        appendListDifferences("changed", note.list.changed, actual.changed, text);
+        appendListDifferences("withdrawn", note.list.withdrawn, actual.withdrawn, text);
         problem = { error_kind::NoteNotExact, std::move(text), actual };
         return error_kind::NoteNotExact;
     }
     next.version = base.version + 1;
     if (std::string text = findProblem(next); !text.empty())
-        return refuse(problem, error_kind::NoteInvalid, std::move(text));
-    // Withdrawals are final: every key that was refused before is refused after.
+        return rejectNote(problem, error_kind::NoteInvalid, std::move(text));
+    // A withdrawn key never becomes valid again, so every retired key stays retired.
     assert(std::all_of(base.retiredKeys.begin(), base.retiredKeys.end(), [&next](const auto &each) {
         return next.retiredKeys.contains(each.first);
     }));
--- a/tests/unit-config-matrix.cpp
+++ b/tests/unit-config-matrix.cpp
@@ -1,5 +1,9 @@
 /// @file
-/// @brief Every fault at every step of a change of the configuration, alone and in all pairs.
+/// @brief Injects every fault at every step of a configuration change, alone and in all pairs.
+///
+/// The prefixes of the failure texts name the checked guarantees. M6: a withdrawn key is refused at
+/// every instance after the lifetime of a proof. M13: versions never revert, and an accepted
+/// version comes into force at every instance.
 
 #include <fuchsiagw/testing/config_world.hpp>
 
@@ -16,7 +20,8 @@
 
 namespace {
 
-/// Where a fault begins. ReadBack needs a lost answer of the commit, which the case adds.
+/// Step at which a fault begins. ReadBack happens only if the answer to the commit is lost, so the
+/// test case loses it.
 enum class stage : std::uint8_t { Read, PutObject, Commit, ReadBack, Spread, Apply, Accepted };
 
 constexpr std::array<std::string_view, 7> stageNames{ "read",      "put_object", "commit",
@@ -45,12 +50,12 @@
 
 constexpr std::size_t instanceCount = 12;
 constexpr std::size_t submitter = 4;
-constexpr std::size_t bystander = 7; ///< in another zone than the submitter
-constexpr core::duration faultTime = 8s; ///< longer than the wait for proofs
+constexpr std::size_t otherInstance = 7; ///< in another zone than the submitter
+constexpr core::duration faultDuration = 8s; ///< longer than the lifetime of a proof
 constexpr core::duration inForceBound = 12s; ///< docs/design.md, 1.4
-constexpr auto observation = 50ms;
+constexpr auto observationInterval = 50ms;
 const core::time_point changeAt{ 112s };
-const core::time_point lastEnd{ 165s };
+const core::time_point runEndsAt{ 165s };
 
 const core::key_hash keptKey(core::keyHashLength, 'a');
 const core::key_hash withdrawnKey(core::keyHashLength, 'b');
@@ -88,7 +93,7 @@
 {
     fault_kind kind = fault_kind::PlatformDown;
     stage at = stage::Read;
-    core::duration time = faultTime;
+    core::duration time = faultDuration;
 };
 
 std::string toString(const planned_fault &each)
@@ -97,7 +102,7 @@
            + std::string(stageNames.at(static_cast<std::size_t>(each.at)));
 }
 
-/// One run with its faults, and what the checkers found.
+/// One run with planned faults, and the first violation that the checks found.
 class matrix_case
 {
 public:
@@ -114,32 +119,32 @@
         world_.onVersionInstalled = [this](std::size_t /*instance*/,
                                            core::configuration_version version) {
             if (version >= 2)
-                reach(stage::Spread);
+                onStageReached(stage::Spread);
         };
         world_.onBodyArrived = [this](std::size_t instance, core::configuration_version version) {
             if (version >= 2 && instance != submitter)
-                reach(stage::Apply);
+                onStageReached(stage::Apply);
         };
         world_.at(core::time_point(103s), [this] { world_.submit(baseNote(), 0); });
         world_.runUntil(changeAt);
         for (std::size_t i = 0; i < world_.size(); ++i)
             require(!world_.check(i, withdrawnKey).error.has_value(), "base is not in force");
         world_.submit(changeNote(), submitter);
-        while (world_.now() < lastEnd) {
-            world_.runUntil(world_.now() + observation);
+        while (world_.now() < runEndsAt) {
+            world_.runUntil(world_.now() + observationInterval);
             observe();
         }
-        checkEnd();
+        checkOutcome();
         return problem_;
     }
 
-    /// Whether the planned faults began; a fault whose stage is never reached is no evidence. After
-    /// a rival has won there is no acceptance to wait for.
+    /// Tells whether all planned faults began; a run that never reaches the stage of a fault tests
+    /// nothing. If the rival note won, the change is never accepted and stage Accepted is exempt.
     [[nodiscard]] bool haveAllStarted() const
     {
         for (std::size_t i = 0; i < planned_.size(); ++i) {
-            const bool isMoot = planned_[i].at == stage::Accepted && !acceptedAt();
-            if (!hasStarted_[i] && !isMoot)
+            const bool isUnreachable = planned_[i].at == stage::Accepted && !acceptedAt();
+            if (!hasStarted_[i] && !isUnreachable)
                 return false;
         }
         return true;
@@ -157,31 +162,31 @@
         if (world_.now() < changeAt)
             return;
         if (step == submit_step::ReadRow)
-            reach(hasCommitted_ ? stage::ReadBack : stage::Read);
+            onStageReached(hasCommitted_ ? stage::ReadBack : stage::Read);
         if (step == submit_step::PutObject)
-            reach(stage::PutObject);
+            onStageReached(stage::PutObject);
         if (step == submit_step::Commit) {
             hasCommitted_ = true;
             for (std::size_t i = 0; i < planned_.size(); ++i) {
                 if (planned_[i].at == stage::ReadBack && !hasStarted_[i])
                     world_.faults.lostAnswers = 1;
             }
-            reach(stage::Commit);
+            onStageReached(stage::Commit);
         }
     }
 
-    void reach(stage reached)
+    void onStageReached(stage reached)
     {
         for (std::size_t i = 0; i < planned_.size(); ++i) {
             if (hasStarted_[i] || planned_[i].at != reached)
                 continue;
             hasStarted_[i] = true;
-            begin(planned_[i]);
-            lastFaultEnd_ = std::max(lastFaultEnd_, world_.now() + planned_[i].time);
+            injectFault(planned_[i]);
+            lastFaultEndsAt_ = std::max(lastFaultEndsAt_, world_.now() + planned_[i].time);
         }
     }
 
-    void begin(const planned_fault &fault)
+    void injectFault(const planned_fault &fault)
     {
         world_faults &faults = world_.faults;
         const core::time_point end = world_.now() + fault.time;
@@ -198,14 +203,14 @@
             faults.lostAnswers += 2;
             break;
         case fault_kind::OperatorsRace:
-            world_.at(world_.now(), [this] { world_.submit(rivalNote(), bystander); });
+            world_.at(world_.now(), [this] { world_.submit(rivalNote(), otherInstance); });
             break;
         case fault_kind::DuplicateSubmit:
-            world_.at(world_.now(), [this] { world_.submit(changeNote(), bystander); });
+            world_.at(world_.now(), [this] { world_.submit(changeNote(), otherInstance); });
             break;
         case fault_kind::PeerCut:
-            faults.cut.insert(bystander);
-            world_.at(end, [&faults] { faults.cut.erase(bystander); });
+            faults.cut.insert(otherInstance);
+            world_.at(end, [&faults] { faults.cut.erase(otherInstance); });
             break;
         case fault_kind::ZoneCut:
             faults.cutZone = { "zone-2" };
@@ -229,7 +234,7 @@
             restart(submitter);
             break;
         case fault_kind::RestartOther:
-            restart(bystander);
+            restart(otherInstance);
             break;
         }
     }
@@ -240,7 +245,8 @@
         versions_[instance] = 0;
     }
 
-    /// When the withdrawal is known to be accepted; a commit alone has been told to nobody.
+    /// Time at which the acceptance of the withdrawal was reported to an operator. A commit alone
+    /// is not reported.
     [[nodiscard]] std::optional<core::time_point> acceptedAt() const
     {
         const auto record = world_.operators().find("change");
@@ -251,16 +257,16 @@
     {
         const auto accepted = acceptedAt();
         if (accepted)
-            reach(stage::Accepted);
+            onStageReached(stage::Accepted);
         for (std::size_t i = 0; i < world_.size(); ++i) {
             require(world_.versionOf(i) >= versions_[i], "M13: an instance reverted");
             versions_[i] = world_.versionOf(i);
-            // M6: the wait counts from the acceptance, on cut instances too.
+            // The lifetime of a proof counts from the acceptance, also at partitioned instances.
             if (accepted && world_.now() > *accepted + core::defaultProofLifetime)
                 require(world_.check(i, withdrawnKey).error.has_value(),
                         "M6: the withdrawn key is accepted");
         }
-        const core::time_point end = std::max(lastFaultEnd_, accepted.value_or(changeAt));
+        const core::time_point end = std::max(lastFaultEndsAt_, accepted.value_or(changeAt));
         if (world_.now() < end + inForceBound || world_.commits().empty())
             return;
         const world_commit &newest = world_.commits().back();
@@ -273,7 +279,7 @@
         }
     }
 
-    void checkEnd()
+    void checkOutcome()
     {
         const std::map<std::string, core::release_note> notes{ { "base", baseNote() },
                                                                { "change", changeNote() },
@@ -298,7 +304,7 @@
     std::vector<planned_fault> planned_;
     std::vector<bool> hasStarted_;
     std::vector<core::configuration_version> versions_;
-    core::time_point lastFaultEnd_ = changeAt;
+    core::time_point lastFaultEndsAt_ = changeAt;
     bool hasCommitted_ = false;
     std::string problem_;
 };
@@ -317,7 +323,7 @@
 
 TEST_GROUP(config_matrix){};
 
-// Guards against any of the faults at any of the steps.
+// Guards against a single fault at any step that breaks a guarantee.
 TEST(config_matrix, everyFaultAtEveryStage)
 {
     for (const planned_fault &each : allFaults()) {
@@ -328,7 +334,7 @@
     }
 }
 
-// Guards against two faults at once, or one that comes twice.
+// Guards against two faults in one change, or the same fault twice, that break a guarantee.
 TEST(config_matrix, everyPairOfFaults)
 {
     const std::vector<planned_fault> faults = allFaults();
@@ -348,7 +354,8 @@
     LONGS_EQUAL(count, begun);
 }
 
-// Guards against an acceptance that only one instance knows of when it restarts during an outage.
+// Guards against the loss of an accepted version: if the submitter reports the acceptance before a
+// peer has the version, and restarts during an outage of the platform, the version is lost.
 TEST(config_matrix, acceptanceSurvivesTheSubmitter)
 {
     const std::vector<planned_fault> faults{
@@ -361,7 +368,7 @@
     STRCMP_CONTAINS("M6: the withdrawn key is accepted", early.c_str());
 }
 
-// Guards against checkers that see nothing: each finds its deliberate error.
+// Guards against checks that detect nothing: each one must detect its deliberate error.
 TEST(config_matrix, checkersFindDeliberateErrors)
 {
     const std::vector<std::tuple<sabotage, planned_fault, std::string>> errors{
--- a/tests/unit-config-store.cpp
+++ b/tests/unit-config-store.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of submitting a note and of taking in a version.
+/// @brief Tests of submitting a release note and installing a version.
 
 #include <fuchsiagw/core/config_store.hpp>
 #include <fuchsiagw/wire/configuration_json.hpp>
@@ -25,7 +25,7 @@
     return note;
 }
 
-struct tiny_platform
+struct fake_platform
 {
     std::map<std::string, std::pair<std::uint64_t, std::string>> rows;
     std::map<std::string, std::string> objects;
@@ -76,18 +76,19 @@
 
 using fault = std::function<loss(submit_step)>;
 
-submit_state submit(tiny_platform &platform, const release_note &note, const fault &spoil = {})
+submit_state submit(fake_platform &platform, const release_note &note,
+                    const fault &injectFault = {})
 {
     submit_state state;
     time_point now = start;
     submit_action action = startSubmit(state, note, start + 10s, wire::configurationCodec());
     while (action.step != submit_step::Finish) {
         now = std::max(now, action.notBefore) + 1ms;
-        const loss lost = spoil ? spoil(action.step) : loss::None;
+        const loss lostMessage = injectFault ? injectFault(action.step) : loss::None;
         platform_answer answer;
-        if (lost != loss::Request)
+        if (lostMessage != loss::Request)
             answer = platform.perform(action);
-        if (lost != loss::None)
+        if (lostMessage != loss::None)
             answer = {};
         action = continueSubmit(state, answer, now, wire::configurationCodec());
     }
@@ -98,9 +99,11 @@
 
 TEST_GROUP(config_store){};
 
+// Guards against a submit that doesn't build on the newest version: each note must create the
+// version after its base.
 TEST(config_store, submitsNotesInOrder)
 {
-    tiny_platform platform;
+    fake_platform platform;
     for (configuration_version base = 0; base < 3; ++base) {
         const submit_state state =
                 submit(platform, switchNote("n" + std::to_string(base), base, base % 2 == 1));
@@ -110,12 +113,13 @@
     }
 }
 
-// Guards against a note that is applied twice, or reported as failed, when answers are lost.
+// Guards against a note that is applied twice or reported as failed. This happens if the answer to
+// a commit is lost and the retry doesn't detect that the commit took effect.
 TEST(config_store, lostAnswersDoNotRepeatANote)
 {
-    for (unsigned lost = 1; lost < 4; ++lost) {
-        tiny_platform platform;
-        unsigned left = lost;
+    for (unsigned lostAnswers = 1; lostAnswers < 4; ++lostAnswers) {
+        fake_platform platform;
+        unsigned left = lostAnswers;
         const submit_state state = submit(platform, switchNote("n", 0), [&left](submit_step step) {
             if (step != submit_step::Commit || left == 0)
                 return loss::None;
@@ -133,7 +137,8 @@
     }
 }
 
-// Guards against "nothing was changed" after a commit that may have taken effect.
+// Guards against a report that nothing was changed although the commit may have taken effect: a
+// commit without an answer must end as NoteOutcomeUnknown, an earlier step must not.
 TEST(config_store, outcomeIsUnknownOnlyAfterTheCommit)
 {
     const std::array<std::pair<submit_step, error_kind>, 4> cases{
@@ -143,7 +148,7 @@
           { submit_step::Commit, error_kind::NoteOutcomeUnknown } }
     };
     for (const auto &[at, kind] : cases) {
-        tiny_platform platform;
+        fake_platform platform;
         const submit_state state =
                 submit(platform, switchNote("n", 0), [at = at](submit_step step) {
                     return step == at ? loss::Request : loss::None;
@@ -153,10 +158,11 @@
     }
 }
 
-// Guards against a loser of a race that overwrites the winner.
+// Guards against two operators who submit notes to the same base at the same time, where the later
+// commit overwrites the earlier one.
 TEST(config_store, loserOfARaceGetsTheConflict)
 {
-    tiny_platform platform;
+    fake_platform platform;
     bool hasRaced = false;
     const submit_state state = submit(platform, switchNote("loser", 0), [&](submit_step step) {
         if (step == submit_step::PutObject && !hasRaced) {
@@ -183,7 +189,8 @@
 
 } // namespace
 
-// Guards against a configuration that reverts, or that differs from what was announced (M13).
+// Guards against a return to an older version, and against a body that is damaged or differs from
+// the announced version or digest.
 TEST(take_in, takesOnlyNewerAndMatchingBodies)
 {
     config_store store;
@@ -207,7 +214,7 @@
     CHECK_FALSE(changesSince(store, 4).has_value());
 }
 
-// Guards against a source that fails or stays silent and holds back every other one.
+// Guards against a source that fails or doesn't answer and blocks the fetch from other sources.
 TEST(take_in, failedSourceGivesWayToTheNext)
 {
     config_store store;
--- a/tests/unit-config-tree.cpp
+++ b/tests/unit-config-tree.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the shape of the tree.
+/// @brief Tests of the distribution tree.
 
 #include <fuchsiagw/core/config_tree.hpp>
 
@@ -24,7 +24,8 @@
 
 TEST_GROUP(config_tree){};
 
-// Guards against an instance that hears from nobody, or from two parents.
+// Guards against an instance without a parent or with two parents: it would receive no digest, or
+// every digest twice.
 TEST(config_tree, everyInstanceIsReachedOnce)
 {
     const std::vector<std::pair<std::size_t, std::size_t>> sizes{
@@ -52,8 +53,8 @@
     }
 }
 
-// Guards against zone traffic over more than one costly link, and against too many readers of the
-// platform.
+// Guards against more than one tree link into a zone, as traffic between zones is costly, and
+// against too many instances that read the platform.
 TEST(config_tree, onlyHeadsCrossZones)
 {
     const std::vector<tree_node> live = listOf(1600, 17);
@@ -72,8 +73,8 @@
     LONGS_EQUAL(17 * readersPerZone, readers);
 }
 
-// Guards against an instance without a substitute for a silent parent, and against a new instance
-// that finds no peer while the list lags.
+// Guards against an instance without a substitute for an unresponsive parent, and against a new
+// instance without a parent while the platform's list doesn't contain it yet.
 TEST(config_tree, silentParentHasASubstitute)
 {
     const std::vector<tree_node> live = listOf(60, 3);
@@ -81,7 +82,7 @@
         const tree_place place = placeOf(live, each);
         if (place.parents.empty())
             continue;
-        // Only the second instance of the first zone has none: it takes the root's place itself.
+        // Only the second instance of the first zone has no substitute: it becomes the root itself.
         const bool replacesRoot = each.instance.value == "i12";
         LONGS_EQUAL(replacesRoot ? 1 : 2, std::min<std::size_t>(place.parents.size(), 2));
         std::set<instance_id> distinct(place.parents.begin(), place.parents.end());
--- a/tests/unit-freshness.cpp
+++ b/tests/unit-freshness.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of freshness proofs and of the waves that carry them.
+/// @brief Tests of freshness proofs and of the rounds that distribute them.
 
 #include <fuchsiagw/core/config_spread.hpp>
 #include <fuchsiagw/core/random.hpp>
@@ -17,15 +17,16 @@
 
 const time_point start{ 100s };
 
-freshness holding(configuration_version version)
+freshness makeFreshness(configuration_version version)
 {
     freshness state;
     setHeldVersion(state, version);
     return state;
 }
 
-/// Instances that exchange messages in virtual time, 4 ms apart. The platform answers at once.
-struct small_cluster
+/// Instances that exchange messages in virtual time with a latency of 4 ms. The platform answers
+/// without delay.
+struct simulated_cluster
 {
     struct instance
     {
@@ -40,13 +41,13 @@
         spread_message message;
     };
     std::map<instance_id, instance> instances;
-    std::deque<envelope> messages; ///< by time of arrival
-    std::set<instance_id> cut; ///< exchange no message with others
+    std::deque<envelope> messages; ///< ordered by arrival time
+    std::set<instance_id> partitioned; ///< instances that can't exchange messages with others
     bool hasPlatform = true;
     configuration_version newest = 1;
     time_point now = start;
 
-    explicit small_cluster(std::size_t count)
+    explicit simulated_cluster(std::size_t count)
     {
         std::vector<tree_node> live;
         for (std::size_t i = 0; i < count; ++i)
@@ -63,14 +64,15 @@
     {
         instance &own = instances.at(self);
         for (const spread_action &each : actions) {
-            const bool isCut = cut.contains(self) || cut.contains(each.peer);
-            std::vector<spread_action> more;
-            if (each.what == spread_action::kind::Send && !isCut)
+            const bool isPartitioned =
+                    partitioned.contains(self) || partitioned.contains(each.peer);
+            std::vector<spread_action> followUps;
+            if (each.what == spread_action::kind::Send && !isPartitioned)
                 messages.push_back({ now + 4ms, self, each.peer, each.message });
             if (each.what == spread_action::kind::ReadPlatform && hasPlatform)
                 onPlatformVersion(own.spread, own.proofs, each.root, each.roundNumber, newest, now,
-                                  now, more);
-            perform(self, more);
+                                  now, followUps);
+            perform(self, followUps);
         }
     }
 
@@ -111,32 +113,32 @@
     }
 };
 
-/// Replaces the root while every instance learns of it at a time of its own within 3 s.
-void changeList(std::uint64_t seed)
+/// Replaces the root; each instance receives the new list at a random time within 3 s.
+void replaceRootDuringListUpdate(std::uint64_t seed)
 {
-    small_cluster cluster(60);
+    simulated_cluster cluster(60);
     cluster.runFor(5s);
     std::vector<tree_node> live{ { { "a" }, { "i09" } } };
     for (const auto &[id, each] : cluster.instances) {
         if (id.value != "i10")
             live.push_back(each.spread.self);
     }
-    cluster.cut.insert({ "i10" });
+    cluster.partitioned.insert({ "i10" });
     auto &added = cluster.instances[{ "i09" }];
     added.spread = startSpread(live.front(), 99, {}, cluster.now);
     setLiveInstances(added.spread, live, cluster.now);
     setHeldVersion(added.proofs, 1);
     random_engine random(seed);
-    std::map<instance_id, int> learnsAt; // steps of 50 ms
+    std::map<instance_id, int> learnsAtStep; // steps of 50 ms
     for (const auto &[id, each] : cluster.instances)
-        learnsAt[id] = static_cast<int>(drawBelow(random, 60));
+        learnsAtStep[id] = static_cast<int>(drawBelow(random, 60));
     for (int i = 0; i < 240; ++i) {
         for (auto &[id, each] : cluster.instances) {
-            if (learnsAt.at(id) == i && id.value != "i10")
+            if (learnsAtStep.at(id) == i && id.value != "i10")
                 setLiveInstances(each.spread, live, cluster.now);
         }
         cluster.runFor(50ms);
-        if (i >= 20) // the new instance has had a second for its first proof
+        if (i >= 20) // the new instance gets one second to obtain its first proof
             LONGS_EQUAL(61, cluster.countProven());
     }
     cluster.hasPlatform = false;
@@ -148,10 +150,11 @@
 
 TEST_GROUP(freshness){};
 
-// Guards against a proof whose age is counted from the answer: a slow answer would extend it.
+// Guards against a proof whose age counts from the arrival of the answer: a slow answer would
+// extend its lifetime.
 TEST(freshness, ageCountsFromTheQuestion)
 {
-    freshness state = holding(3);
+    freshness state = makeFreshness(3);
     addPlatformProof(state, 3, start);
     CHECK_TRUE(proofExpiresAt(state) == start + 5s);
     addPeerProof(state, 3, 2s, start + 1s);
@@ -162,10 +165,10 @@
     CHECK_TRUE(proofExpiresAt(state) == start + 1s + maxProofLifetime);
 }
 
-// Guards against a proof of a newer version that vouches for the older one in force.
+// Guards against a proof of a newer version that is used for the older version in force.
 TEST(freshness, proofOfANewerVersionWaitsForIt)
 {
-    freshness state = holding(3);
+    freshness state = makeFreshness(3);
     addPlatformProof(state, 4, start);
     CHECK_FALSE(isProven(state, start));
     setHeldVersion(state, 4);
@@ -178,11 +181,11 @@
 
 TEST_GROUP(config_spread){};
 
-// Guards against a depth of the tree that uses up the wait for a proof. One lost round must
-// not cause refusals.
+// Guards against an age of proofs that grows with the depth of the tree until keys are refused. The
+// bound leaves one period of reserve, so that one lost round causes no refusals.
 TEST(config_spread, ageIsBoundedAtEveryDepth)
 {
-    small_cluster cluster(120);
+    simulated_cluster cluster(120);
     cluster.runFor(5s);
     for (int i = 0; i < 40; ++i) {
         cluster.runFor(50ms);
@@ -191,27 +194,28 @@
     }
 }
 
-// Guards against refusals of every key during an outage of the platform, proof (c).
+// Guards against the refusal of every key during an outage of the platform: acknowledgements of all
+// instances, proof (c), must replace the platform.
 TEST(config_spread, fullReportReplacesThePlatform)
 {
-    small_cluster cluster(60);
+    simulated_cluster cluster(60);
     cluster.runFor(5s);
     cluster.hasPlatform = false;
     cluster.runFor(60s);
     LONGS_EQUAL(cluster.instances.size(), cluster.countProven());
 }
 
-// Guards against a report that leaves out an instance which may know a newer version, or one that
-// does not know the outcome of a submit.
+// Guards against a proof from acknowledgements that miss an instance which may have a newer
+// version, or that include an instance which doesn't know the outcome of its submit.
 TEST(config_spread, incompleteReportProvesNothing)
 {
-    small_cluster cluster(30);
+    simulated_cluster cluster(30);
     cluster.runFor(5s);
     cluster.hasPlatform = false;
-    cluster.cut.insert({ "i29" });
+    cluster.partitioned.insert({ "i29" });
     cluster.runFor(6s);
     LONGS_EQUAL(0, cluster.countProven());
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.runFor(5s);
     LONGS_EQUAL(30, cluster.countProven());
     cluster.instances.at({ "i25" }).spread.hasUnresolvedSubmit = true;
@@ -219,38 +223,39 @@
     LONGS_EQUAL(0, cluster.countProven());
 }
 
-// Guards against a gap when the root or a zone's head is lost: the platform is still readable.
+// Guards against refusals after the loss of the root or of a zone's head while the platform is
+// still readable.
 TEST(config_spread, lostHeadLeavesNoGap)
 {
     for (const char *head : { "i10", "i11" }) {
-        small_cluster cluster(60);
+        simulated_cluster cluster(60);
         cluster.runFor(5s);
-        cluster.cut.insert({ head });
+        cluster.partitioned.insert({ head });
         for (int i = 0; i < 200; ++i) {
             cluster.runFor(50ms);
             LONGS_EQUAL(60, cluster.countProven());
         }
-        cluster.cut.clear();
+        cluster.partitioned.clear();
         cluster.runFor(5s);
         LONGS_EQUAL(60, cluster.countProven());
     }
 }
 
-// Guards against refusals while instances learn of a change of the list one after the other. The
-// new instance becomes the root, so every place in its zone changes.
+// Guards against refusals while a change of the list reaches the instances one after the other. The
+// new instance becomes the root, so the place of every instance in its zone changes.
 TEST(config_spread, changingListLeavesNoGap)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed)
-        changeList(seed);
+        replaceRootDuringListUpdate(seed);
 }
 
-// Guards against an operator's statement that reaches one instance only (d).
+// Guards against an operator's statement, proof (d), that takes effect at one instance only.
 TEST(config_spread, operatorStatementServesTheSubtree)
 {
-    small_cluster cluster(30);
+    simulated_cluster cluster(30);
     cluster.runFor(5s);
     cluster.hasPlatform = false;
-    cluster.cut.insert({ "i29" });
+    cluster.partitioned.insert({ "i29" });
     cluster.runFor(10s);
     LONGS_EQUAL(0, cluster.countProven());
     auto &head = cluster.instances.at({ "i10" });
--- a/tests/unit-release-note.cpp
+++ b/tests/unit-release-note.cpp
@@ -58,6 +58,7 @@
 
 TEST_GROUP(release_note){};
 
+// Guards against a kind of section that a note can't add, change or withdraw.
 TEST(release_note, appliesEveryKindOfSection)
 {
     section_changes list;
@@ -77,7 +78,8 @@
     CHECK_FALSE(isAutomatic(result, automatic_action::Loans));
 }
 
-// Guards against a change that the operator did not list, or a listed one that has no effect.
+// Guards against a change that the operator did not list, and against a listed change without
+// effect.
 TEST(release_note, listMustBeTheExactDifference)
 {
     const configuration base = exampleConfiguration();
@@ -87,7 +89,7 @@
     wrongList.added[rateRef] = rate_section{ 6, 10 };
     section_changes absent;
     absent.withdrawn = { secondKeyRef };
-    section_changes partial; // the workspace goes, its rate and key are not listed
+    section_changes partial; // withdraws the workspace without listing its rate and key
     partial.withdrawn = { workspaceRef };
     section_changes switchAdded;
     switchAdded.added[loansRef] = switch_section{ false };
@@ -95,7 +97,8 @@
         CHECK_TRUE(kindOfApplying(base, list) == error_kind::NoteNotExact);
 }
 
-// Guards against a withdrawn key that becomes valid again, also by way of its workspace.
+// Guards against a withdrawn key that becomes valid again, either directly or after its workspace
+// is deleted and created again.
 TEST(release_note, withdrawnKeyNeverReturns)
 {
     section_changes withdrawKey;
@@ -119,7 +122,7 @@
     CHECK_TRUE(applied(closed, again).workspaces.contains({ "cafe" }));
 }
 
-// Guards against a result that breaks an invariant of the configuration.
+// Guards against a note whose result violates an invariant of the configuration.
 TEST(release_note, refusesInvalidResults)
 {
     const configuration base = exampleConfiguration();
@@ -151,7 +154,7 @@
         CHECK_TRUE(kindOfApplying(base, list) == error_kind::NoteInvalid);
 }
 
-// Guards against a note that overwrites what another operator changed meanwhile.
+// Guards against a note that overwrites a change which another operator made after the note's base.
 TEST(release_note, baseMustBeTheNewest)
 {
     configuration result;
