--- a/include/fuchsiagw/core/config_spread.hpp
+++ b/include/fuchsiagw/core/config_spread.hpp
@@ -102,7 +102,7 @@
 struct spread_state
 {
     tree_node self;
-    std::uint64_t ownRoot = 0; ///< value of `root` in rounds that this instance starts
+    std::uint64_t ownRoot = 0; ///< hash of the id and incarnation, sent as `root`
     std::uint64_t ownRound = 0; ///< newest round that this instance started; only increases
     spread_settings settings;
     std::vector<tree_node> live;
@@ -112,8 +112,7 @@
 
     instance_id parent; ///< instance whose digests are accepted; empty: this instance is a root
     time_point parentDeadline = time_point::min();
-    time_point nextAdoptionAt =
-            time_point::min(); ///< time of the next request to a candidate parent
+    time_point nextAdoptionAt = time_point::min(); ///< next request to a candidate parent
     std::size_t adoptionIndex = 0;
 
     std::uint64_t root = 0; ///< root of the current round
--- a/include/fuchsiagw/core/config_store.hpp
+++ b/include/fuchsiagw/core/config_store.hpp
@@ -109,7 +109,7 @@
     time_point deadline; ///< retries stop here; the error then tells whether a commit may exist
     submit_step step = submit_step::ReadRow;
     bool mayHaveCommitted = false; ///< a commit was sent and its outcome is unknown
-    unsigned consecutiveFailures = 0; ///< requests without an answer
+    unsigned consecutiveFailures = 0; ///< requests without an answer since the last answer
     unsigned commitConflicts = 0; ///< commits that the platform refused
     std::uint64_t rowVersion = 0;
     configuration_row row;
@@ -166,8 +166,8 @@
     std::shared_ptr<const configuration> current = std::make_shared<configuration>();
     std::string currentObjectName; ///< object name of `current`
     std::string currentBody; ///< canonical text of `current`, sent to peers that request it
-    std::deque<std::shared_ptr<const configuration>>
-            earlier; ///< previous versions, for the difference that a NoteConflict reports
+    /// Previous versions, for the difference that is reported with a NoteConflict.
+    std::deque<std::shared_ptr<const configuration>> earlier;
     std::vector<fetch_source> sources; ///< greatest version first; a failed source moves to the end
     time_point fetchDeadline = time_point::min(); ///< deadline of the running fetch
     bool isFetching = false;
--- a/include/fuchsiagw/core/freshness.hpp
+++ b/include/fuchsiagw/core/freshness.hpp
@@ -48,7 +48,7 @@
     configuration_version held = 0; ///< version in force at this instance; 0: none
     freshness_proof usable; ///< newest proof that `held` satisfies
     freshness_proof pending; ///< newest proof of a version that has not arrived yet
-    duration proofLifetime = defaultProofLifetime; ///< setting `keys.unproven_wait`
+    duration proofLifetime = defaultProofLifetime; ///< setting `keys.unproven_wait_ms`
 };
 
 /// @brief Adds a proof. A proof that is older than the known one is ignored.
--- a/src/core/config_store.cpp
+++ b/src/core/config_store.cpp
@@ -18,7 +18,8 @@
 constexpr auto fetchTimeout = std::chrono::seconds(2); ///< after it the next source is tried
 constexpr std::size_t maxEarlierVersions = 8;
 constexpr std::size_t maxSources = 8;
-constexpr unsigned maxCommitConflicts = 3; ///< repeated ones mean a faulty platform
+/// After one conflict the row shows the version that won; repeated ones mean a faulty platform.
+constexpr unsigned maxCommitConflicts = 3;
 
 bool splitAtSpace(std::string_view text, std::string_view &first, std::string_view &rest)
 {
