--- a/include/fuchsiagw/wire/vouch.hpp
+++ b/include/fuchsiagw/wire/vouch.hpp
@@ -20,7 +20,7 @@
     struct challenge
     {
         std::string text;
-        std::uint64_t root = 0; ///< roundNumber that was running, see onOperatorProof()
+        std::uint64_t root = 0; ///< round that was running, see onOperatorProof()
         std::uint64_t roundNumber = 0;
         core::time_point issuedAt;
     };
