--- a/src/core/failover_probe.cpp
+++ b/src/core/failover_probe.cpp
@@ -21,7 +21,7 @@
 {
     const std::uint32_t unanswered = schedule.unanswered;
     if (!isUrgent)
-        return exponentialDelay(silence, unanswered, backoffLongest);
+        return exponentialDelay(silence, unanswered, maxBackoff);
     const std::uint32_t excessProbes =
             unanswered > probesAtFullRate ? (unanswered - probesAtFullRate) / 2 : 0;
     return exponentialDelay(suspectProbeInterval, excessProbes, maxSilentProbeInterval);
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -87,7 +87,7 @@
     const owned_statement &statement = owner.statements.at(handle);
     const queued_statement waiting = makeQueuedStatement(handle, statement);
     if (isUnreachable(owner.meter, owner.queue, waiting, statement.weight, owner.pool.limit,
-                      countFree(owner.pool), context.now)) {
+                      countAvailable(owner.pool), context.now)) {
         failStatement(context, handle, error_kind::DeadlineUnreachable);
         return;
     }
@@ -106,7 +106,7 @@
     owner_context context{ owner, now, random, actions };
     const bool inTransaction = statement.request.transaction.has_value();
     if (statement.maxAge)
-        noteRead(owner.interest, *statement.maxAge, now);
+        recordRead(owner.interest, *statement.maxAge, now);
     insertStatement(context, handle, std::move(statement));
     if (inTransaction)
         startTransactionStatement(context, handle);
@@ -188,7 +188,7 @@
     group_owner &owner = context.owner;
     detectPause(context);
     owned_statement &statement = owner.statements.at(handle);
-    routing_request request = routingRequestOf(statement.request, statement.maxAge, owner.zone);
+    routing_request request = makeRoutingRequest(statement.request, statement.maxAge, owner.zone);
     request.primaryOnly = statement.progress.primaryOnly;
     if (request.kind == statement_kind::Begin && !canBeginTransaction(owner)) {
         statement.unsentReason = error_kind::Overloaded;
@@ -336,7 +336,7 @@
     group_owner &owner = context.owner;
     // Statements that wait for a connection to one member must not block the rest of the queue.
     // Dequeueing more of them than there are connections would defeat the fair order of the queue.
-    while (owner.readyCount < owner.pool.limit && countFree(owner.pool) > 0
+    while (owner.readyCount < owner.pool.limit && countAvailable(owner.pool) > 0
            && owner.parked.size() < owner.queue.bound) {
         const auto next = dequeue(owner.queue);
         if (!next)
--- a/src/core/group_view.cpp
+++ b/src/core/group_view.cpp
@@ -120,16 +120,16 @@
         return;
     }
     // An executed statement is in the log, so the log ends at its position or later.
-    const log_position atLeast = std::max(answer.position, answer.applied);
-    if (atLeast > known.last)
-        updateLastPosition(known, atLeast, now);
+    const log_position minPosition = std::max(answer.position, answer.applied);
+    if (minPosition > known.last)
+        updateLastPosition(known, minPosition, now);
     updateAppliedPosition(known, std::max(known.applied, answer.applied));
     // Ages are relative to the data that reads of the primary return, so an answer to a read is a
     // valid sample as well.
     const bool isPrimary = view.primary == member && answer.term == view.highestTerm;
     if (isPrimary && askedTerm == answer.term && answer.status == execute_status::Ok
-        && atLeast.index > 0)
-        addSample(view.ages, askedAt, atLeast);
+        && minPosition.index > 0)
+        addSample(view.ages, askedAt, minPosition);
     confirmSamplesByMajority(view);
 }
 
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -32,7 +32,7 @@
     if (answer.status != execute_status::Ok || statement.request.kind != statement_kind::Read)
         return answer_verdict::Accept;
     const routing_request request =
-            routingRequestOf(statement.request, statement.maxAge, context.owner.zone);
+            makeRoutingRequest(statement.request, statement.maxAge, context.owner.zone);
     return checkAnswer(context.owner.view, request, statement.progress.attempt, answer,
                        statement.route.fromReplica, context.now);
 }
@@ -57,7 +57,7 @@
 /// other primary can then have acknowledged a write before that time.
 bool needsMajorityCheck(const statement_request &request, const execute_answer &answer)
 {
-    return request.sessionUnusable && request.kind == statement_kind::Read
+    return request.isSessionUnusable && request.kind == statement_kind::Read
            && answer.status == execute_status::Ok;
 }
 
@@ -352,15 +352,15 @@
 {
     group_owner &owner = context.owner;
     resolveReads(context);
-    for (const settled_write &each :
-         settleWrites(owner.pending, owner.view, owner.policy, context.now)) {
+    for (const resolved_write &each :
+         resolveWrites(owner.pending, owner.view, owner.policy, context.now)) {
         const auto entry = owner.statements.find(each.number);
         if (entry == owner.statements.end())
             continue;
         exchange &progress = entry->second.progress;
-        if (each.fate == write_fate::Acknowledged)
+        if (each.outcome == write_outcome::Acknowledged)
             applyExchangeAction(context, each.number, onConfirmed(progress));
-        else if (each.fate == write_fate::Superseded)
+        else if (each.outcome == write_outcome::Superseded)
             applyExchangeAction(context, each.number, onSuperseded(progress, context.now));
         else
             applyExchangeAction(context, each.number, onNotConfirmed(progress));
