--- a/include/fuchsiagw/core/acknowledgement.hpp
+++ b/include/fuchsiagw/core/acknowledgement.hpp
@@ -22,7 +22,7 @@
 inline constexpr duration waitMargin = std::chrono::milliseconds(50);
 /// Expected delay of a confirmation before one was seen. An owner that starts must not take slow
 /// replication for a primary that is cut off from its group.
-inline constexpr duration confirmDelayUnknown = std::chrono::seconds(1);
+inline constexpr duration initialConfirmDelay = std::chrono::seconds(1);
 
 /// The policies compared in docs/failover.md.
 enum class acknowledgement_policy : std::uint8_t {
@@ -66,24 +66,24 @@
 };
 
 /// What became of a pending write.
-enum class write_fate : std::uint8_t {
+enum class write_outcome : std::uint8_t {
     Acknowledged,
     Expired, ///< `not_confirmed`
     Superseded, ///< another term has a primary; `not_confirmed` or to be repeated with its key
 };
 
-inline constexpr std::array<std::string_view, 3> writeFateNames{ "acknowledged", "expired",
-                                                                 "superseded" };
+inline constexpr std::array<std::string_view, 3> writeOutcomeNames{ "acknowledged", "expired",
+                                                                    "superseded" };
 
-[[nodiscard]] constexpr std::string_view toString(write_fate fate)
+[[nodiscard]] constexpr std::string_view toString(write_outcome outcome)
 {
-    return writeFateNames.at(static_cast<std::size_t>(fate));
+    return writeOutcomeNames.at(static_cast<std::size_t>(outcome));
 }
 
-struct settled_write
+struct resolved_write
 {
     std::uint64_t number = 0;
-    write_fate fate = write_fate::Expired;
+    write_outcome outcome = write_outcome::Expired;
     log_position position;
 };
 
@@ -102,7 +102,7 @@
     std::vector<pending_write> writes; ///< in order of arrival
     std::map<member_id, time_point> openWaits; ///< with the deadline of each
     /// Smoothed time from a primary's answer to the confirmation.
-    duration confirmDelay = confirmDelayUnknown;
+    duration confirmDelay = initialConfirmDelay;
     bool confirmDelayKnown = false;
     time_point lastConfirmed = time_point::min();
 };
@@ -124,12 +124,12 @@
 void onWaitEnded(pending_writes &pending, const member_id &member,
                  time_point deadline = noDeadline);
 
-/// @brief Takes out the writes whose fate is decided. Called after each observed status or answer
-/// and at nextExpiry().
+/// @brief Takes out the writes whose outcome is decided. Called after each observed status or
+/// answer and at nextExpiry().
 /// @complexity O(w * m) for w writes and m members
-[[nodiscard]] std::vector<settled_write> settleWrites(pending_writes &pending, group_view &view,
-                                                      acknowledgement_policy policy,
-                                                      time_point now);
+[[nodiscard]] std::vector<resolved_write> resolveWrites(pending_writes &pending, group_view &view,
+                                                        acknowledgement_policy policy,
+                                                        time_point now);
 
 /// @return the earliest deadline of a pending write; noDeadline if there is none
 /// @complexity linear in the number of writes
--- a/include/fuchsiagw/core/connection_pool.hpp
+++ b/include/fuchsiagw/core/connection_pool.hpp
@@ -79,7 +79,7 @@
 
 /// @brief Counts the connections that carry or may take a statement without being opened first.
 /// @complexity linear in the connections
-[[nodiscard]] std::uint32_t countFree(const connection_pool &pool);
+[[nodiscard]] std::uint32_t countAvailable(const connection_pool &pool);
 
 /// @brief Lists the idle connections to close so that the limit holds, least recently used first.
 /// @complexity O(n log n) in the connections
--- a/include/fuchsiagw/core/early_refusal.hpp
+++ b/include/fuchsiagw/core/early_refusal.hpp
@@ -26,13 +26,13 @@
 /// @param connections that serve the queue; with none the wait is duration::max()
 /// @param free connections that are idle now
 /// @return zero as long as nothing was measured
-/// @complexity linear in the queue's lanes
+/// @complexity linear in the queue's flows
 [[nodiscard]] duration expectedWait(const service_meter &meter, const fair_queue &queue,
                                     const workspace_id &workspace, std::uint32_t weight,
                                     std::uint32_t connections, std::uint32_t free);
 
 /// @brief Tells whether the statement must be refused with error_kind::DeadlineUnreachable.
-/// @complexity linear in the queue's lanes
+/// @complexity linear in the queue's flows
 [[nodiscard]] bool isUnreachable(const service_meter &meter, const fair_queue &queue,
                                  const queued_statement &statement, std::uint32_t weight,
                                  std::uint32_t connections, std::uint32_t free, time_point now);
--- a/include/fuchsiagw/core/failover.hpp
+++ b/include/fuchsiagw/core/failover.hpp
@@ -136,7 +136,7 @@
 {
     bool hasWork = false; ///< statements are queued, in flight or unconfirmed
     time_point oldestUnconfirmed = noDeadline; ///< see oldestUnconfirmed()
-    duration confirmDelay = confirmDelayUnknown;
+    duration confirmDelay = initialConfirmDelay;
     duration wantedAge = duration::zero(); ///< see wantedAge() of read_age.hpp; zero: no reads
 };
 
--- a/include/fuchsiagw/core/fair_queue.hpp
+++ b/include/fuchsiagw/core/fair_queue.hpp
@@ -55,13 +55,13 @@
     }
 };
 
-/// Invariant: length is the sum of the lanes' lengths and at most bound; rotation and ranks name
-/// exactly the lanes; no lane is empty.
+/// Invariant: length is the sum of the flows' lengths and at most bound; rotation and ranks name
+/// exactly the flows; no lane is empty.
 struct fair_queue
 {
     std::size_t bound = 1024; ///< statements
     std::size_t length = 0;
-    std::map<workspace_id, workspace_lane> lanes;
+    std::map<workspace_id, workspace_lane> flows;
     std::deque<workspace_id> rotation; ///< deficit round robin, the lane being served first
     std::set<lane_rank> ranks; ///< the longest lane last
 };
@@ -75,12 +75,12 @@
 /// @brief Adds a statement. A full queue refuses the newest statement of the workspace whose lane
 /// is the longest relative to its weight, which may be the one that comes.
 /// @param weight of the workspace, at least 1; small numbers keep the rounds short
-/// @complexity logarithmic in the lanes and in the workspace's sessions; an eviction is linear in
+/// @complexity logarithmic in the flows and in the workspace's sessions; an eviction is linear in
 /// the sessions of the longest lane
 enqueue_result enqueue(fair_queue &queue, queued_statement statement, std::uint32_t weight);
 
 /// @brief Removes the statement that is next.
-/// @complexity logarithmic in the lanes and in the workspace's sessions
+/// @complexity logarithmic in the flows and in the workspace's sessions
 [[nodiscard]] std::optional<queued_statement> dequeue(fair_queue &queue);
 
 /// @brief Removes every statement that @p isUnwanted, for example because its caller has gone.
@@ -89,7 +89,7 @@
 removeIf(fair_queue &queue, const std::function<bool(const queued_statement &)> &isUnwanted);
 
 /// @brief Counts the statements that are served before one more of @p workspace.
-/// @complexity linear in the lanes
+/// @complexity linear in the flows
 [[nodiscard]] std::size_t statementsAhead(const fair_queue &queue, const workspace_id &workspace,
                                           std::uint32_t weight);
 
--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -28,7 +28,7 @@
     std::uint64_t ticket = 0; ///< names the caller's connection and request; unique
     key_hash key;
     std::optional<session> known; ///< the session of a token whose MAC was right
-    bool sessionNamed = false; ///< the request named a session, with or without usable token
+    bool hasSessionToken = false; ///< the request named a session, with or without usable token
     statement_request statement; ///< its workspace is not set yet
 };
 
@@ -61,7 +61,7 @@
     incarnation_id incarnation = 0;
     zone_name zone;
     owner_limits limits;
-    std::size_t queueBound = 4096; ///< statements that may wait for one group
+    std::size_t queueCapacity = 4096; ///< statements that may wait for one group
     acknowledgement_policy policy = acknowledgement_policy::Majority;
 
     configuration config;
@@ -77,7 +77,7 @@
     std::set<std::pair<time_point, std::uint64_t>> deadlines;
     std::set<std::pair<time_point, std::uint64_t>> retries; ///< of the dispatch, by time
     std::uint64_t nextHandle = 1;
-    time_point nextOwnerCheck{};
+    time_point nextOwnerCheckAt{};
 };
 
 /// What each step of a gateway needs.
@@ -146,7 +146,8 @@
                                                   time_point now);
 
 /// @return the owners of a group in the other zones, as far as this instance knows
-[[nodiscard]] std::vector<instance_id> rankOtherOwners(const gateway &state, const group_id &group);
+[[nodiscard]] std::vector<instance_id> findOtherZoneOwners(const gateway &state,
+                                                           const group_id &group);
 
 /// @return whether every accepted request is answered and no transaction is open
 [[nodiscard]] bool isDrained(const gateway &state);
--- a/include/fuchsiagw/core/read_age.hpp
+++ b/include/fuchsiagw/core/read_age.hpp
@@ -13,7 +13,7 @@
 namespace fuchsiagw::core {
 
 /// Most samples kept for a group (24 bytes each).
-inline constexpr std::size_t readAgeSamples = 256;
+inline constexpr std::size_t maxReadAgeSamples = 256;
 
 /// The primary's log ended at `position` at some time not before `time`.
 struct primary_sample
@@ -22,7 +22,7 @@
     log_position position;
 };
 
-/// Invariant: samples are ordered by strictly increasing time and number at most readAgeSamples.
+/// Invariant: samples are ordered by strictly increasing time and number at most maxReadAgeSamples.
 struct read_age
 {
     std::vector<primary_sample> samples;
@@ -55,7 +55,7 @@
                                             time_point now);
 
 /// How long a read keeps the owner interested in fresh knowledge of replicas.
-inline constexpr duration readInterestLasts = std::chrono::seconds(10);
+inline constexpr duration readInterestDuration = std::chrono::seconds(10);
 
 /// The strictest age that recent reads accept. A group without much traffic must be probed
 /// accordingly, else its replicas look too old although they are not.
@@ -67,7 +67,7 @@
 
 /// @brief Notes a read that replicas may serve.
 /// @complexity constant
-void noteRead(read_interest &interest, duration maxAge, time_point now);
+void recordRead(read_interest &interest, duration maxAge, time_point now);
 
 /// @return the strictest age that recent reads accept; zero if there were none
 /// @complexity constant
--- a/include/fuchsiagw/core/routing.hpp
+++ b/include/fuchsiagw/core/routing.hpp
@@ -33,7 +33,7 @@
 };
 
 /// Why a candidate was passed over.
-enum class pass_reason : std::uint8_t {
+enum class rejection_reason : std::uint8_t {
     Chosen, ///< not passed over
     NotPrimary,
     IsPrimary, ///< kept for writes while a replica can serve the read
@@ -53,7 +53,7 @@
     Tie, ///< equal; another was drawn
 };
 
-inline constexpr std::array<std::string_view, 17> passReasonNames{
+inline constexpr std::array<std::string_view, 17> rejectionReasonNames{
     "chosen",         "not_primary", "is_primary", "leaving",      "not_confirmed",
     "never_heard",    "backed_off",  "far_behind", "other_term",   "position",
     "too_old",        "age_unknown", "other_zone", "no_free_slot", "more_loaded",
@@ -61,14 +61,14 @@
 };
 
 [[nodiscard]] std::string_view toString(route_reason reason);
-[[nodiscard]] std::string_view toString(pass_reason reason);
+[[nodiscard]] std::string_view toString(rejection_reason reason);
 
 struct routing_request
 {
     statement_kind kind = statement_kind::Read;
     std::optional<duration> maxAge; ///< of the read class; empty: the read accepts no age
-    log_position atLeast; ///< the session's newest acknowledged write
-    bool sessionUnusable = false;
+    log_position minPosition; ///< the session's newest acknowledged write
+    bool isSessionUnusable = false;
     bool primaryOnly = false; ///< a replica's answer was not usable, see checkAnswer()
     zone_name zone; ///< zone of the owner
 };
@@ -76,7 +76,7 @@
 struct route_candidate
 {
     member_id member;
-    pass_reason reason = pass_reason::Chosen;
+    rejection_reason reason = rejection_reason::Chosen;
 };
 
 /// Invariant: exactly the candidate `member` has the reason Chosen; if `member` is empty, none has.
@@ -104,9 +104,9 @@
 
 /// @brief Builds the routing request of a parsed statement.
 /// @param maxAge age that the statement's read class accepts; empty without read class
-[[nodiscard]] routing_request routingRequestOf(const statement_request &statement,
-                                               std::optional<duration> maxAge,
-                                               const zone_name &zone);
+[[nodiscard]] routing_request makeRoutingRequest(const statement_request &statement,
+                                                 std::optional<duration> maxAge,
+                                                 const zone_name &zone);
 
 /// @brief Chooses the member for a statement that belongs to no transaction.
 ///
--- a/include/fuchsiagw/core/session.hpp
+++ b/include/fuchsiagw/core/session.hpp
@@ -36,7 +36,7 @@
 /// @brief Tells how far a member must have applied the log of @p group to serve a read.
 /// @return nullopt if the position is unknown: only the primary may serve the read
 /// @complexity linear in the number of entries
-[[nodiscard]] std::optional<log_position> atLeast(const session &state, const group_id &group);
+[[nodiscard]] std::optional<log_position> minPosition(const session &state, const group_id &group);
 
 /// @brief Adds an acknowledged write to the session with which its request came.
 ///
--- a/include/fuchsiagw/core/statement.hpp
+++ b/include/fuchsiagw/core/statement.hpp
@@ -60,8 +60,8 @@
     std::string readClass; ///< empty: the read accepts no age
     std::string idempotencyKey; ///< empty: the request must run at most once
     std::optional<transaction_id> transaction;
-    log_position atLeast; ///< the session's newest acknowledged write in this group
-    bool sessionUnusable =
+    log_position minPosition; ///< the session's newest acknowledged write in this group
+    bool isSessionUnusable =
             false; ///< a session was named but its token can't be used: ask the primary
     time_point deadline = noDeadline;
 };
--- a/include/fuchsiagw/proxy/session.hpp
+++ b/include/fuchsiagw/proxy/session.hpp
@@ -29,7 +29,7 @@
 {
     bool needsPrimary = false; ///< a write, a plain transaction, or a read that must be current
     bool wrapsRead = false; ///< a single read inside a transaction of the proxy's own
-    std::optional<core::log_position> atLeast; ///< for a replica
+    std::optional<core::log_position> minPosition; ///< for a replica
 };
 
 /// The statement that the session waits for.
--- a/include/fuchsiagw/wire/peer_message.hpp
+++ b/include/fuchsiagw/wire/peer_message.hpp
@@ -167,8 +167,8 @@
     std::string readClass;
     std::string idempotencyKey;
     std::optional<core::transaction_id> transaction;
-    core::log_position atLeast;
-    bool sessionUnusable = false;
+    core::log_position minPosition;
+    bool isSessionUnusable = false;
     std::int64_t remainingMicros =
             0; ///< counted from arrival; the sender enforces its own deadline
 
@@ -176,7 +176,7 @@
     void serialize(archive &ar)
     {
         ar(id, workspace, group, kind, text, parameters, readClass, idempotencyKey, transaction,
-           atLeast, sessionUnusable, remainingMicros);
+           minPosition, isSessionUnusable, remainingMicros);
     }
 };
 
--- a/src/core/acknowledgement.cpp
+++ b/src/core/acknowledgement.cpp
@@ -32,15 +32,15 @@
     pending.lastConfirmed = now;
 }
 
-std::optional<write_fate> fateOf(const pending_write &write, const group_view &view,
-                                 acknowledgement_policy policy, time_point now)
+std::optional<write_outcome> fateOf(const pending_write &write, const group_view &view,
+                                    acknowledgement_policy policy, time_point now)
 {
     if (acknowledgementOf(policy, view, write.term, write.position, now))
-        return write_fate::Acknowledged;
+        return write_outcome::Acknowledged;
     if (now >= write.deadline)
-        return write_fate::Expired;
+        return write_outcome::Expired;
     if (view.highestTerm > write.term && view.primary)
-        return write_fate::Superseded;
+        return write_outcome::Superseded;
     return std::nullopt;
 }
 
@@ -110,16 +110,16 @@
         pending.openWaits.erase(open);
 }
 
-std::vector<settled_write> settleWrites(pending_writes &pending, group_view &view,
-                                        acknowledgement_policy policy, time_point now)
+std::vector<resolved_write> resolveWrites(pending_writes &pending, group_view &view,
+                                          acknowledgement_policy policy, time_point now)
 {
-    std::vector<settled_write> settled;
+    std::vector<resolved_write> settled;
     std::erase_if(pending.writes, [&](const pending_write &each) {
-        const std::optional<write_fate> fate = fateOf(each, view, policy, now);
-        if (!fate)
+        const std::optional<write_outcome> outcome = fateOf(each, view, policy, now);
+        if (!outcome)
             return false;
-        settled.push_back({ each.number, *fate, each.position });
-        if (*fate == write_fate::Acknowledged) {
+        settled.push_back({ each.number, *outcome, each.position });
+        if (*outcome == write_outcome::Acknowledged) {
             learnDelay(pending, now - each.since, now);
             view.highestAcknowledged = std::max(view.highestAcknowledged, each.position);
         }
--- a/src/core/connection_pool.cpp
+++ b/src/core/connection_pool.cpp
@@ -53,7 +53,7 @@
     return id;
 }
 
-std::uint32_t countFree(const connection_pool &pool)
+std::uint32_t countAvailable(const connection_pool &pool)
 {
     const auto idle =
             std::count_if(pool.connections.begin(), pool.connections.end(), [](const auto &each) {
--- a/src/core/failover_probe.cpp
+++ b/src/core/failover_probe.cpp
@@ -21,7 +21,7 @@
 {
     const std::uint32_t unanswered = schedule.unanswered;
     if (!isUrgent)
-        return doubled(silence, unanswered, backoffLongest);
+        return doubled(silence, unanswered, maxBackoff);
     const std::uint32_t beyond =
             unanswered > probesAtFullRate ? (unanswered - probesAtFullRate) / 2 : 0;
     return doubled(probeEvery, beyond, silentProbeLongest);
--- a/src/core/fair_queue.cpp
+++ b/src/core/fair_queue.cpp
@@ -35,7 +35,7 @@
     if (entry->second.length > 0)
         return;
     std::erase(queue.rotation, entry->first);
-    queue.lanes.erase(entry);
+    queue.flows.erase(entry);
 }
 
 /// Removes the session's entry once it has no statement, wherever it stands in the rotation.
@@ -92,8 +92,8 @@
 void checkInvariant([[maybe_unused]] const fair_queue &queue)
 {
     assert(queue.length <= queue.bound);
-    assert(queue.rotation.size() == queue.lanes.size());
-    assert(queue.ranks.size() == queue.lanes.size());
+    assert(queue.rotation.size() == queue.flows.size());
+    assert(queue.ranks.size() == queue.flows.size());
 }
 
 } // namespace
@@ -103,18 +103,18 @@
     assert(weight >= 1);
     enqueue_result result;
     if (queue.length >= queue.bound) {
-        const auto own = queue.lanes.find(statement.workspace);
-        const std::size_t ownLength = own == queue.lanes.end() ? 0 : own->second.length;
+        const auto own = queue.flows.find(statement.workspace);
+        const std::size_t ownLength = own == queue.flows.end() ? 0 : own->second.length;
         const lane_rank arriving{ static_cast<double>(ownLength + 1) / weight,
                                   statement.workspace };
         if (queue.ranks.empty() || arriving.length >= queue.ranks.rbegin()->length)
             return result;
-        const auto longest = queue.lanes.find(queue.ranks.rbegin()->workspace);
+        const auto longest = queue.flows.find(queue.ranks.rbegin()->workspace);
         result.evicted = popNewest(longest->second);
         changeLength(queue, longest, longest->second.length - 1);
         dropIfEmpty(queue, longest);
     }
-    const auto [entry, isNew] = queue.lanes.try_emplace(statement.workspace);
+    const auto [entry, isNew] = queue.flows.try_emplace(statement.workspace);
     workspace_lane &lane = entry->second;
     if (isNew)
         queue.rotation.push_back(statement.workspace);
@@ -141,7 +141,7 @@
 {
     if (queue.length == 0)
         return std::nullopt;
-    const auto entry = queue.lanes.find(queue.rotation.front());
+    const auto entry = queue.flows.find(queue.rotation.front());
     workspace_lane &lane = entry->second;
     if (lane.deficit == 0)
         lane.deficit = lane.weight;
@@ -150,7 +150,7 @@
     changeLength(queue, entry, lane.length - 1);
     if (lane.length == 0) {
         queue.rotation.pop_front();
-        queue.lanes.erase(entry);
+        queue.flows.erase(entry);
     } else if (lane.deficit == 0) {
         queue.rotation.push_back(std::move(queue.rotation.front()));
         queue.rotation.pop_front();
@@ -171,7 +171,7 @@
         statements.erase(kept, statements.end());
         return statements.size();
     };
-    for (auto entry = queue.lanes.begin(); entry != queue.lanes.end();) {
+    for (auto entry = queue.flows.begin(); entry != queue.flows.end();) {
         const auto current = entry++;
         workspace_lane &lane = current->second;
         std::size_t length = sift(lane.transactions);
@@ -190,12 +190,12 @@
 std::size_t statementsAhead(const fair_queue &queue, const workspace_id &workspace,
                             std::uint32_t weight)
 {
-    const auto own = queue.lanes.find(workspace);
-    const std::size_t ownLength = own == queue.lanes.end() ? 0 : own->second.length;
+    const auto own = queue.flows.find(workspace);
+    const std::size_t ownLength = own == queue.flows.end() ? 0 : own->second.length;
     // While the lane empties, each other lane sends its weight per round.
     const std::size_t rounds = ownLength / weight + 1;
     std::size_t ahead = ownLength;
-    for (const auto &[name, lane] : queue.lanes)
+    for (const auto &[name, lane] : queue.flows)
         if (name != workspace)
             ahead += std::min(lane.length, rounds * lane.weight);
     return ahead;
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -60,7 +60,7 @@
         recordWrite(entry.known, entry.request.group, answer.position);
     // The primary that served a read without usable session had every write acknowledged before.
     const bool isProvenRead =
-            entry.request.sessionUnusable && entry.request.kind == statement_kind::Read;
+            entry.request.isSessionUnusable && entry.request.kind == statement_kind::Read;
     if (!answer.error && isProvenRead && !answer.fromReplica)
         recordWrite(entry.known, entry.request.group, answer.applied);
     turn.actions.emplace_back(caller_reply{ entry.ticket, entry.request.workspace,
@@ -140,10 +140,10 @@
 {
     std::optional<log_position> position = log_position{};
     if (request.known)
-        position = atLeast(*request.known, statement.group);
-    const bool isUsable = position && (request.known || !request.sessionNamed);
-    statement.sessionUnusable = !isUsable;
-    statement.atLeast = position.value_or(log_position{});
+        position = minPosition(*request.known, statement.group);
+    const bool isUsable = position && (request.known || !request.hasSessionToken);
+    statement.isSessionUnusable = !isUsable;
+    statement.minPosition = position.value_or(log_position{});
 }
 
 std::uint64_t insertEntry(gateway &state, entry_statement entry)
@@ -164,7 +164,7 @@
         owner.incarnation = state.incarnation;
         owner.limits = state.limits;
         owner.policy = state.policy;
-        owner.queue.bound = state.queueBound;
+        owner.queue.bound = state.queueCapacity;
         owner.nextTransaction = groupBits(group) + 1;
         applySettings(owner.view, group, state.config.groups.at(group));
     }
@@ -353,7 +353,7 @@
         setConnectionLimit(owner, 0, turn.now, turn.random, actions);
         passOn(turn, group, std::move(actions));
     }
-    state.nextOwnerCheck = turn.now;
+    state.nextOwnerCheckAt = turn.now;
 }
 
 bool mayRepeat(const statement_request &request)
@@ -373,7 +373,7 @@
         return false;
     state.config = config;
     state.keys = indexKeys(config);
-    state.nextOwnerCheck = turn.now;
+    state.nextOwnerCheckAt = turn.now;
     setHeld(state.proof, config.version);
     for (auto &[group, owner] : state.owners) {
         const auto settings = config.groups.find(group);
@@ -412,7 +412,7 @@
     entry.ticket = request.ticket;
     entry.request = request.statement;
     setSession(entry.request, request);
-    entry.known = request.known.value_or(session{ key.workspace, {}, request.sessionNamed });
+    entry.known = request.known.value_or(session{ key.workspace, {}, request.hasSessionToken });
     const bool isLimited = costsToken(entry.request.kind);
     const std::uint64_t handle = insertEntry(state, std::move(entry));
     if (isLimited)
@@ -468,8 +468,8 @@
 void advance(gateway_turn &turn)
 {
     gateway &state = turn.state;
-    if (turn.now >= state.nextOwnerCheck) {
-        state.nextOwnerCheck = turn.now + ownerCheckEvery;
+    if (turn.now >= state.nextOwnerCheckAt) {
+        state.nextOwnerCheckAt = turn.now + ownerCheckEvery;
         chooseOwners(turn);
     }
     for (auto &[group, owner] : state.owners) {
@@ -525,13 +525,13 @@
     withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
         onPeers(keeper, std::move(live), turn.now, turn.random, actions);
     });
-    turn.state.nextOwnerCheck = turn.now;
+    turn.state.nextOwnerCheckAt = turn.now;
 }
 
 void startDraining(gateway_turn &turn)
 {
     turn.state.isDraining = true;
-    turn.state.nextOwnerCheck = turn.now;
+    turn.state.nextOwnerCheckAt = turn.now;
 }
 
 std::vector<instance_id> rankOwners(const gateway &state, const group_id &group, time_point now)
@@ -546,7 +546,7 @@
     return rankInstances(ownerKey(group, state.zone), candidates);
 }
 
-std::vector<instance_id> rankOtherOwners(const gateway &state, const group_id &group)
+std::vector<instance_id> findOtherZoneOwners(const gateway &state, const group_id &group)
 {
     std::map<zone_name, std::vector<instance_id>> zones;
     for (const auto &[instance, peer] : state.peers) {
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -86,7 +86,7 @@
     const owned_statement &statement = owner.statements.at(handle);
     const queued_statement waiting = toQueued(handle, statement);
     if (isUnreachable(owner.meter, owner.queue, waiting, statement.weight, owner.pool.limit,
-                      countFree(owner.pool), turn.now)) {
+                      countAvailable(owner.pool), turn.now)) {
         fail(turn, handle, error_kind::DeadlineUnreachable);
         return;
     }
@@ -105,7 +105,7 @@
     owner_turn turn{ owner, now, random, actions };
     const bool inTransaction = statement.request.transaction.has_value();
     if (statement.maxAge)
-        noteRead(owner.interest, *statement.maxAge, now);
+        recordRead(owner.interest, *statement.maxAge, now);
     insertStatement(turn, handle, std::move(statement));
     if (inTransaction)
         startInTransaction(turn, handle);
@@ -187,7 +187,7 @@
     group_owner &owner = turn.owner;
     noticePause(turn);
     owned_statement &statement = owner.statements.at(handle);
-    routing_request request = routingRequestOf(statement.request, statement.maxAge, owner.zone);
+    routing_request request = makeRoutingRequest(statement.request, statement.maxAge, owner.zone);
     request.primaryOnly = statement.progress.primaryOnly;
     if (request.kind == statement_kind::Begin && !mayBegin(owner)) {
         statement.unsentReason = error_kind::Overloaded;
@@ -332,7 +332,7 @@
     group_owner &owner = turn.owner;
     // Statements that wait for a connection to one member must not keep the others in the queue,
     // but taking more of them out than there are connections would defeat the queue's order.
-    while (owner.readyCount < owner.pool.limit && countFree(owner.pool) > 0
+    while (owner.readyCount < owner.pool.limit && countAvailable(owner.pool) > 0
            && owner.parked.size() < owner.queue.bound) {
         const auto next = dequeue(owner.queue);
         if (!next)
--- a/src/core/group_view.cpp
+++ b/src/core/group_view.cpp
@@ -119,15 +119,15 @@
         return;
     }
     // What was executed is in the log, so the log ends there or later.
-    const log_position atLeast = std::max(answer.position, answer.applied);
-    if (atLeast > known.last)
-        takeLast(known, atLeast, now);
+    const log_position minPosition = std::max(answer.position, answer.applied);
+    if (minPosition > known.last)
+        takeLast(known, minPosition, now);
     takeApplied(known, std::max(known.applied, answer.applied));
     // The age is measured against what reads of the primary show, so an answer to a read will do.
     const bool isPrimary = view.primary == member && answer.term == view.highestTerm;
     if (isPrimary && askedTerm == answer.term && answer.status == execute_status::Ok
-        && atLeast.index > 0)
-        addSample(view.ages, askedAt, atLeast);
+        && minPosition.index > 0)
+        addSample(view.ages, askedAt, minPosition);
     confirmByMajority(view);
 }
 
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -32,7 +32,7 @@
     if (answer.status != execute_status::Ok || statement.request.kind != statement_kind::Read)
         return answer_verdict::Accept;
     const routing_request request =
-            routingRequestOf(statement.request, statement.maxAge, turn.owner.zone);
+            makeRoutingRequest(statement.request, statement.maxAge, turn.owner.zone);
     return checkAnswer(turn.owner.view, request, statement.progress.attempt, answer,
                        statement.route.fromReplica, turn.now);
 }
@@ -57,7 +57,7 @@
 /// acknowledged a write before.
 bool needsProof(const statement_request &request, const execute_answer &answer)
 {
-    return request.sessionUnusable && request.kind == statement_kind::Read
+    return request.isSessionUnusable && request.kind == statement_kind::Read
            && answer.status == execute_status::Ok;
 }
 
@@ -349,15 +349,15 @@
 {
     group_owner &owner = turn.owner;
     settleReads(turn);
-    for (const settled_write &each :
-         settleWrites(owner.pending, owner.view, owner.policy, turn.now)) {
+    for (const resolved_write &each :
+         resolveWrites(owner.pending, owner.view, owner.policy, turn.now)) {
         const auto entry = owner.statements.find(each.number);
         if (entry == owner.statements.end())
             continue;
         exchange &progress = entry->second.progress;
-        if (each.fate == write_fate::Acknowledged)
+        if (each.outcome == write_outcome::Acknowledged)
             follow(turn, each.number, onConfirmed(progress));
-        else if (each.fate == write_fate::Superseded)
+        else if (each.outcome == write_outcome::Superseded)
             follow(turn, each.number, onSuperseded(progress, turn.now));
         else
             follow(turn, each.number, onNotConfirmed(progress));
--- a/src/core/read_age.cpp
+++ b/src/core/read_age.cpp
@@ -27,10 +27,10 @@
 {
     if (!ages.samples.empty() && askedAt <= ages.samples.back().time)
         return; // an answer that came out of order adds nothing
-    if (ages.samples.size() == readAgeSamples)
+    if (ages.samples.size() == maxReadAgeSamples)
         thinOut(ages.samples);
     ages.samples.push_back({ askedAt, position });
-    assert(ages.samples.size() <= readAgeSamples);
+    assert(ages.samples.size() <= maxReadAgeSamples);
 }
 
 void confirmSamples(read_age &ages, time_point askedAt)
@@ -55,12 +55,12 @@
     return now - found->time;
 }
 
-void noteRead(read_interest &interest, duration maxAge, time_point now)
+void recordRead(read_interest &interest, duration maxAge, time_point now)
 {
     if (now < interest.until && maxAge > interest.maxAge)
         return;
     interest.maxAge = maxAge;
-    interest.until = now + readInterestLasts;
+    interest.until = now + readInterestDuration;
 }
 
 duration wantedAge(const read_interest &interest, time_point now)
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -30,54 +30,55 @@
 
 bool mayUseReplica(const routing_request &request)
 {
-    return request.kind == statement_kind::Read && request.maxAge && !request.sessionUnusable
+    return request.kind == statement_kind::Read && request.maxAge && !request.isSessionUnusable
            && !request.primaryOnly;
 }
 
 /// @return Chosen if nothing speaks against new work for the member
-pass_reason checkMember(const member_view &member, time_point now)
+rejection_reason checkMember(const member_view &member, time_point now)
 {
     if (member.leaving)
-        return pass_reason::Leaving;
+        return rejection_reason::Leaving;
     if (member.doubtedAt != time_point::min())
-        return pass_reason::NotConfirmed;
+        return rejection_reason::NotConfirmed;
     if (member.catchUp)
-        return pass_reason::FarBehind;
+        return rejection_reason::FarBehind;
     if (isBackedOff(member.pause, now))
-        return pass_reason::BackedOff;
-    return pass_reason::Chosen;
+        return rejection_reason::BackedOff;
+    return rejection_reason::Chosen;
 }
 
-pass_reason checkReplica(const group_view &view, const member_view &member,
-                         const routing_request &request, time_point now)
+rejection_reason checkReplica(const group_view &view, const member_view &member,
+                              const routing_request &request, time_point now)
 {
-    if (const pass_reason reason = checkMember(member, now); reason != pass_reason::Chosen)
+    if (const rejection_reason reason = checkMember(member, now);
+        reason != rejection_reason::Chosen)
         return reason;
     if (member.lastHeard == time_point::min())
-        return pass_reason::NeverHeard;
+        return rejection_reason::NeverHeard;
     if (member.acceptedTerm != view.highestTerm)
-        return pass_reason::OtherTerm;
-    if (member.applied < request.atLeast)
-        return pass_reason::PositionBehind;
+        return rejection_reason::OtherTerm;
+    if (member.applied < request.minPosition)
+        return rejection_reason::PositionBehind;
     const std::optional<duration> age = ageOf(view.ages, member.applied, now);
     if (!age)
-        return pass_reason::AgeUnknown;
-    return *age > *request.maxAge ? pass_reason::TooOld : pass_reason::Chosen;
+        return rejection_reason::AgeUnknown;
+    return *age > *request.maxAge ? rejection_reason::TooOld : rejection_reason::Chosen;
 }
 
 /// @return why @p other comes after @p best
-pass_reason compareReplicas(const ranked_replica &best, const ranked_replica &other)
+rejection_reason compareReplicas(const ranked_replica &best, const ranked_replica &other)
 {
     if (best.isFull != other.isFull)
-        return pass_reason::NoFreeSlot;
+        return rejection_reason::NoFreeSlot;
     if (other.isFull && best.load != other.load)
-        return pass_reason::MoreLoaded;
+        return rejection_reason::MoreLoaded;
     if (best.isOtherZone != other.isOtherZone)
-        return pass_reason::OtherZone;
+        return rejection_reason::OtherZone;
     if (best.load != other.load)
-        return pass_reason::MoreLoaded;
-    return best.needsConnection != other.needsConnection ? pass_reason::NewConnection
-                                                         : pass_reason::Tie;
+        return rejection_reason::MoreLoaded;
+    return best.needsConnection != other.needsConnection ? rejection_reason::NewConnection
+                                                         : rejection_reason::Tie;
 }
 
 /// @return whether a replica was chosen
@@ -88,12 +89,12 @@
     bool ownZoneIsAllowed = false;
     for (const auto &[id, member] : view.members) {
         if (view.primary == id) {
-            decision.candidates.push_back({ id, pass_reason::IsPrimary });
+            decision.candidates.push_back({ id, rejection_reason::IsPrimary });
             continue;
         }
-        const pass_reason reason = checkReplica(view, member, request, now);
+        const rejection_reason reason = checkReplica(view, member, request, now);
         decision.candidates.push_back({ id, reason });
-        if (reason != pass_reason::Chosen)
+        if (reason != rejection_reason::Chosen)
             continue;
         ranked_replica each;
         each.candidate = decision.candidates.size() - 1;
@@ -126,17 +127,17 @@
                    route_decision &decision)
 {
     const member_view *primary = findPrimary(view);
-    const pass_reason checked =
-            primary == nullptr ? pass_reason::NotPrimary : checkMember(*primary, now);
+    const rejection_reason checked =
+            primary == nullptr ? rejection_reason::NotPrimary : checkMember(*primary, now);
     if (decision.candidates.empty()) {
         for (const auto &[id, member] : view.members)
-            decision.candidates.push_back({ id, pass_reason::NotPrimary });
+            decision.candidates.push_back({ id, rejection_reason::NotPrimary });
     }
     for (route_candidate &each : decision.candidates) {
         if (primary != nullptr && view.primary == each.member)
             each.reason = checked;
     }
-    if (primary != nullptr && checked == pass_reason::Chosen) {
+    if (primary != nullptr && checked == rejection_reason::Chosen) {
         decision.member = view.primary;
         decision.reason = reason;
     } else {
@@ -152,9 +153,9 @@
     return routeReasonNames.at(static_cast<std::size_t>(reason));
 }
 
-std::string_view toString(pass_reason reason)
+std::string_view toString(rejection_reason reason)
 {
-    return passReasonNames.at(static_cast<std::size_t>(reason));
+    return rejectionReasonNames.at(static_cast<std::size_t>(reason));
 }
 
 std::string_view toString(answer_verdict verdict)
@@ -162,14 +163,14 @@
     return answerVerdictNames.at(static_cast<std::size_t>(verdict));
 }
 
-routing_request routingRequestOf(const statement_request &statement, std::optional<duration> maxAge,
-                                 const zone_name &zone)
+routing_request makeRoutingRequest(const statement_request &statement,
+                                   std::optional<duration> maxAge, const zone_name &zone)
 {
     routing_request request;
     request.kind = statement.kind;
     request.maxAge = maxAge;
-    request.atLeast = statement.atLeast;
-    request.sessionUnusable = statement.sessionUnusable;
+    request.minPosition = statement.minPosition;
+    request.isSessionUnusable = statement.isSessionUnusable;
     request.zone = zone;
     return request;
 }
@@ -185,12 +186,12 @@
             choosePrimary(view, now, route_reason::NoReplicaFits, decision);
     } else {
         choosePrimary(view, now,
-                      request.sessionUnusable ? route_reason::SessionUnusable
-                                              : route_reason::PrimaryRequired,
+                      request.isSessionUnusable ? route_reason::SessionUnusable
+                                                : route_reason::PrimaryRequired,
                       decision);
     }
     assert(std::count_if(decision.candidates.begin(), decision.candidates.end(),
-                         [](const auto &each) { return each.reason == pass_reason::Chosen; })
+                         [](const auto &each) { return each.reason == rejection_reason::Chosen; })
            == (decision.member ? 1 : 0));
     return decision;
 }
@@ -201,7 +202,7 @@
 {
     if (answer.id != sent)
         return answer_verdict::Drop;
-    if (answer.applied < request.atLeast)
+    if (answer.applied < request.minPosition)
         return answer_verdict::AskPrimaryPosition;
     if (!fromReplica)
         return answer_verdict::Accept;
@@ -219,7 +220,7 @@
     text += " term=" + std::to_string(decision.term) + " passed=";
     bool isFirst = true;
     for (const route_candidate &each : decision.candidates) {
-        if (each.reason == pass_reason::Chosen)
+        if (each.reason == rejection_reason::Chosen)
             continue;
         if (!isFirst)
             text += ',';
--- a/src/core/session.cpp
+++ b/src/core/session.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-std::optional<log_position> atLeast(const session &state, const group_id &group)
+std::optional<log_position> minPosition(const session &state, const group_id &group)
 {
     const auto entry = findEntry(state, group);
     if (entry != state.entries.end())
@@ -55,8 +55,8 @@
     merged.workspace = state.workspace;
     merged.isPartial = state.isPartial || other.isPartial;
     const auto add = [&](const group_id &group) {
-        const auto left = atLeast(state, group);
-        const auto right = atLeast(other, group);
+        const auto left = minPosition(state, group);
+        const auto right = minPosition(other, group);
         if (left && right && findEntry(merged, group) == merged.entries.end())
             merged.entries.push_back({ group, std::max(*left, *right) });
     };
--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -347,7 +347,7 @@
         peer.address = known.address;
         peer.isLive = known.state == core::peer_state::Live && known.incarnation != 0;
     }
-    gateway_.nextOwnerCheck = {};
+    gateway_.nextOwnerCheckAt = {};
 }
 
 std::vector<core::peer_ref> cluster::livePeers() const
--- a/src/daemon/decide.cpp
+++ b/src/daemon/decide.cpp
@@ -73,7 +73,7 @@
     , now_(net::currentTime())
     , startedAt_(now_)
 {
-    gateway_.queueBound = values.queueCapacity;
+    gateway_.queueCapacity = values.queueCapacity;
     gateway_.limits.answerLimit = values.answerLimit;
     gateway_.limits.connectLimit = values.connectLimit;
     gateway_.proof.unprovenWait = values.unprovenWait;
@@ -351,7 +351,7 @@
 void decide::send(const core::group_id &group, const core::publish_to_owners &view)
 {
     // The owners of the other zones: the first in rendezvous order of each zone's instances.
-    for (const core::instance_id &owner : rankOtherOwners(gateway_, group)) {
+    for (const core::instance_id &owner : findOtherZoneOwners(gateway_, group)) {
         const core::peer_instance &peer = gateway_.peers.at(owner);
         outputs_.toPeers(send_datagram{ peer.address, peer.incarnation, view.view });
     }
@@ -411,7 +411,7 @@
 
 void decide::log(const core::group_id &group, const core::route_decided &decided)
 {
-    std::vector<std::pair<core::member_id, core::pass_reason>> candidates;
+    std::vector<std::pair<core::member_id, core::rejection_reason>> candidates;
     for (const core::route_candidate &each : decided.decision.candidates)
         candidates.emplace_back(each.member, each.reason);
     if (decided.decision.member) {
--- a/src/daemon/front.cpp
+++ b/src/daemon/front.cpp
@@ -110,7 +110,7 @@
     const std::string_view cookies = net::findHeader(request.headers, "Cookie");
     const wire::named_session named =
             wire::sessionFromHeaders(headerOf(request, "Fuchsiagw-Session"), cookies);
-    into.sessionNamed = named.named;
+    into.hasSessionToken = named.named;
     core::session known;
     if (!named.token.empty() && !wire::open(named.token, tokens, known))
         into.known = std::move(known);
@@ -252,7 +252,7 @@
     asked.statement.transaction = match.transaction;
     const std::uint64_t ticket = asked.ticket;
     const statement_kind kind = asked.statement.kind;
-    const bool isSessionUsable = asked.known.has_value() || !asked.sessionNamed;
+    const bool isSessionUsable = asked.known.has_value() || !asked.hasSessionToken;
     const bool mayUseReplica = kind == statement_kind::Read && !match.transaction && isSessionUsable
                                && !asked.statement.readClass.empty();
     if (!sink_(std::move(asked))) {
--- a/src/proxy/engine_answers.cpp
+++ b/src/proxy/engine_answers.cpp
@@ -115,10 +115,10 @@
 {
     request &what = *who.current;
     const service_state &service = state.services.at(what.via.service);
-    if (service.leader != member || !what.where.atLeast)
+    if (service.leader != member || !what.where.minPosition)
         return;
     who.ownPosition.reset();
-    what.where.atLeast.reset();
+    what.where.minPosition.reset();
     what.where.needsPrimary = true;
     what.where.wrapsRead = who.state == transaction_state::Idle;
 }
--- a/src/proxy/engine_callers.cpp
+++ b/src/proxy/engine_callers.cpp
@@ -340,8 +340,8 @@
     if (who.current) {
         line.request = who.current->statement.id;
         line.service = who.current->via.service;
-        if (who.current->where.atLeast)
-            line.position = *who.current->where.atLeast;
+        if (who.current->where.minPosition)
+            line.position = *who.current->where.minPosition;
     }
     state.out.emplace_back(std::move(line));
 }
--- a/src/proxy/engine_links.cpp
+++ b/src/proxy/engine_links.cpp
@@ -101,7 +101,7 @@
     link.plainBegin = plain;
     upstream_command begin = makeCommand(plain ? command_kind::Begin : command_kind::BeginReadOnly);
     if (!plain)
-        begin.after = what.where.atLeast;
+        begin.after = what.where.minPosition;
     batch.push_back(std::move(begin));
     expectAnswer(link, answer_role::Begin, &who);
 }
@@ -127,7 +127,7 @@
     upstream_command statement = forwarded(who);
     const bool alone = who.state == transaction_state::Idle;
     if (alone && !what.where.needsPrimary)
-        statement.after = what.where.atLeast;
+        statement.after = what.where.minPosition;
     batch.push_back(std::move(statement));
     expectAnswer(link, answer_role::Statement, &who);
 }
--- a/src/proxy/engine_placement.cpp
+++ b/src/proxy/engine_placement.cpp
@@ -174,7 +174,7 @@
         position = std::max(*position, *who.ownPosition);
     what.where.needsPrimary = false;
     what.where.wrapsRead = false;
-    what.where.atLeast = position;
+    what.where.minPosition = position;
 }
 
 void enqueue(engine &state, session &who, refusal_reason waitsFor)
--- a/src/wire/peer_message.cpp
+++ b/src/wire/peer_message.cpp
@@ -65,11 +65,18 @@
             request.deadline == core::noDeadline
                     ? longestRemaining
                     : std::clamp(request.deadline - now, core::duration(0), longestRemaining);
-    return {
-        request.id,          request.workspace,  request.group,           request.kind,
-        request.text,        request.parameters, request.readClass,       request.idempotencyKey,
-        request.transaction, request.atLeast,    request.sessionUnusable, left.count()
-    };
+    return { request.id,
+             request.workspace,
+             request.group,
+             request.kind,
+             request.text,
+             request.parameters,
+             request.readClass,
+             request.idempotencyKey,
+             request.transaction,
+             request.minPosition,
+             request.isSessionUnusable,
+             left.count() };
 }
 
 core::statement_request toRequest(forward_request forward, core::time_point now)
@@ -84,8 +91,8 @@
     request.readClass = std::move(forward.readClass);
     request.idempotencyKey = std::move(forward.idempotencyKey);
     request.transaction = forward.transaction;
-    request.atLeast = forward.atLeast;
-    request.sessionUnusable = forward.sessionUnusable;
+    request.minPosition = forward.minPosition;
+    request.isSessionUnusable = forward.isSessionUnusable;
     request.deadline = now
                        + std::clamp(core::duration(forward.remainingMicros), core::duration(0),
                                     longestRemaining);
--- a/testing/fake_group_owner.cpp
+++ b/testing/fake_group_owner.cpp
@@ -229,19 +229,19 @@
     const auto policy = config.fault == sabotage::AcknowledgeAtOnce
                                 ? acknowledgement_policy::KnownPosition
                                 : config.policy;
-    for (const settled_write &each : settleWrites(owner.pending, owner.view, policy, clock)) {
+    for (const resolved_write &each : resolveWrites(owner.pending, owner.view, policy, clock)) {
         const auto found = owner.writes.find(each.number);
         if (found == owner.writes.end())
             continue;
         exchange &way = found->second.way;
-        switch (each.fate) {
-        case write_fate::Acknowledged:
+        switch (each.outcome) {
+        case write_outcome::Acknowledged:
             act(index, each.number, onConfirmed(way));
             break;
-        case write_fate::Expired:
+        case write_outcome::Expired:
             act(index, each.number, onNotConfirmed(way));
             break;
-        case write_fate::Superseded:
+        case write_outcome::Superseded:
             act(index, each.number, onSuperseded(way, clock));
             break;
         }
--- a/testing/gateway_world.cpp
+++ b/testing/gateway_world.cpp
@@ -202,7 +202,7 @@
 void performView(gateway_world &world, std::size_t from, const group_id &group,
                  const published_view &view)
 {
-    for (const instance_id &each : rankOtherOwners(world.gateways[from].state, group)) {
+    for (const instance_id &each : findOtherZoneOwners(world.gateways[from].state, group)) {
         for (std::size_t to = 0; to < world.gateways.size(); ++to) {
             if (world.gateways[to].instance != each)
                 continue;
--- a/testing/gateway_world_callers.cpp
+++ b/testing/gateway_world_callers.cpp
@@ -177,7 +177,7 @@
     request.ticket = number;
     request.key = operation.key;
     request.known = known;
-    request.sessionNamed = isNamed;
+    request.hasSessionToken = isNamed;
     request.statement = operation.request;
     const std::size_t gateway = operation.gateway;
     if (operation.request.kind == statement_kind::Write)
--- a/tests/unit-acknowledgement.cpp
+++ b/tests/unit-acknowledgement.cpp
@@ -97,16 +97,16 @@
     addPendingWrite(pending, { 2, 2, { 2, 6 }, now, now + 1s });
     addPendingWrite(pending, { 3, 2, { 2, 7 }, now, now + 2s });
     const auto policy = acknowledgement_policy::Majority;
-    auto settled = settleWrites(pending, view, policy, now);
+    auto settled = resolveWrites(pending, view, policy, now);
     UNSIGNED_LONGS_EQUAL(1, settled.size());
-    CHECK_TRUE(settled[0].number == 1 && settled[0].fate == write_fate::Acknowledged);
+    CHECK_TRUE(settled[0].number == 1 && settled[0].outcome == write_outcome::Acknowledged);
     CHECK_TRUE(nextExpiry(pending) == now + 1s);
-    settled = settleWrites(pending, view, policy, now + 1s);
+    settled = resolveWrites(pending, view, policy, now + 1s);
     UNSIGNED_LONGS_EQUAL(1, settled.size());
-    CHECK_TRUE(settled[0].number == 2 && settled[0].fate == write_fate::Expired);
+    CHECK_TRUE(settled[0].number == 2 && settled[0].outcome == write_outcome::Expired);
     observePrimary(view, { "b" }, 3, now);
-    settled = settleWrites(pending, view, policy, now + 1s);
+    settled = resolveWrites(pending, view, policy, now + 1s);
     UNSIGNED_LONGS_EQUAL(1, settled.size());
-    CHECK_TRUE(settled[0].number == 3 && settled[0].fate == write_fate::Superseded);
+    CHECK_TRUE(settled[0].number == 3 && settled[0].outcome == write_outcome::Superseded);
     CHECK_TRUE(nextExpiry(pending) == noDeadline);
 }
--- a/tests/unit-failover.cpp
+++ b/tests/unit-failover.cpp
@@ -238,10 +238,10 @@
     CHECK_TRUE(probesIn(duration::zero()) <= 9);
     CHECK_TRUE(probesIn(300ms) >= 60);
     read_interest interest;
-    noteRead(interest, 300ms, now);
-    noteRead(interest, 5s, now);
+    recordRead(interest, 300ms, now);
+    recordRead(interest, 5s, now);
     CHECK_TRUE(wantedAge(interest, now) == 300ms);
-    CHECK_TRUE(wantedAge(interest, now + readInterestLasts) == duration::zero());
+    CHECK_TRUE(wantedAge(interest, now + readInterestDuration) == duration::zero());
 }
 
 // Guards against an operator's wish that outweighs the log: the greatest position always leads.
--- a/tests/unit-group-view.cpp
+++ b/tests/unit-group-view.cpp
@@ -81,13 +81,13 @@
         observeFailure(view, { "a" }, member_failure::Silence, now, random);
     const backoff &pause = view.members[{ "a" }].pause;
     UNSIGNED_LONGS_EQUAL(1, pause.failures);
-    CHECK_TRUE(pause.until > now && pause.until <= now + backoffFirst);
+    CHECK_TRUE(pause.until > now && pause.until <= now + initialBackoff);
     time_point last = pause.until;
     for (int i = 0; i < 10; ++i) {
         last = pause.until;
         observeFailure(view, { "a" }, member_failure::Refused, last, random);
     }
-    CHECK_TRUE(pause.until - last > backoffLongest / 2 && pause.until - last <= backoffLongest);
+    CHECK_TRUE(pause.until - last > maxBackoff / 2 && pause.until - last <= maxBackoff);
     observeStatus(view, makeStatus("a", 1, { 1, 5 }), now, now);
     CHECK_FALSE(isBackedOff(pause, now));
 }
--- a/tests/unit-peer-codec.cpp
+++ b/tests/unit-peer-codec.cpp
@@ -38,8 +38,8 @@
     message.readClass = "menu";
     message.idempotencyKey = "k";
     message.transaction = core::transaction_id{ 5, 6 };
-    message.atLeast = { 7, 8 };
-    message.sessionUnusable = true;
+    message.minPosition = { 7, 8 };
+    message.isSessionUnusable = true;
     message.remainingMicros = 9;
     return message;
 }
--- a/tests/unit-read-age.cpp
+++ b/tests/unit-read-age.cpp
@@ -28,7 +28,7 @@
             addSample(ages, now - duration(random() % 3000), { 1, writes.back().second });
             confirmSamples(ages, now);
         }
-        CHECK_TRUE(ages.samples.size() <= readAgeSamples);
+        CHECK_TRUE(ages.samples.size() <= maxReadAgeSamples);
         const auto &[ignored, applied] = writes[random() % writes.size()];
         const auto age = ageOf(ages, { 1, applied }, now);
         // Data up to `applied` became old when the next write was made.
--- a/tests/unit-routing.cpp
+++ b/tests/unit-routing.cpp
@@ -64,9 +64,9 @@
 TEST(routing, onlyReadsThatAcceptAnAgeLeaveThePrimary)
 {
     expect("b", route_reason::OwnZone);
-    request.sessionUnusable = true;
+    request.isSessionUnusable = true;
     expect("a", route_reason::SessionUnusable);
-    request.sessionUnusable = false;
+    request.isSessionUnusable = false;
     for (const auto kind : { statement_kind::Write, statement_kind::Begin }) {
         request.kind = kind;
         expect("a", route_reason::PrimaryRequired);
@@ -84,27 +84,27 @@
 {
     member_view &near = view.members[{ "b" }];
     const member_view before = near;
-    const auto expectPassed = [&](pass_reason reason) {
+    const auto expectPassed = [&](rejection_reason reason) {
         const route_decision decision = route();
         CHECK_TRUE(decision.member == member_id{ "c" });
         CHECK_TRUE(decision.candidates.at(1).reason == reason);
         near = before;
     };
     near.leaving = true;
-    expectPassed(pass_reason::Leaving);
+    expectPassed(rejection_reason::Leaving);
     near.pause.until = now + 1us;
-    expectPassed(pass_reason::BackedOff);
+    expectPassed(rejection_reason::BackedOff);
     near.catchUp = log_position{ 2, 5 };
-    expectPassed(pass_reason::FarBehind);
+    expectPassed(rejection_reason::FarBehind);
     near.acceptedTerm = 1;
-    expectPassed(pass_reason::OtherTerm);
+    expectPassed(rejection_reason::OtherTerm);
     near.lastHeard = time_point::min();
-    expectPassed(pass_reason::NeverHeard);
+    expectPassed(rejection_reason::NeverHeard);
     near.applied = { 2, 4 };
-    expectPassed(pass_reason::AgeUnknown);
-    request.atLeast = { 2, 5 };
+    expectPassed(rejection_reason::AgeUnknown);
+    request.minPosition = { 2, 5 };
     near.applied = { 2, 4 };
-    expectPassed(pass_reason::PositionBehind);
+    expectPassed(rejection_reason::PositionBehind);
 }
 
 // Guards against full members of the own zone that are preferred to free ones elsewhere.
@@ -154,7 +154,7 @@
     CHECK_TRUE(check(true, 500ms) == answer_verdict::Accept);
     CHECK_TRUE(check(true, 501ms) == answer_verdict::AskPrimaryAge);
     CHECK_TRUE(check(false, 501ms) == answer_verdict::Accept);
-    request.atLeast = { 2, 6 };
+    request.minPosition = { 2, 6 };
     CHECK_TRUE(check(true, 0ms) == answer_verdict::AskPrimaryPosition);
     CHECK_TRUE(check(false, 0ms) == answer_verdict::AskPrimaryPosition);
     answer.id = { 1, 2 };
--- a/tests/unit-session.cpp
+++ b/tests/unit-session.cpp
@@ -32,8 +32,8 @@
     session state = sessionOf(0, 1);
     recordWrite(state, groupOf(0), { 2, 5 });
     recordWrite(state, groupOf(0), { 1, 900 });
-    CHECK_TRUE((atLeast(state, groupOf(0)) == log_position{ 2, 5 }));
-    CHECK_TRUE((atLeast(state, groupOf(1)) == log_position{}));
+    CHECK_TRUE((minPosition(state, groupOf(0)) == log_position{ 2, 5 }));
+    CHECK_TRUE((minPosition(state, groupOf(1)) == log_position{}));
 }
 
 // Guards against a read that misses a write whose group was dropped from a full session.
@@ -41,9 +41,9 @@
 {
     session state = sessionOf(0, maxSessionGroups + 1);
     LONGS_EQUAL(maxSessionGroups, state.entries.size());
-    CHECK_FALSE(atLeast(state, groupOf(0)).has_value());
-    CHECK_FALSE(atLeast(state, groupOf(99)).has_value());
-    CHECK_TRUE(atLeast(state, groupOf(1)).has_value());
+    CHECK_FALSE(minPosition(state, groupOf(0)).has_value());
+    CHECK_FALSE(minPosition(state, groupOf(99)).has_value());
+    CHECK_TRUE(minPosition(state, groupOf(1)).has_value());
 }
 
 // Guards against a merge in which a known older position stands for a dropped newer one.
@@ -56,13 +56,13 @@
     session right = small;
     merge(right, full);
     for (const session &each : { left, right }) {
-        CHECK_FALSE(atLeast(each, groupOf(0)).has_value());
-        CHECK_TRUE((atLeast(each, groupOf(3)) == log_position{ 1, 4 }));
+        CHECK_FALSE(minPosition(each, groupOf(0)).has_value());
+        CHECK_TRUE((minPosition(each, groupOf(3)) == log_position{ 1, 4 }));
     }
 
     session other = sessionOf(0, 1);
     session newer = sessionOf(0, 1);
     recordWrite(newer, groupOf(0), { 3, 1 });
     merge(other, newer);
-    CHECK_TRUE((atLeast(other, groupOf(0)) == log_position{ 3, 1 }));
+    CHECK_TRUE((minPosition(other, groupOf(0)) == log_position{ 3, 1 }));
 }
