--- a/include/fuchsiagw/core/acknowledgement.hpp
+++ b/include/fuchsiagw/core/acknowledgement.hpp
@@ -16,10 +16,10 @@
 namespace fuchsiagw::core {
 
 /// How long a member holds a /wait request open. Short, so that a lost answer costs little.
-inline constexpr duration waitHeld = std::chrono::milliseconds(100);
-/// Time beyond waitHeld after which the answer to a /wait request counts as lost. Several round
-/// trips between zones (8 ms).
-inline constexpr duration waitMargin = std::chrono::milliseconds(50);
+inline constexpr duration waitHoldTimeout = std::chrono::milliseconds(100);
+/// Time beyond waitHoldTimeout after which the answer to a /wait request counts as lost. Several
+/// round trips between zones (8 ms).
+inline constexpr duration waitAnswerMargin = std::chrono::milliseconds(50);
 /// Expected delay of a confirmation before one was seen. An owner that starts must not take slow
 /// replication for a primary that is cut off from its group.
 inline constexpr duration initialConfirmDelay = std::chrono::seconds(1);
@@ -52,8 +52,8 @@
 /// @param term term that the request carried
 /// @param position the write's position as the primary answered
 /// @complexity linear in the number of members
-[[nodiscard]] bool acknowledgementOf(acknowledgement_policy policy, const group_view &view,
-                                     term_number term, log_position position, time_point now);
+[[nodiscard]] bool mayAcknowledge(acknowledgement_policy policy, const group_view &view,
+                                  term_number term, log_position position, time_point now);
 
 /// A write that ran and is not acknowledged yet.
 struct pending_write
@@ -92,7 +92,7 @@
 {
     member_id member;
     log_position position; ///< `term` and `index` of the request
-    duration held = waitHeld; ///< `wait_ms`
+    duration held = waitHoldTimeout; ///< `wait_ms`
     time_point deadline; ///< without an answer until then, report onWaitEnded()
 };
 
@@ -103,8 +103,8 @@
     std::map<member_id, time_point> openWaits; ///< with the deadline of each
     /// Smoothed time from a primary's answer to the confirmation.
     duration confirmDelay = initialConfirmDelay;
-    bool confirmDelayKnown = false;
-    time_point lastConfirmed = time_point::min();
+    bool isConfirmDelayKnown = false;
+    time_point lastConfirmedAt = time_point::min();
 };
 
 /// @brief Adds a write that the primary has answered.
--- a/include/fuchsiagw/core/connection_pool.hpp
+++ b/include/fuchsiagw/core/connection_pool.hpp
@@ -63,13 +63,13 @@
 /// @brief Chooses the connection for a statement to @p member.
 ///
 /// An idle connection of another member is given up if this member has none at all, or if the idle
-/// one was not used for replaceAfter; otherwise two members would take it from each other in turns
-/// and each statement would pay for a new connection.
+/// one was not used for idleReplaceInterval; otherwise two members would take it from each other in
+/// turns and each statement would pay for a new connection.
 /// @complexity linear in the connections
 [[nodiscard]] connection_choice chooseConnection(const connection_pool &pool,
                                                  const member_id &member, time_point now);
 
-inline constexpr duration replaceAfter = std::chrono::milliseconds(100);
+inline constexpr duration idleReplaceInterval = std::chrono::milliseconds(100);
 
 /// @brief Adds a connection in state Opening.
 /// @return its id
--- a/include/fuchsiagw/core/exchange.hpp
+++ b/include/fuchsiagw/core/exchange.hpp
@@ -18,12 +18,12 @@
 namespace fuchsiagw::core {
 
 /// Pause before a refused statement is routed again; it doubles with each refusal in a row.
-inline constexpr duration refusedPause = std::chrono::milliseconds(5);
+inline constexpr duration initialRefusalDelay = std::chrono::milliseconds(5);
 /// Longest such pause. Short against a promotion, which is what most refusals wait for.
-inline constexpr duration refusedPauseLongest = std::chrono::milliseconds(100);
+inline constexpr duration maxRefusalDelay = std::chrono::milliseconds(100);
 /// Refusals in a row by members that agree on the term, after which the caller gets the refusal. A
 /// member refuses so while it has accepted a term but does not lead it yet, so one is not enough.
-inline constexpr std::uint32_t refusalsBeforeAnswer = 8;
+inline constexpr std::uint32_t maxConsecutiveRefusals = 8;
 
 enum class exchange_state : std::uint8_t {
     Queued, ///< no attempt is under way
@@ -62,7 +62,7 @@
 {
     statement_kind kind = statement_kind::Read;
     bool inTransaction = false; ///< belongs to the connection of its transaction
-    bool hasKey = false; ///< has an idempotency key, so that it may be repeated
+    bool hasIdempotencyKey = false; ///< has an idempotency key, so that it may be repeated
     time_point deadline = noDeadline;
 
     exchange_state state = exchange_state::Queued;
@@ -72,7 +72,7 @@
     std::uint32_t attempts = 0;
     /// Attempts that were sent and not refused: each of them ran or may still run.
     std::uint32_t unresolved = 0;
-    std::uint32_t refusalsInRow = 0; ///< including reads that were behind at the primary
+    std::uint32_t consecutiveRefusals = 0; ///< including reads that were behind at the primary
     bool primaryOnly = false;
 };
 
@@ -85,37 +85,38 @@
 /// @brief An attempt is about to be written to a connection. From here on the member may run it.
 /// @param attempt fresh id of this attempt
 /// @param term the term that the request carries
-void onSent(exchange &each, const request_id &attempt, const member_id &member, term_number term);
+void onSent(exchange &current, const request_id &attempt, const member_id &member,
+            term_number term);
 
 /// @brief No connection could be made, so that no byte of the attempt left.
 /// @return SendToMember; for a statement of a transaction, whose connection is gone, the answer
-[[nodiscard]] exchange_action onNotSent(exchange &each, time_point now);
+[[nodiscard]] exchange_action onNotSent(exchange &current, time_point now);
 
 /// @brief An answer arrived on the connection of the newest attempt.
 /// @param verdict of checkAnswer() for successful reads, Accept for everything else
 /// @return what to do; an answer with a foreign id closes the connection and counts as a failure
-[[nodiscard]] exchange_action onAnswer(exchange &each, const execute_answer &answer,
+[[nodiscard]] exchange_action onAnswer(exchange &current, const execute_answer &answer,
                                        answer_verdict verdict, time_point now);
 
 /// @brief The connection of the newest attempt closed or was silent beyond its timeout.
-[[nodiscard]] exchange_action onConnectionLost(exchange &each, time_point now);
+[[nodiscard]] exchange_action onConnectionLost(exchange &current, time_point now);
 
 /// @brief The write was confirmed as the acknowledgement policy demands.
-[[nodiscard]] exchange_action onConfirmed(exchange &each);
+[[nodiscard]] exchange_action onConfirmed(exchange &current);
 
 /// @brief The write was not confirmed before its deadline.
-[[nodiscard]] exchange_action onNotConfirmed(exchange &each);
+[[nodiscard]] exchange_action onNotConfirmed(exchange &current);
 
 /// @brief The write's term has ended before it was confirmed. With an idempotency key it is
 /// repeated at the new primary, which tells whether it has it.
-[[nodiscard]] exchange_action onSuperseded(exchange &each, time_point now);
+[[nodiscard]] exchange_action onSuperseded(exchange &current, time_point now);
 
 /// @brief The deadline has passed.
 /// @param unsentReason what to report if nothing can have run: DeadlineExceeded, NoPrimary or
 /// NoMember, as the last routing decision said
-[[nodiscard]] exchange_action onDeadline(exchange &each, error_kind unsentReason);
+[[nodiscard]] exchange_action onDeadline(exchange &current, error_kind unsentReason);
 
 /// @return the error that is true for a statement which ends now without an answer of a member
-[[nodiscard]] error_kind lostError(const exchange &each, error_kind unsentReason);
+[[nodiscard]] error_kind errorWithoutAnswer(const exchange &current, error_kind unsentReason);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/fair_queue.hpp
+++ b/include/fuchsiagw/core/fair_queue.hpp
@@ -29,7 +29,7 @@
 };
 
 /// The waiting statements of one workspace.
-struct workspace_lane
+struct workspace_flow
 {
     std::deque<queued_statement> transactions; ///< of open transactions, served first
     std::map<std::uint64_t, std::deque<queued_statement>> sessions;
@@ -39,14 +39,14 @@
     std::size_t length = 0;
 };
 
-/// Position of a lane in the order by length relative to weight.
-struct lane_rank
+/// Position of a flow in the order by length relative to weight.
+struct flow_rank
 {
     double length = 0; ///< statements per unit of weight
     workspace_id workspace;
 
-    friend bool operator==(const lane_rank &, const lane_rank &) = default;
-    friend auto operator<=>(const lane_rank &left, const lane_rank &right)
+    friend bool operator==(const flow_rank &, const flow_rank &) = default;
+    friend auto operator<=>(const flow_rank &left, const flow_rank &right)
     {
         if (left.length != right.length)
             return left.length < right.length ? std::strong_ordering::less
@@ -56,14 +56,14 @@
 };
 
 /// Invariant: length is the sum of the flows' lengths and at most bound; rotation and ranks name
-/// exactly the flows; no lane is empty.
+/// exactly the flows; no flow is empty.
 struct fair_queue
 {
     std::size_t bound = 1024; ///< statements
     std::size_t length = 0;
-    std::map<workspace_id, workspace_lane> flows;
-    std::deque<workspace_id> rotation; ///< deficit round robin, the lane being served first
-    std::set<lane_rank> ranks; ///< the longest lane last
+    std::map<workspace_id, workspace_flow> flows;
+    std::deque<workspace_id> rotation; ///< deficit round robin, the flow being served first
+    std::set<flow_rank> ranks; ///< the longest flow last
 };
 
 struct enqueue_result
@@ -72,11 +72,11 @@
     std::optional<queued_statement> evicted; ///< refused in favour of the accepted one
 };
 
-/// @brief Adds a statement. A full queue refuses the newest statement of the workspace whose lane
+/// @brief Adds a statement. A full queue refuses the newest statement of the workspace whose flow
 /// is the longest relative to its weight, which may be the one that comes.
 /// @param weight of the workspace, at least 1; small numbers keep the rounds short
 /// @complexity logarithmic in the flows and in the workspace's sessions; an eviction is linear in
-/// the sessions of the longest lane
+/// the sessions of the longest flow
 enqueue_result enqueue(fair_queue &queue, queued_statement statement, std::uint32_t weight);
 
 /// @brief Removes the statement that is next.
--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -103,7 +103,7 @@
 void withKeeper(gateway_turn &turn, function &&step);
 
 /// @brief Turns the keeper's actions into the gateway's.
-void passOn(gateway_turn &turn, keeper_actions &&actions);
+void applyActions(gateway_turn &turn, keeper_actions &&actions);
 
 /// @brief Puts a configuration in force. Versions only go forward.
 /// @return false if @p config is not newer than the one in force
@@ -153,14 +153,14 @@
 [[nodiscard]] bool isDrained(const gateway &state);
 
 /// @brief Turns an owner's actions into the gateway's; answers go to whoever sent the statement.
-void passOn(gateway_turn &turn, const group_id &group, owner_actions &&actions);
+void applyActions(gateway_turn &turn, const group_id &group, owner_actions &&actions);
 
 template <typename function>
 void withKeeper(gateway_turn &turn, function &&step)
 {
     keeper_actions actions;
     step(turn.state.keeper, actions);
-    passOn(turn, std::move(actions));
+    applyActions(turn, std::move(actions));
 }
 
 template <typename function>
@@ -171,7 +171,7 @@
         return;
     owner_actions actions;
     step(owner->second, actions);
-    passOn(turn, group, std::move(actions));
+    applyActions(turn, group, std::move(actions));
 }
 
 } // namespace fuchsiagw::core
--- a/src/core/acknowledgement.cpp
+++ b/src/core/acknowledgement.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Weight of a new value in the smoothed confirmation delay is 1 / smoothing.
-constexpr int smoothing = 8;
+/// Weight of a new value in the smoothed confirmation delay is 1 / confirmDelaySmoothing.
+constexpr int confirmDelaySmoothing = 8;
 
 bool isHeldByMajority(const group_view &view, term_number term, log_position position)
 {
@@ -22,20 +22,20 @@
     return static_cast<std::size_t>(holders) >= majorityOf(view.members.size());
 }
 
-void learnDelay(pending_writes &pending, duration delay, time_point now)
+void updateConfirmDelay(pending_writes &pending, duration delay, time_point now)
 {
     pending.confirmDelay =
-            pending.confirmDelayKnown
-                    ? pending.confirmDelay + (delay - pending.confirmDelay) / smoothing
+            pending.isConfirmDelayKnown
+                    ? pending.confirmDelay + (delay - pending.confirmDelay) / confirmDelaySmoothing
                     : delay;
-    pending.confirmDelayKnown = true;
-    pending.lastConfirmed = now;
+    pending.isConfirmDelayKnown = true;
+    pending.lastConfirmedAt = now;
 }
 
-std::optional<write_outcome> fateOf(const pending_write &write, const group_view &view,
-                                    acknowledgement_policy policy, time_point now)
+std::optional<write_outcome> outcomeOf(const pending_write &write, const group_view &view,
+                                       acknowledgement_policy policy, time_point now)
 {
-    if (acknowledgementOf(policy, view, write.term, write.position, now))
+    if (mayAcknowledge(policy, view, write.term, write.position, now))
         return write_outcome::Acknowledged;
     if (now >= write.deadline)
         return write_outcome::Expired;
@@ -55,8 +55,8 @@
     return position.term < term && member.last.term == term;
 }
 
-bool acknowledgementOf(acknowledgement_policy policy, const group_view &view, term_number term,
-                       log_position position, time_point now)
+bool mayAcknowledge(acknowledgement_policy policy, const group_view &view, term_number term,
+                    log_position position, time_point now)
 {
     switch (policy) {
     case acknowledgement_policy::Majority:
@@ -96,9 +96,9 @@
             continue;
         // An entry of an earlier term is confirmed by any later entry of the term.
         const log_position position{ view.highestTerm, wanted->index };
-        const time_point deadline = now + waitHeld + waitMargin;
+        const time_point deadline = now + waitHoldTimeout + waitAnswerMargin;
         pending.openWaits[id] = deadline;
-        opened.push_back({ id, position, waitHeld, deadline });
+        opened.push_back({ id, position, waitHoldTimeout, deadline });
     }
     return opened;
 }
@@ -113,19 +113,19 @@
 std::vector<resolved_write> resolveWrites(pending_writes &pending, group_view &view,
                                           acknowledgement_policy policy, time_point now)
 {
-    std::vector<resolved_write> settled;
+    std::vector<resolved_write> resolved;
     std::erase_if(pending.writes, [&](const pending_write &each) {
-        const std::optional<write_outcome> outcome = fateOf(each, view, policy, now);
+        const std::optional<write_outcome> outcome = outcomeOf(each, view, policy, now);
         if (!outcome)
             return false;
-        settled.push_back({ each.number, *outcome, each.position });
+        resolved.push_back({ each.number, *outcome, each.position });
         if (*outcome == write_outcome::Acknowledged) {
-            learnDelay(pending, now - each.since, now);
+            updateConfirmDelay(pending, now - each.since, now);
             view.highestAcknowledged = std::max(view.highestAcknowledged, each.position);
         }
         return true;
     });
-    return settled;
+    return resolved;
 }
 
 time_point nextExpiry(const pending_writes &pending)
--- a/src/core/backoff.cpp
+++ b/src/core/backoff.cpp
@@ -11,13 +11,13 @@
 void recordFailure(backoff &state, time_point now, random_engine &random)
 {
     // Beyond this exponent every delay is maxBackoff; the bound keeps the shift defined.
-    constexpr std::uint32_t longestExponent = 20;
-    const std::uint32_t exponent = std::min(state.failures, longestExponent);
+    constexpr std::uint32_t maxExponent = 20;
+    const std::uint32_t exponent = std::min(state.failures, maxExponent);
     const duration full = std::min(initialBackoff * (std::int64_t{ 1 } << exponent), maxBackoff);
     const duration fixed = full * 3 / 4;
     const auto jitter = static_cast<std::uint64_t>((full - fixed).count());
     state.until = now + fixed + duration(drawBelow(random, jitter + 1));
-    state.failures += state.failures < longestExponent ? 1 : 0;
+    state.failures += state.failures < maxExponent ? 1 : 0;
     assert(state.failures > 0);
 }
 
--- a/src/core/connection_pool.cpp
+++ b/src/core/connection_pool.cpp
@@ -40,8 +40,9 @@
     if (pool.connections.size() > pool.limit || idle.empty())
         return {};
     const bool hasNone = countConnections(pool, member) == 0;
-    const bool isUnused = pool.connections.at(idle.front()).idleSince + replaceAfter <= now;
-    if (hasNone || isUnused)
+    const bool isLongIdle =
+            pool.connections.at(idle.front()).idleSince + idleReplaceInterval <= now;
+    if (hasNone || isLongIdle)
         return { connection_step::Replace, idle.front() };
     return {};
 }
--- a/src/core/exchange.cpp
+++ b/src/core/exchange.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-exchange_action answerWith(exchange &each, std::optional<error_kind> error)
+exchange_action answerWith(exchange &current, std::optional<error_kind> error)
 {
-    each.state = exchange_state::Answered;
+    current.state = exchange_state::Answered;
     exchange_action action;
     action.step = exchange_step::Answer;
     action.error = error;
     return action;
 }
 
-exchange_action routeAgain(exchange &each, exchange_step step, time_point notBefore)
+exchange_action routeAgain(exchange &current, exchange_step step, time_point notBefore)
 {
-    each.state = exchange_state::Queued;
+    current.state = exchange_state::Queued;
     exchange_action action;
     action.step = step;
     action.notBefore = notBefore;
@@ -30,62 +30,65 @@
 
 /// Whether a second run does no harm. A begin that gets no answer is rolled back with its
 /// connection.
-bool mayRepeat(const exchange &each)
+bool isSafeToRetry(const exchange &current)
 {
-    if (each.inTransaction)
+    if (current.inTransaction)
         return false;
-    return each.kind == statement_kind::Read || each.kind == statement_kind::Begin || each.hasKey;
+    return current.kind == statement_kind::Read || current.kind == statement_kind::Begin
+           || current.hasIdempotencyKey;
 }
 
 /// The write is over only when it is confirmed; within a transaction the commit is.
-bool needsConfirmation(const exchange &each, const execute_answer &answer)
+bool needsConfirmation(const exchange &current, const execute_answer &answer)
 {
-    if (each.kind == statement_kind::Commit)
+    if (current.kind == statement_kind::Commit)
         return answer.position != log_position{}; // a commit without writes has no position
-    return each.kind == statement_kind::Write && !each.inTransaction;
+    return current.kind == statement_kind::Write && !current.inTransaction;
 }
 
-exchange_action loseTransaction(exchange &each)
+exchange_action failTransaction(exchange &current)
 {
-    exchange_action action = answerWith(each, error_kind::TransactionLost);
+    exchange_action action = answerWith(current, error_kind::TransactionLost);
     action.closeConnection = true;
     return action;
 }
 
 /// @return the pause before the next attempt; counts this refusal
-duration pauseAfterRefusal(exchange &each)
+duration nextRefusalDelay(exchange &current)
 {
-    constexpr std::uint32_t longestExponent = 8; // beyond it every pause is the longest one
-    const std::int64_t factor = std::int64_t{ 1 } << std::min(each.refusalsInRow, longestExponent);
-    each.refusalsInRow += 1;
-    return std::min(refusedPause * factor, refusedPauseLongest);
+    constexpr std::uint32_t maxExponent = 8; // beyond it every pause is the longest one
+    const std::int64_t factor = std::int64_t{ 1 }
+                                << std::min(current.consecutiveRefusals, maxExponent);
+    current.consecutiveRefusals += 1;
+    return std::min(initialRefusalDelay * factor, maxRefusalDelay);
 }
 
-exchange_action onRefused(exchange &each, const execute_answer &answer, time_point now)
+exchange_action onRefused(exchange &current, const execute_answer &answer, time_point now)
 {
     // The refusal resolves this attempt only; an earlier one may still have run.
-    assert(each.unresolved > 0);
-    each.unresolved -= 1;
-    const bool termDiffers = answer.term != each.term;
-    if (each.inTransaction) {
+    assert(current.unresolved > 0);
+    current.unresolved -= 1;
+    const bool termDiffers = answer.term != current.term;
+    if (current.inTransaction) {
         // Under another term the transaction can't be committed any more.
-        return termDiffers ? loseTransaction(each) : answerWith(each, error_kind::UpstreamRefused);
+        return termDiffers ? failTransaction(current)
+                           : answerWith(current, error_kind::UpstreamRefused);
     }
-    const duration pause = pauseAfterRefusal(each);
-    if (!termDiffers && each.refusalsInRow >= refusalsBeforeAnswer)
-        return answerWith(each, lostError(each, error_kind::UpstreamRefused));
-    return routeAgain(each, exchange_step::SendToMember, now + pause);
+    const duration delay = nextRefusalDelay(current);
+    if (!termDiffers && current.consecutiveRefusals >= maxConsecutiveRefusals)
+        return answerWith(current, errorWithoutAnswer(current, error_kind::UpstreamRefused));
+    return routeAgain(current, exchange_step::SendToMember, now + delay);
 }
 
-exchange_action onBehind(exchange &each, time_point now)
+exchange_action onStaleAnswer(exchange &current, time_point now)
 {
     // A primary that is behind the session has been replaced, and its transactions with it.
-    if (each.inTransaction)
-        return loseTransaction(each);
-    const bool wasPrimary = each.primaryOnly;
-    each.primaryOnly = true;
-    const duration pause = wasPrimary ? pauseAfterRefusal(each) : duration::zero();
-    return routeAgain(each, exchange_step::AskPrimary, now + pause);
+    if (current.inTransaction)
+        return failTransaction(current);
+    const bool wasPrimary = current.primaryOnly;
+    current.primaryOnly = true;
+    const duration delay = wasPrimary ? nextRefusalDelay(current) : duration::zero();
+    return routeAgain(current, exchange_step::AskPrimary, now + delay);
 }
 
 } // namespace
@@ -102,127 +105,128 @@
 
 exchange makeExchange(const statement_request &statement)
 {
-    exchange each;
-    each.kind = statement.kind;
-    each.inTransaction = statement.transaction.has_value();
-    each.hasKey = !statement.idempotencyKey.empty();
-    each.deadline = statement.deadline;
-    return each;
+    exchange current;
+    current.kind = statement.kind;
+    current.inTransaction = statement.transaction.has_value();
+    current.hasIdempotencyKey = !statement.idempotencyKey.empty();
+    current.deadline = statement.deadline;
+    return current;
 }
 
-void onSent(exchange &each, const request_id &attempt, const member_id &member, term_number term)
+void onSent(exchange &current, const request_id &attempt, const member_id &member, term_number term)
 {
-    assert(each.state == exchange_state::Queued);
+    assert(current.state == exchange_state::Queued);
     // The central rule: what may have run is not sent again unless a second run does no harm.
-    assert(each.unresolved == 0 || mayRepeat(each));
-    each.state = exchange_state::Sent;
-    each.attempt = attempt;
-    each.member = member;
-    each.term = term;
-    each.attempts += 1;
-    each.unresolved += 1;
+    assert(current.unresolved == 0 || isSafeToRetry(current));
+    current.state = exchange_state::Sent;
+    current.attempt = attempt;
+    current.member = member;
+    current.term = term;
+    current.attempts += 1;
+    current.unresolved += 1;
 }
 
-exchange_action onNotSent(exchange &each, time_point now)
+exchange_action onNotSent(exchange &current, time_point now)
 {
-    if (each.state != exchange_state::Queued)
+    if (current.state != exchange_state::Queued)
         return {};
-    if (each.inTransaction)
-        return answerWith(each, error_kind::TransactionLost);
-    return routeAgain(each, exchange_step::SendToMember, now);
+    if (current.inTransaction)
+        return answerWith(current, error_kind::TransactionLost);
+    return routeAgain(current, exchange_step::SendToMember, now);
 }
 
-exchange_action onAnswer(exchange &each, const execute_answer &answer, answer_verdict verdict,
+exchange_action onAnswer(exchange &current, const execute_answer &answer, answer_verdict verdict,
                          time_point now)
 {
-    if (each.state != exchange_state::Sent) {
+    if (current.state != exchange_state::Sent) {
         // Nothing was asked on this connection, so what arrives on it can't be trusted.
         exchange_action action;
         action.closeConnection = true;
         return action;
     }
-    if (answer.id != each.attempt || verdict == answer_verdict::Drop)
-        return onConnectionLost(each, now);
+    if (answer.id != current.attempt || verdict == answer_verdict::Drop)
+        return onConnectionLost(current, now);
     if (answer.status == execute_status::Refused)
-        return onRefused(each, answer, now);
+        return onRefused(current, answer, now);
     if (answer.status == execute_status::Failed) {
         // An earlier attempt without an answer may have run, or may run later.
-        const bool isResolved = each.unresolved == 1 || each.kind == statement_kind::Read;
-        return answerWith(each,
+        const bool isResolved = current.unresolved == 1 || current.kind == statement_kind::Read;
+        return answerWith(current,
                           isResolved ? error_kind::UpstreamFailed : error_kind::OutcomeUnknown);
     }
     if (verdict == answer_verdict::AskPrimaryPosition || verdict == answer_verdict::AskPrimaryAge)
-        return onBehind(each, now);
-    each.refusalsInRow = 0;
-    if (needsConfirmation(each, answer)) {
-        each.state = exchange_state::Waiting;
+        return onStaleAnswer(current, now);
+    current.consecutiveRefusals = 0;
+    if (needsConfirmation(current, answer)) {
+        current.state = exchange_state::Waiting;
         exchange_action action;
         action.step = exchange_step::WaitForConfirmation;
         return action;
     }
-    return answerWith(each, std::nullopt);
+    return answerWith(current, std::nullopt);
 }
 
-exchange_action onConnectionLost(exchange &each, time_point now)
+exchange_action onConnectionLost(exchange &current, time_point now)
 {
-    if (each.state != exchange_state::Sent)
+    if (current.state != exchange_state::Sent)
         return {};
-    const bool isRepeated = mayRepeat(each) && now < each.deadline;
+    const bool isRetried = isSafeToRetry(current) && now < current.deadline;
     exchange_action action =
-            isRepeated ? routeAgain(each, exchange_step::RetryOnNewConnection, now)
-                       : answerWith(each, lostError(each, error_kind::DeadlineExceeded));
+            isRetried ? routeAgain(current, exchange_step::RetryOnNewConnection, now)
+                      : answerWith(current,
+                                   errorWithoutAnswer(current, error_kind::DeadlineExceeded));
     action.closeConnection = true;
     return action;
 }
 
-exchange_action onConfirmed(exchange &each)
+exchange_action onConfirmed(exchange &current)
 {
-    if (each.state != exchange_state::Waiting)
+    if (current.state != exchange_state::Waiting)
         return {};
-    return answerWith(each, std::nullopt);
+    return answerWith(current, std::nullopt);
 }
 
-exchange_action onNotConfirmed(exchange &each)
+exchange_action onNotConfirmed(exchange &current)
 {
-    if (each.state != exchange_state::Waiting)
+    if (current.state != exchange_state::Waiting)
         return {};
-    return answerWith(each, error_kind::NotConfirmed);
+    return answerWith(current, error_kind::NotConfirmed);
 }
 
-exchange_action onSuperseded(exchange &each, time_point now)
+exchange_action onSuperseded(exchange &current, time_point now)
 {
-    if (each.state != exchange_state::Waiting)
+    if (current.state != exchange_state::Waiting)
         return {};
-    if (mayRepeat(each) && now < each.deadline)
-        return routeAgain(each, exchange_step::SendToMember, now);
-    return answerWith(each, error_kind::NotConfirmed);
+    if (isSafeToRetry(current) && now < current.deadline)
+        return routeAgain(current, exchange_step::SendToMember, now);
+    return answerWith(current, error_kind::NotConfirmed);
 }
 
-exchange_action onDeadline(exchange &each, error_kind unsentReason)
+exchange_action onDeadline(exchange &current, error_kind unsentReason)
 {
-    switch (each.state) {
+    switch (current.state) {
     case exchange_state::Waiting:
-        return answerWith(each, error_kind::NotConfirmed);
+        return answerWith(current, error_kind::NotConfirmed);
     case exchange_state::Answered:
         return {};
     case exchange_state::Queued:
     case exchange_state::Sent:
         break;
     }
-    const bool isSent = each.state == exchange_state::Sent;
-    exchange_action action = answerWith(each, lostError(each, unsentReason));
+    const bool isSent = current.state == exchange_state::Sent;
+    exchange_action action = answerWith(current, errorWithoutAnswer(current, unsentReason));
     action.closeConnection = isSent;
     return action;
 }
 
-error_kind lostError(const exchange &each, error_kind unsentReason)
+error_kind errorWithoutAnswer(const exchange &current, error_kind unsentReason)
 {
-    if (each.unresolved == 0)
+    if (current.unresolved == 0)
         return unsentReason;
     // Without a commit a transaction is rolled back with its connection, which is closed.
-    const bool isOpen = each.inTransaction && each.kind != statement_kind::Commit;
-    return isOpen || each.kind == statement_kind::Begin ? error_kind::TransactionLost
-                                                        : error_kind::OutcomeUnknown;
+    const bool isOpen = current.inTransaction && current.kind != statement_kind::Commit;
+    return isOpen || current.kind == statement_kind::Begin ? error_kind::TransactionLost
+                                                           : error_kind::OutcomeUnknown;
 }
 
 } // namespace fuchsiagw::core
--- a/src/core/fair_queue.cpp
+++ b/src/core/fair_queue.cpp
@@ -11,26 +11,26 @@
 
 namespace {
 
-using lane_map = std::map<workspace_id, workspace_lane>;
+using flow_map = std::map<workspace_id, workspace_flow>;
 
-lane_rank rankOf(const workspace_id &workspace, const workspace_lane &lane)
+flow_rank rankOf(const workspace_id &workspace, const workspace_flow &flow)
 {
-    return { static_cast<double>(lane.length) / lane.weight, workspace };
+    return { static_cast<double>(flow.length) / flow.weight, workspace };
 }
 
-/// Changes a lane's length and keeps the order by length.
-void changeLength(fair_queue &queue, lane_map::iterator entry, std::size_t length)
+/// Changes a flow's length and keeps the order by length.
+void changeLength(fair_queue &queue, flow_map::iterator entry, std::size_t length)
 {
-    workspace_lane &lane = entry->second;
-    if (lane.length > 0)
-        queue.ranks.erase(rankOf(entry->first, lane));
-    queue.length = queue.length - lane.length + length;
-    lane.length = length;
+    workspace_flow &flow = entry->second;
+    if (flow.length > 0)
+        queue.ranks.erase(rankOf(entry->first, flow));
+    queue.length = queue.length - flow.length + length;
+    flow.length = length;
     if (length > 0)
-        queue.ranks.insert(rankOf(entry->first, lane));
+        queue.ranks.insert(rankOf(entry->first, flow));
 }
 
-void dropIfEmpty(fair_queue &queue, lane_map::iterator entry)
+void dropIfEmpty(fair_queue &queue, flow_map::iterator entry)
 {
     if (entry->second.length > 0)
         return;
@@ -39,53 +39,53 @@
 }
 
 /// Removes the session's entry once it has no statement, wherever it stands in the rotation.
-void dropSessionIfEmpty(workspace_lane &lane, std::uint64_t session)
+void dropSessionIfEmpty(workspace_flow &flow, std::uint64_t session)
 {
-    const auto entry = lane.sessions.find(session);
+    const auto entry = flow.sessions.find(session);
     if (!entry->second.empty())
         return;
-    lane.sessions.erase(entry);
-    std::erase(lane.sessionOrder, session);
+    flow.sessions.erase(entry);
+    std::erase(flow.sessionOrder, session);
 }
 
-queued_statement popNext(workspace_lane &lane)
+queued_statement popNext(workspace_flow &flow)
 {
     queued_statement next;
-    if (!lane.transactions.empty()) {
-        next = std::move(lane.transactions.front());
-        lane.transactions.pop_front();
+    if (!flow.transactions.empty()) {
+        next = std::move(flow.transactions.front());
+        flow.transactions.pop_front();
         return next;
     }
-    const std::uint64_t session = lane.sessionOrder.front();
-    lane.sessionOrder.pop_front();
-    const auto entry = lane.sessions.find(session);
+    const std::uint64_t session = flow.sessionOrder.front();
+    flow.sessionOrder.pop_front();
+    const auto entry = flow.sessions.find(session);
     next = std::move(entry->second.front());
     entry->second.pop_front();
     if (entry->second.empty())
-        lane.sessions.erase(entry);
+        flow.sessions.erase(entry);
     else
-        lane.sessionOrder.push_back(session);
+        flow.sessionOrder.push_back(session);
     return next;
 }
 
 /// Takes the newest statement of the session with the most of them. Statements of an open
 /// transaction are taken last, because they hold locks at the upstream.
-queued_statement popNewest(workspace_lane &lane)
+queued_statement popNewest(workspace_flow &flow)
 {
     queued_statement newest;
-    if (lane.sessions.empty()) {
-        newest = std::move(lane.transactions.back());
-        lane.transactions.pop_back();
+    if (flow.sessions.empty()) {
+        newest = std::move(flow.transactions.back());
+        flow.transactions.pop_back();
         return newest;
     }
-    const auto longest = std::max_element(lane.sessions.begin(), lane.sessions.end(),
+    const auto longest = std::max_element(flow.sessions.begin(), flow.sessions.end(),
                                           [](const auto &left, const auto &right) {
                                               return left.second.size() < right.second.size();
                                           });
     const std::uint64_t session = longest->first;
     newest = std::move(longest->second.back());
     longest->second.pop_back();
-    dropSessionIfEmpty(lane, session);
+    dropSessionIfEmpty(flow, session);
     return newest;
 }
 
@@ -105,7 +105,7 @@
     if (queue.length >= queue.bound) {
         const auto own = queue.flows.find(statement.workspace);
         const std::size_t ownLength = own == queue.flows.end() ? 0 : own->second.length;
-        const lane_rank arriving{ static_cast<double>(ownLength + 1) / weight,
+        const flow_rank arriving{ static_cast<double>(ownLength + 1) / weight,
                                   statement.workspace };
         if (queue.ranks.empty() || arriving.length >= queue.ranks.rbegin()->length)
             return result;
@@ -115,21 +115,21 @@
         dropIfEmpty(queue, longest);
     }
     const auto [entry, isNew] = queue.flows.try_emplace(statement.workspace);
-    workspace_lane &lane = entry->second;
+    workspace_flow &flow = entry->second;
     if (isNew)
         queue.rotation.push_back(statement.workspace);
     else
-        queue.ranks.erase(rankOf(entry->first, lane));
-    lane.weight = weight;
-    if (lane.length > 0)
-        queue.ranks.insert(rankOf(entry->first, lane));
-    changeLength(queue, entry, lane.length + 1);
+        queue.ranks.erase(rankOf(entry->first, flow));
+    flow.weight = weight;
+    if (flow.length > 0)
+        queue.ranks.insert(rankOf(entry->first, flow));
+    changeLength(queue, entry, flow.length + 1);
     if (statement.inTransaction) {
-        lane.transactions.push_back(std::move(statement));
+        flow.transactions.push_back(std::move(statement));
     } else {
-        auto &session = lane.sessions[statement.session];
+        auto &session = flow.sessions[statement.session];
         if (session.empty())
-            lane.sessionOrder.push_back(statement.session);
+            flow.sessionOrder.push_back(statement.session);
         session.push_back(std::move(statement));
     }
     result.accepted = true;
@@ -142,16 +142,16 @@
     if (queue.length == 0)
         return std::nullopt;
     const auto entry = queue.flows.find(queue.rotation.front());
-    workspace_lane &lane = entry->second;
-    if (lane.deficit == 0)
-        lane.deficit = lane.weight;
-    --lane.deficit;
-    queued_statement next = popNext(lane);
-    changeLength(queue, entry, lane.length - 1);
-    if (lane.length == 0) {
+    workspace_flow &flow = entry->second;
+    if (flow.deficit == 0)
+        flow.deficit = flow.weight;
+    --flow.deficit;
+    queued_statement next = popNext(flow);
+    changeLength(queue, entry, flow.length - 1);
+    if (flow.length == 0) {
         queue.rotation.pop_front();
         queue.flows.erase(entry);
-    } else if (lane.deficit == 0) {
+    } else if (flow.deficit == 0) {
         queue.rotation.push_back(std::move(queue.rotation.front()));
         queue.rotation.pop_front();
     }
@@ -163,7 +163,7 @@
 removeIf(fair_queue &queue, const std::function<bool(const queued_statement &)> &isUnwanted)
 {
     std::vector<queued_statement> removed;
-    const auto sift = [&](std::deque<queued_statement> &statements) {
+    const auto extractUnwanted = [&](std::deque<queued_statement> &statements) {
         const auto kept = std::stable_partition(
                 statements.begin(), statements.end(),
                 [&](const queued_statement &each) { return !isUnwanted(each); });
@@ -173,12 +173,12 @@
     };
     for (auto entry = queue.flows.begin(); entry != queue.flows.end();) {
         const auto current = entry++;
-        workspace_lane &lane = current->second;
-        std::size_t length = sift(lane.transactions);
-        for (auto session = lane.sessions.begin(); session != lane.sessions.end();) {
+        workspace_flow &flow = current->second;
+        std::size_t length = extractUnwanted(flow.transactions);
+        for (auto session = flow.sessions.begin(); session != flow.sessions.end();) {
             const std::uint64_t name = session->first;
-            length += sift((session++)->second);
-            dropSessionIfEmpty(lane, name);
+            length += extractUnwanted((session++)->second);
+            dropSessionIfEmpty(flow, name);
         }
         changeLength(queue, current, length);
         dropIfEmpty(queue, current);
@@ -192,12 +192,12 @@
 {
     const auto own = queue.flows.find(workspace);
     const std::size_t ownLength = own == queue.flows.end() ? 0 : own->second.length;
-    // While the lane empties, each other lane sends its weight per round.
+    // While the flow empties, each other flow sends its weight per round.
     const std::size_t rounds = ownLength / weight + 1;
     std::size_t ahead = ownLength;
-    for (const auto &[name, lane] : queue.flows)
+    for (const auto &[name, flow] : queue.flows)
         if (name != workspace)
-            ahead += std::min(lane.length, rounds * lane.weight);
+            ahead += std::min(flow.length, rounds * flow.weight);
     return ahead;
 }
 
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -13,24 +13,24 @@
 namespace {
 
 /// How long an instance is passed over after a forward to it failed.
-constexpr duration avoidFor = std::chrono::seconds(1);
+constexpr duration forwardAvoidInterval = std::chrono::seconds(1);
 
 /// How often the owners are chosen anew; a change of configuration or peers does it at once.
-constexpr duration ownerCheckEvery = std::chrono::milliseconds(500);
+constexpr duration ownerCheckInterval = std::chrono::milliseconds(500);
 
 /// Pause before a statement that no instance of the zone could take is dispatched again.
-constexpr duration forwardPause = std::chrono::milliseconds(25);
+constexpr duration forwardRetryDelay = std::chrono::milliseconds(25);
 
 /// The upper half of a transaction's number tells its group.
-constexpr unsigned groupShift = 32;
+constexpr unsigned groupPrefixShift = 32;
 
-std::uint64_t groupBits(const group_id &group)
+std::uint64_t groupPrefix(const group_id &group)
 {
-    return stableHash(group.value) >> groupShift << groupShift;
+    return stableHash(group.value) >> groupPrefixShift << groupPrefixShift;
 }
 
 /// What is true of a forwarded statement whose answer will never come.
-error_kind lostForward(const statement_request &request)
+error_kind lostForwardError(const statement_request &request)
 {
     if (request.transaction && request.kind != statement_kind::Commit)
         return error_kind::TransactionLost;
@@ -50,7 +50,7 @@
     // What a later attempt says is not true of an earlier one whose answer never came.
     if (answer.error && entry.mayHaveRun
         && answerOf(*answer.error).outcome == request_outcome::NotRun)
-        answer.error = lostForward(entry.request);
+        answer.error = lostForwardError(entry.request);
     if (entry.from) {
         turn.actions.emplace_back(forward_result{ *entry.from, entry.ticket, entry.request.group,
                                                   std::move(answer) });
@@ -59,9 +59,9 @@
     if (!answer.error && answer.position != log_position{})
         recordWrite(entry.known, entry.request.group, answer.position);
     // The primary that served a read without usable session had every write acknowledged before.
-    const bool isProvenRead =
+    const bool isReadWithoutSession =
             entry.request.isSessionUnusable && entry.request.kind == statement_kind::Read;
-    if (!answer.error && isProvenRead && !answer.fromReplica)
+    if (!answer.error && isReadWithoutSession && !answer.fromReplica)
         recordWrite(entry.known, entry.request.group, answer.applied);
     turn.actions.emplace_back(caller_reply{ entry.ticket, entry.request.workspace,
                                             entry.request.group, entry.request.kind,
@@ -107,7 +107,8 @@
 {
     const auto found = std::find_if(
             workspace.groups.begin(), workspace.groups.end(), [&](const group_id &each) {
-                return groupBits(each) == transaction.number >> groupShift << groupShift;
+                return groupPrefix(each)
+                       == transaction.number >> groupPrefixShift << groupPrefixShift;
             });
     return found == workspace.groups.end() ? std::nullopt : std::optional(*found);
 }
@@ -131,12 +132,12 @@
 }
 
 /// The end of a transaction is not limited: refusing it would only hold its connection longer.
-bool costsToken(statement_kind kind)
+bool consumesToken(statement_kind kind)
 {
     return kind != statement_kind::Commit && kind != statement_kind::Rollback;
 }
 
-void setSession(statement_request &statement, const caller_request &request)
+void setReadRequirement(statement_request &statement, const caller_request &request)
 {
     std::optional<log_position> position = log_position{};
     if (request.known)
@@ -154,7 +155,7 @@
     return handle;
 }
 
-group_owner &ownerOf(gateway &state, const group_id &group)
+group_owner &findOrCreateOwner(gateway &state, const group_id &group)
 {
     const auto [entry, isNew] = state.owners.try_emplace(group);
     group_owner &owner = entry->second;
@@ -165,17 +166,17 @@
         owner.limits = state.limits;
         owner.policy = state.policy;
         owner.queue.bound = state.queueCapacity;
-        owner.nextTransaction = groupBits(group) + 1;
+        owner.nextTransaction = groupPrefix(group) + 1;
         applySettings(owner.view, group, state.config.groups.at(group));
     }
     return owner;
 }
 
-void submitHere(gateway_turn &turn, std::uint64_t handle)
+void submitLocally(gateway_turn &turn, std::uint64_t handle)
 {
     gateway &state = turn.state;
     const entry_statement &entry = state.entries.at(handle);
-    // A copy: the entry ends within passOn() if the owner answers at once.
+    // A copy: the entry ends within applyActions() if the owner answers at once.
     const group_id group = entry.request.group;
     if (state.config.groups.count(entry.request.group) == 0) {
         fail(turn, handle, error_kind::GroupUnknown);
@@ -185,18 +186,18 @@
     statement.request = entry.request;
     statement.maxAge = maxAgeOf(state.config, entry.request);
     statement.session = entry.ticket;
-    group_owner &owner = ownerOf(state, entry.request.group);
+    group_owner &owner = findOrCreateOwner(state, entry.request.group);
     // An owner without connections queues the statement, so that its demand brings a loan.
     if (owner.pool.limit == 0 && !owner.isWatching) {
         if (entry.from)
             fail(turn, handle, error_kind::PeerUnreachable);
         else
-            state.retries.emplace(turn.now + forwardPause, handle);
+            state.retries.emplace(turn.now + forwardRetryDelay, handle);
         return;
     }
     owner_actions actions;
     submit(owner, handle, std::move(statement), turn.now, turn.random, actions);
-    passOn(turn, group, std::move(actions));
+    applyActions(turn, group, std::move(actions));
 }
 
 void forwardTo(gateway_turn &turn, std::uint64_t handle, const instance_id &to)
@@ -209,7 +210,7 @@
 void dispatchTransaction(gateway_turn &turn, std::uint64_t handle, incarnation_id owner)
 {
     if (turn.state.ownIncarnations.count(owner) != 0) {
-        submitHere(turn, handle);
+        submitLocally(turn, handle);
         return;
     }
     for (const auto &[instance, peer] : turn.state.peers) {
@@ -233,12 +234,12 @@
         return;
     }
     if (entry.from) {
-        submitHere(turn, handle);
+        submitLocally(turn, handle);
         return;
     }
     const std::vector<instance_id> ranked = rankOwners(state, entry.request.group, turn.now);
     if (ranked.empty() || ranked.front() == state.instance)
-        submitHere(turn, handle);
+        submitLocally(turn, handle);
     else
         forwardTo(turn, handle, ranked.front());
 }
@@ -254,7 +255,7 @@
 }
 
 /// Watches the groups that this instance owns in its zone, and no others.
-void chooseOwners(gateway_turn &turn)
+void updateGroupOwnership(gateway_turn &turn)
 {
     gateway &state = turn.state;
     std::set<group_id> owned;
@@ -265,7 +266,7 @@
             continue;
         if (isOwner)
             owned.insert(group);
-        group_owner &owner = ownerOf(state, group);
+        group_owner &owner = findOrCreateOwner(state, group);
         owner.isWatching = isOwner;
         owner.failover.rank = ownerRank(state);
         owner.failover.policy = state.policy;
@@ -277,7 +278,7 @@
     });
 }
 
-void dispatchAgain(gateway_turn &turn)
+void dispatchDueRetries(gateway_turn &turn)
 {
     auto &retries = turn.state.retries;
     std::vector<std::uint64_t> due;
@@ -299,7 +300,7 @@
     keeper_actions actions;
     result = admitStatement(turn.state.keeper, entry.request.workspace, handle, turn.now, actions);
     entry.isWaiting = result == admission::Wait;
-    passOn(turn, std::move(actions));
+    applyActions(turn, std::move(actions));
     if (result == admission::Granted)
         dispatch(turn, handle);
     else if (result == admission::Refused)
@@ -318,11 +319,11 @@
         fail(turn, outcome.ticket, error_kind::RateLimited);
 }
 
-void limitConnections(gateway_turn &turn, const group_id &group, std::uint32_t limit)
+void applyConnectionLimit(gateway_turn &turn, const group_id &group, std::uint32_t limit)
 {
     owner_actions actions;
-    setConnectionLimit(ownerOf(turn.state, group), limit, turn.now, turn.random, actions);
-    passOn(turn, group, std::move(actions));
+    setConnectionLimit(findOrCreateOwner(turn.state, group), limit, turn.now, turn.random, actions);
+    applyActions(turn, group, std::move(actions));
 }
 
 void reportDemand(gateway &state, const group_owner &owner, time_point now)
@@ -337,7 +338,7 @@
 }
 
 /// A process that was paused for too long has lost its shares to the others. It joins anew.
-void startAnew(gateway_turn &turn)
+void restartWithNewIncarnation(gateway_turn &turn)
 {
     gateway &state = turn.state;
     state.incarnation = turn.random();
@@ -351,12 +352,12 @@
     for (auto &[group, owner] : state.owners) {
         owner_actions actions;
         setConnectionLimit(owner, 0, turn.now, turn.random, actions);
-        passOn(turn, group, std::move(actions));
+        applyActions(turn, group, std::move(actions));
     }
     state.nextOwnerCheckAt = turn.now;
 }
 
-bool mayRepeat(const statement_request &request)
+bool isSafeToRetry(const statement_request &request)
 {
     if (request.transaction)
         return false;
@@ -411,9 +412,9 @@
     entry_statement entry;
     entry.ticket = request.ticket;
     entry.request = request.statement;
-    setSession(entry.request, request);
+    setReadRequirement(entry.request, request);
     entry.known = request.known.value_or(session{ key.workspace, {}, request.hasSessionToken });
-    const bool isLimited = costsToken(entry.request.kind);
+    const bool isLimited = consumesToken(entry.request.kind);
     const std::uint64_t handle = insertEntry(state, std::move(entry));
     if (isLimited)
         admit(turn, handle);
@@ -452,15 +453,15 @@
     entry_statement &entry = found->second;
     const auto peer = turn.state.peers.find(*entry.forwardedTo);
     if (peer != turn.state.peers.end())
-        peer->second.avoidUntil = turn.now + avoidFor;
+        peer->second.avoidUntil = turn.now + forwardAvoidInterval;
     entry.forwardedTo.reset();
     entry.mayHaveRun |= wasWritten;
     // What was never sent can't commit, so the transaction of an owner that is gone is rolled back.
     const bool isGone = peer == turn.state.peers.end() || !peer->second.isLive;
     if (entry.request.transaction && !wasWritten)
         fail(turn, handle, isGone ? error_kind::TransactionLost : error_kind::PeerUnreachable);
-    else if (wasWritten && !mayRepeat(entry.request))
-        fail(turn, handle, lostForward(entry.request));
+    else if (wasWritten && !isSafeToRetry(entry.request))
+        fail(turn, handle, lostForwardError(entry.request));
     else
         dispatch(turn, handle);
 }
@@ -469,15 +470,15 @@
 {
     gateway &state = turn.state;
     if (turn.now >= state.nextOwnerCheckAt) {
-        state.nextOwnerCheckAt = turn.now + ownerCheckEvery;
-        chooseOwners(turn);
+        state.nextOwnerCheckAt = turn.now + ownerCheckInterval;
+        updateGroupOwnership(turn);
     }
     for (auto &[group, owner] : state.owners) {
         owner_actions actions;
         advance(owner, turn.now, turn.random, actions);
-        passOn(turn, group, std::move(actions));
+        applyActions(turn, group, std::move(actions));
     }
-    dispatchAgain(turn);
+    dispatchDueRetries(turn);
     withKeeper(turn, [&](limit_keeper &keeper, keeper_actions &actions) {
         tickKeeper(keeper, turn.now, turn.random, actions);
         if (state.isDraining && state.entries.empty() && !keeper.isLeaving)
@@ -491,7 +492,7 @@
         if (entry.isWaiting)
             abandonStatement(state.keeper, entry.request.workspace, handle);
         const error_kind lost = entry.mayHaveRun || entry.forwardedTo
-                                        ? lostForward(entry.request)
+                                        ? lostForwardError(entry.request)
                                         : error_kind::DeadlineExceeded;
         fail(turn, handle, entry.isWaiting ? error_kind::RateLimited : lost);
     }
@@ -567,7 +568,7 @@
                           [](const auto &each) { return isDrained(each.second); });
 }
 
-void passOn(gateway_turn &turn, const group_id &group, owner_actions &&actions)
+void applyActions(gateway_turn &turn, const group_id &group, owner_actions &&actions)
 {
     for (owner_action &each : actions) {
         if (auto *done = std::get_if<statement_done>(&each))
@@ -580,20 +581,20 @@
         reportDemand(turn.state, owner->second, turn.now);
 }
 
-void passOn(gateway_turn &turn, keeper_actions &&actions)
+void applyActions(gateway_turn &turn, keeper_actions &&actions)
 {
     for (keeper_action &each : actions) {
         if (const auto *admitted = std::get_if<keeper_admitted>(&each)) {
             onAdmitted(turn, *admitted);
         } else if (const auto *limit = std::get_if<keeper_connections>(&each)) {
             if (turn.state.config.groups.count(limit->group) != 0)
-                limitConnections(turn, limit->group, limit->limit);
+                applyConnectionLimit(turn, limit->group, limit->limit);
         } else if (auto *message = std::get_if<keeper_send>(&each)) {
             turn.actions.emplace_back(std::move(*message));
         } else if (auto *call = std::get_if<keeper_call>(&each)) {
             turn.actions.emplace_back(std::move(*call));
         } else {
-            startAnew(turn);
+            restartWithNewIncarnation(turn);
         }
     }
 }
--- a/src/core/read_age.cpp
+++ b/src/core/read_age.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-void thinOut(std::vector<primary_sample> &samples)
+void decimateOlderHalf(std::vector<primary_sample> &samples)
 {
     const std::size_t half = samples.size() / 2;
     std::size_t kept = 0;
@@ -28,7 +28,7 @@
     if (!ages.samples.empty() && askedAt <= ages.samples.back().time)
         return; // an answer that came out of order adds nothing
     if (ages.samples.size() == maxReadAgeSamples)
-        thinOut(ages.samples);
+        decimateOlderHalf(ages.samples);
     ages.samples.push_back({ askedAt, position });
     assert(ages.samples.size() <= maxReadAgeSamples);
 }
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -19,12 +19,13 @@
     bool isOtherZone = false;
     std::uint32_t load = 0; ///< work in flight; the slots are the same for all members
     bool needsConnection = false;
-    std::uint64_t draw = 0;
+    std::uint64_t tieBreaker = 0;
 
     [[nodiscard]] auto key() const
     {
         // Among full members a shorter queue saves more than the way to another zone costs.
-        return std::tuple(isFull, isFull ? load : 0, isOtherZone, load, needsConnection, draw);
+        return std::tuple(isFull, isFull ? load : 0, isOtherZone, load, needsConnection,
+                          tieBreaker);
     }
 };
 
@@ -86,7 +87,7 @@
                    random_engine &random, route_decision &decision)
 {
     std::vector<ranked_replica> allowed;
-    bool ownZoneIsAllowed = false;
+    bool isOwnZoneAllowed = false;
     for (const auto &[id, member] : view.members) {
         if (view.primary == id) {
             decision.candidates.push_back({ id, rejection_reason::IsPrimary });
@@ -102,8 +103,8 @@
         each.isOtherZone = member.zone != request.zone;
         each.load = member.inFlight;
         each.needsConnection = member.openConnections <= member.inFlight;
-        each.draw = random();
-        ownZoneIsAllowed = ownZoneIsAllowed || !each.isOtherZone;
+        each.tieBreaker = random();
+        isOwnZoneAllowed = isOwnZoneAllowed || !each.isOtherZone;
         allowed.push_back(each);
     }
     if (allowed.empty())
@@ -118,7 +119,7 @@
     decision.member = decision.candidates[best->candidate].member;
     decision.fromReplica = true;
     decision.reason = !best->isOtherZone ? route_reason::OwnZone
-                      : ownZoneIsAllowed ? route_reason::LessLoaded
+                      : isOwnZoneAllowed ? route_reason::LessLoaded
                                          : route_reason::OtherZone;
     return true;
 }
@@ -207,8 +208,8 @@
     if (!fromReplica)
         return answer_verdict::Accept;
     const std::optional<duration> age = ageOf(view.ages, answer.applied, now);
-    const bool isYoung = age && request.maxAge && *age <= *request.maxAge;
-    return isYoung ? answer_verdict::Accept : answer_verdict::AskPrimaryAge;
+    const bool isFreshEnough = age && request.maxAge && *age <= *request.maxAge;
+    return isFreshEnough ? answer_verdict::Accept : answer_verdict::AskPrimaryAge;
 }
 
 std::string describe(const route_decision &decision)
--- a/tests/unit-acknowledgement.cpp
+++ b/tests/unit-acknowledgement.cpp
@@ -28,7 +28,7 @@
 
 bool isAcknowledged(const group_view &view, log_position position)
 {
-    return acknowledgementOf(acknowledgement_policy::Majority, view, 2, position, now);
+    return mayAcknowledge(acknowledgement_policy::Majority, view, 2, position, now);
 }
 
 } // namespace
@@ -67,10 +67,10 @@
     view.leaseUntil = now + 1s;
     for (const auto policy :
          { acknowledgement_policy::Lease, acknowledgement_policy::KnownPosition }) {
-        CHECK_TRUE(acknowledgementOf(policy, view, 2, { 2, 6 }, now));
-        CHECK_FALSE(acknowledgementOf(policy, view, 1, { 1, 6 }, now));
+        CHECK_TRUE(mayAcknowledge(policy, view, 2, { 2, 6 }, now));
+        CHECK_FALSE(mayAcknowledge(policy, view, 1, { 1, 6 }, now));
     }
-    CHECK_FALSE(acknowledgementOf(acknowledgement_policy::Lease, view, 2, { 2, 6 }, now + 1s));
+    CHECK_FALSE(mayAcknowledge(acknowledgement_policy::Lease, view, 2, { 2, 6 }, now + 1s));
 }
 
 // Guards against waits that grow with the number of pending writes, and against a lost one that
@@ -91,22 +91,22 @@
 }
 
 // Guards against writes that are never answered or answered twice.
-TEST(acknowledgement, settlesEachWriteOnce)
+TEST(acknowledgement, resolvesEachWriteOnce)
 {
     addPendingWrite(pending, { 1, 2, { 2, 5 }, now, now + 1s });
     addPendingWrite(pending, { 2, 2, { 2, 6 }, now, now + 1s });
     addPendingWrite(pending, { 3, 2, { 2, 7 }, now, now + 2s });
     const auto policy = acknowledgement_policy::Majority;
-    auto settled = resolveWrites(pending, view, policy, now);
-    UNSIGNED_LONGS_EQUAL(1, settled.size());
-    CHECK_TRUE(settled[0].number == 1 && settled[0].outcome == write_outcome::Acknowledged);
+    auto resolved = resolveWrites(pending, view, policy, now);
+    UNSIGNED_LONGS_EQUAL(1, resolved.size());
+    CHECK_TRUE(resolved[0].number == 1 && resolved[0].outcome == write_outcome::Acknowledged);
     CHECK_TRUE(nextExpiry(pending) == now + 1s);
-    settled = resolveWrites(pending, view, policy, now + 1s);
-    UNSIGNED_LONGS_EQUAL(1, settled.size());
-    CHECK_TRUE(settled[0].number == 2 && settled[0].outcome == write_outcome::Expired);
+    resolved = resolveWrites(pending, view, policy, now + 1s);
+    UNSIGNED_LONGS_EQUAL(1, resolved.size());
+    CHECK_TRUE(resolved[0].number == 2 && resolved[0].outcome == write_outcome::Expired);
     observePrimary(view, { "b" }, 3, now);
-    settled = resolveWrites(pending, view, policy, now + 1s);
-    UNSIGNED_LONGS_EQUAL(1, settled.size());
-    CHECK_TRUE(settled[0].number == 3 && settled[0].outcome == write_outcome::Superseded);
+    resolved = resolveWrites(pending, view, policy, now + 1s);
+    UNSIGNED_LONGS_EQUAL(1, resolved.size());
+    CHECK_TRUE(resolved[0].number == 3 && resolved[0].outcome == write_outcome::Superseded);
     CHECK_TRUE(nextExpiry(pending) == noDeadline);
 }
--- a/tests/unit-error-kind.cpp
+++ b/tests/unit-error-kind.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-TEST(error_kind, survivesTheWayThroughErrorCode)
+TEST(error_kind, roundTripsThroughErrorCode)
 {
     const std::error_code code = error_kind::RateLimited;
     CHECK_TRUE(kindOf(code) == error_kind::RateLimited);
--- a/tests/unit-exchange.cpp
+++ b/tests/unit-exchange.cpp
@@ -12,20 +12,20 @@
 
 constexpr time_point now{ 10s };
 
-exchange make(statement_kind kind, bool hasKey = false, bool inTransaction = false)
+exchange make(statement_kind kind, bool hasIdempotencyKey = false, bool inTransaction = false)
 {
     statement_request statement;
     statement.kind = kind;
-    statement.idempotencyKey = hasKey ? "key" : "";
+    statement.idempotencyKey = hasIdempotencyKey ? "key" : "";
     statement.deadline = now + 1s;
     if (inTransaction)
         statement.transaction = transaction_id{ 1, 1 };
     return makeExchange(statement);
 }
 
-void send(exchange &each, std::uint64_t attempt = 1)
+void send(exchange &current, std::uint64_t attempt = 1)
 {
-    onSent(each, { 0, attempt }, { "a" }, 5);
+    onSent(current, { 0, attempt }, { "a" }, 5);
 }
 
 execute_answer makeAnswer(execute_status status, std::uint64_t attempt = 1, term_number term = 5)
@@ -38,9 +38,9 @@
     return answer;
 }
 
-exchange_action receive(exchange &each, const execute_answer &answer)
+exchange_action receive(exchange &current, const execute_answer &answer)
 {
-    return onAnswer(each, answer, answer_verdict::Accept, now);
+    return onAnswer(current, answer, answer_verdict::Accept, now);
 }
 
 bool answers(const exchange_action &action, error_kind error)
@@ -53,12 +53,12 @@
 TEST_GROUP(exchange){};
 
 // Guards against M10 and M9: a lost write without key is neither repeated nor called `not_run`.
-TEST(exchange, lostStatementsAreAnsweredTruthfully)
+TEST(exchange, lostAnswerIsRetriedOnlyIfSafe)
 {
     struct lost_case
     {
         statement_kind kind;
-        bool hasKey;
+        bool hasIdempotencyKey;
         bool inTransaction;
         std::optional<error_kind> error; ///< empty: repeated
     };
@@ -75,12 +75,12 @@
     };
     for (const lost_case &each : cases) {
         for (const bool isForeign : { false, true }) {
-            exchange way = make(each.kind, each.hasKey, each.inTransaction);
-            send(way);
+            exchange current = make(each.kind, each.hasIdempotencyKey, each.inTransaction);
+            send(current);
             // An answer with another id says nothing about this request.
             const exchange_action action =
-                    isForeign ? receive(way, makeAnswer(execute_status::Refused, 99))
-                              : onConnectionLost(way, now);
+                    isForeign ? receive(current, makeAnswer(execute_status::Refused, 99))
+                              : onConnectionLost(current, now);
             CHECK_TRUE(action.closeConnection);
             CHECK_TRUE(each.error ? answers(action, *each.error)
                                   : action.step == exchange_step::RetryOnNewConnection);
@@ -108,13 +108,13 @@
 // Guards against a refusal that hides an earlier attempt which may have run.
 TEST(exchange, refusalResolvesOnlyItsOwnAttempt)
 {
-    exchange way = make(statement_kind::Write, true);
-    send(way, 1);
-    CHECK_TRUE(onConnectionLost(way, now).step == exchange_step::RetryOnNewConnection);
-    send(way, 2);
-    CHECK_TRUE(receive(way, makeAnswer(execute_status::Refused, 2)).step
+    exchange current = make(statement_kind::Write, true);
+    send(current, 1);
+    CHECK_TRUE(onConnectionLost(current, now).step == exchange_step::RetryOnNewConnection);
+    send(current, 2);
+    CHECK_TRUE(receive(current, makeAnswer(execute_status::Refused, 2)).step
                == exchange_step::SendToMember);
-    CHECK_TRUE(answers(onDeadline(way, error_kind::NoPrimary), error_kind::OutcomeUnknown));
+    CHECK_TRUE(answers(onDeadline(current, error_kind::NoPrimary), error_kind::OutcomeUnknown));
 
     exchange failed = make(statement_kind::Write, true);
     send(failed, 1);
@@ -127,18 +127,18 @@
 // Guards against refused writes that are given up during a promotion, or retried without end.
 TEST(exchange, refusedWriteIsRoutedAgain)
 {
-    exchange way = make(statement_kind::Write);
+    exchange current = make(statement_kind::Write);
     time_point latest = now;
     for (std::uint64_t i = 1; i < 100; ++i) {
-        send(way, i);
-        const exchange_action action = receive(way, makeAnswer(execute_status::Refused, i, 6));
+        send(current, i);
+        const exchange_action action = receive(current, makeAnswer(execute_status::Refused, i, 6));
         CHECK_TRUE(action.step == exchange_step::SendToMember);
-        CHECK_TRUE(action.notBefore > now && action.notBefore <= now + refusedPauseLongest);
+        CHECK_TRUE(action.notBefore > now && action.notBefore <= now + maxRefusalDelay);
         latest = action.notBefore;
     }
-    CHECK_TRUE(latest == now + refusedPauseLongest);
-    send(way, 100);
-    CHECK_TRUE(answers(receive(way, makeAnswer(execute_status::Refused, 100)),
+    CHECK_TRUE(latest == now + maxRefusalDelay);
+    send(current, 100);
+    CHECK_TRUE(answers(receive(current, makeAnswer(execute_status::Refused, 100)),
                        error_kind::UpstreamRefused));
 }
 
@@ -146,20 +146,20 @@
 // without a key.
 TEST(exchange, writeWaitsForConfirmation)
 {
-    for (const bool hasKey : { false, true }) {
-        exchange way = make(statement_kind::Write, hasKey);
-        send(way);
-        CHECK_TRUE(receive(way, makeAnswer(execute_status::Ok)).step
+    for (const bool hasIdempotencyKey : { false, true }) {
+        exchange current = make(statement_kind::Write, hasIdempotencyKey);
+        send(current);
+        CHECK_TRUE(receive(current, makeAnswer(execute_status::Ok)).step
                    == exchange_step::WaitForConfirmation);
-        exchange superseded = way;
-        exchange expired = way;
-        const exchange_action action = onConfirmed(way);
+        exchange superseded = current;
+        exchange expired = current;
+        const exchange_action action = onConfirmed(current);
         CHECK_TRUE(action.step == exchange_step::Answer && !action.error);
-        CHECK_TRUE(onDeadline(way, error_kind::NoPrimary).step == exchange_step::None);
+        CHECK_TRUE(onDeadline(current, error_kind::NoPrimary).step == exchange_step::None);
         CHECK_TRUE(answers(onDeadline(expired, error_kind::NoPrimary), error_kind::NotConfirmed));
         const exchange_action next = onSuperseded(superseded, now);
-        CHECK_TRUE(hasKey ? next.step == exchange_step::SendToMember
-                          : answers(next, error_kind::NotConfirmed));
+        CHECK_TRUE(hasIdempotencyKey ? next.step == exchange_step::SendToMember
+                                     : answers(next, error_kind::NotConfirmed));
     }
     exchange commit = make(statement_kind::Commit, false, true);
     send(commit);
@@ -170,21 +170,21 @@
 // Guards against M1: an answer that is behind the session is never given to the caller.
 TEST(exchange, readThatIsBehindAsksThePrimary)
 {
-    exchange way = make(statement_kind::Read);
-    send(way);
-    const exchange_action action =
-            onAnswer(way, makeAnswer(execute_status::Ok), answer_verdict::AskPrimaryPosition, now);
-    CHECK_TRUE(action.step == exchange_step::AskPrimary && way.primaryOnly);
-    CHECK_TRUE(answers(onDeadline(way, error_kind::NoPrimary), error_kind::OutcomeUnknown));
+    exchange current = make(statement_kind::Read);
+    send(current);
+    const exchange_action action = onAnswer(current, makeAnswer(execute_status::Ok),
+                                            answer_verdict::AskPrimaryPosition, now);
+    CHECK_TRUE(action.step == exchange_step::AskPrimary && current.primaryOnly);
+    CHECK_TRUE(answers(onDeadline(current, error_kind::NoPrimary), error_kind::OutcomeUnknown));
 }
 
 // Guards against late answers that change a decided exchange (M8).
 TEST(exchange, lateEventsChangeNothing)
 {
-    exchange way = make(statement_kind::Write);
-    send(way);
-    CHECK_TRUE(answers(onConnectionLost(way, now), error_kind::OutcomeUnknown));
-    CHECK_TRUE(receive(way, makeAnswer(execute_status::Ok)).step == exchange_step::None);
-    CHECK_TRUE(onConfirmed(way).step == exchange_step::None);
-    CHECK_TRUE(onConnectionLost(way, now).step == exchange_step::None);
+    exchange current = make(statement_kind::Write);
+    send(current);
+    CHECK_TRUE(answers(onConnectionLost(current, now), error_kind::OutcomeUnknown));
+    CHECK_TRUE(receive(current, makeAnswer(execute_status::Ok)).step == exchange_step::None);
+    CHECK_TRUE(onConfirmed(current).step == exchange_step::None);
+    CHECK_TRUE(onConnectionLost(current, now).step == exchange_step::None);
 }
--- a/tests/unit-fair-queue.cpp
+++ b/tests/unit-fair-queue.cpp
@@ -34,7 +34,7 @@
 };
 
 // Guards against a workspace that delays others by sending many statements.
-TEST(fair_queue, floodDoesNotDelayOthers)
+TEST(fair_queue, manyStatementsOfOneWorkspaceDoNotDelayOthers)
 {
     for (int i = 0; i < 50; ++i)
         push("f");
@@ -69,7 +69,7 @@
 }
 
 // Guards against a full queue that refuses a small workspace for the flood of another.
-TEST(fair_queue, fullQueueRefusesTheNewestOfTheLongestLane)
+TEST(fair_queue, fullQueueRefusesTheNewestOfTheLongestFlow)
 {
     queue.bound = 10;
     for (int i = 0; i < 10; ++i)
@@ -86,7 +86,7 @@
 }
 
 // Guards against lost or doubled statements and broken counts under random use.
-TEST(fair_queue, keepsItsCountsUnderRandomUse)
+TEST(fair_queue, lengthMatchesUnderRandomOperations)
 {
     queue.bound = 40;
     random_engine random(11);
@@ -116,7 +116,7 @@
 TEST_GROUP(early_refusal){};
 
 // Guards against a small workspace that is refused because of another's queue.
-TEST(early_refusal, judgesByTheOwnPlaceInTheQueue)
+TEST(early_refusal, dependsOnTheWorkspacesOwnQueueWait)
 {
     fair_queue queue;
     service_meter meter;
--- a/tests/unit-gateway-forward.cpp
+++ b/tests/unit-gateway-forward.cpp
@@ -50,7 +50,7 @@
     onCallerRequest(turn, request);
     CHECK_EQUAL(1, state.entries.size());
     const std::uint64_t handle = state.entries.begin()->first;
-    passOn(turn, keeper_actions{ keeper_admitted{ handle, true } });
+    applyActions(turn, keeper_actions{ keeper_admitted{ handle, true } });
     CHECK_TRUE(state.entries.at(handle).forwardedTo.has_value());
 
     onForwardFailed(turn, handle, true);
--- a/tests/unit-routing.cpp
+++ b/tests/unit-routing.cpp
@@ -61,7 +61,7 @@
 };
 
 // Guards against M1 and M2: what must go to the primary goes nowhere else.
-TEST(routing, onlyReadsThatAcceptAnAgeLeaveThePrimary)
+TEST(routing, onlyReadsThatAcceptAnAgeUseReplicas)
 {
     expect("b", route_reason::OwnZone);
     request.isSessionUnusable = true;
@@ -80,31 +80,31 @@
 }
 
 // Guards against replicas that are used although something speaks against them.
-TEST(routing, passesOverReplicasThatAreNotAllowed)
+TEST(routing, skipsIneligibleReplicas)
 {
     member_view &near = view.members[{ "b" }];
     const member_view before = near;
-    const auto expectPassed = [&](rejection_reason reason) {
+    const auto expectRejected = [&](rejection_reason reason) {
         const route_decision decision = route();
         CHECK_TRUE(decision.member == member_id{ "c" });
         CHECK_TRUE(decision.candidates.at(1).reason == reason);
         near = before;
     };
     near.leaving = true;
-    expectPassed(rejection_reason::Leaving);
+    expectRejected(rejection_reason::Leaving);
     near.pause.until = now + 1us;
-    expectPassed(rejection_reason::BackedOff);
+    expectRejected(rejection_reason::BackedOff);
     near.catchUp = log_position{ 2, 5 };
-    expectPassed(rejection_reason::FarBehind);
+    expectRejected(rejection_reason::FarBehind);
     near.acceptedTerm = 1;
-    expectPassed(rejection_reason::OtherTerm);
+    expectRejected(rejection_reason::OtherTerm);
     near.lastHeard = time_point::min();
-    expectPassed(rejection_reason::NeverHeard);
+    expectRejected(rejection_reason::NeverHeard);
     near.applied = { 2, 4 };
-    expectPassed(rejection_reason::AgeUnknown);
+    expectRejected(rejection_reason::AgeUnknown);
     request.minPosition = { 2, 5 };
     near.applied = { 2, 4 };
-    expectPassed(rejection_reason::PositionBehind);
+    expectRejected(rejection_reason::PositionBehind);
 }
 
 // Guards against full members of the own zone that are preferred to free ones elsewhere.
@@ -123,7 +123,7 @@
 }
 
 // Guards against reads that fail although the primary can serve them, and the reverse.
-TEST(routing, fallsBackToThePrimaryUnlessItIsOutToo)
+TEST(routing, fallsBackToThePrimaryIfItIsAvailable)
 {
     CHECK_TRUE(route(501ms).reason == route_reason::NoReplicaFits);
     CHECK_TRUE(route(501ms).member == member_id{ "a" });
@@ -143,7 +143,7 @@
 }
 
 // Guards against M1 and M8: estimates decide where to ask, only the answer decides what is given.
-TEST(routing, checksTheAnswerItself)
+TEST(routing, checksPositionAgeAndIdOfTheAnswer)
 {
     execute_answer answer;
     answer.id = { 1, 1 };
