--- a/include/fuchsiagw/core/exchange.hpp
+++ b/include/fuchsiagw/core/exchange.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The way of one statement from the queue to its answer.
+/// @brief State machine of one statement from the queue to its answer: attempts, retries and
+/// confirmation.
 
 #pragma once
 
@@ -17,106 +18,113 @@
 
 namespace fuchsiagw::core {
 
-/// Pause before a refused statement is routed again; it doubles with each refusal in a row.
+/// Delay before a refused statement is routed again. It doubles with each consecutive refusal.
 inline constexpr duration initialRefusalDelay = std::chrono::milliseconds(5);
-/// Longest such pause. Short against a promotion, which is what most refusals wait for.
+/// Maximum of this delay. It is short compared with a promotion, the most frequent cause of
+/// refusals.
 inline constexpr duration maxRefusalDelay = std::chrono::milliseconds(100);
-/// Refusals in a row by members that agree on the term, after which the caller gets the refusal. A
-/// member refuses so while it has accepted a term but does not lead it yet, so one is not enough.
+/// Number of consecutive refusals after which a refusal under the request's own term is returned to
+/// the caller. A single one is not enough: a member that has accepted a term but does not lead it
+/// yet refuses too.
 inline constexpr std::uint32_t maxConsecutiveRefusals = 8;
 
 enum class exchange_state : std::uint8_t {
-    Queued, ///< no attempt is under way
-    Sent, ///< bytes of an attempt may have reached a member
-    Waiting, ///< ran, waits for confirmation by a majority
-    Answered, ///< final
+    Queued, ///< no attempt is in flight
+    Sent, ///< the newest attempt may have reached a member
+    Waiting, ///< the write ran and waits for confirmation by a majority
+    Answered, ///< final state
 };
 
 inline constexpr std::array<std::string_view, 4> exchangeStateNames{ "queued", "sent", "waiting",
                                                                      "answered" };
 
 enum class exchange_step : std::uint8_t {
-    None, ///< nothing to do; the event was late or foreign to the exchange
-    SendToMember, ///< route (again) at `notBefore`, then report onSent() or onNotSent()
-    AskPrimary, ///< like SendToMember, with routing_request::primaryOnly
-    RetryOnNewConnection, ///< like SendToMember, never on the connection that failed
-    WaitForConfirmation, ///< hand the write to the pending writes
-    Answer, ///< give `error` or the success to the caller
+    None, ///< nothing to do; the event was late or belongs to another exchange
+    SendToMember, ///< route at `notBefore`, then call onSent() or onNotSent()
+    AskPrimary, ///< like SendToMember, with routing_request::primaryOnly set
+    RetryOnNewConnection, ///< like SendToMember, but not on the connection that failed
+    WaitForConfirmation, ///< add the write to the pending writes
+    Answer, ///< return `error` or success to the caller
 };
 
 inline constexpr std::array<std::string_view, 6> exchangeStepNames{ "none",  "send", "ask_primary",
                                                                     "retry", "wait", "answer" };
 
-/// What is done after an event.
+/// What the owner must do after an event.
 struct exchange_action
 {
     exchange_step step = exchange_step::None;
-    std::optional<error_kind> error; ///< only with Answer; empty: success
+    std::optional<error_kind> error; ///< set only with Answer; empty: success
     bool closeConnection = false; ///< the connection of the attempt must not be used again
     time_point notBefore = time_point::min();
 };
 
-/// One statement. Invariants: Answered is never left; a statement with unresolved attempts is sent
-/// again only if a second run does no harm.
+/// The execution of one statement. Invariants: the state Answered is final; a statement with
+/// unresolved attempts is sent again only if isSafeToRetry() holds, so that a statement which must
+/// run at most once never runs twice.
 struct exchange
 {
     statement_kind kind = statement_kind::Read;
-    bool inTransaction = false; ///< belongs to the connection of its transaction
-    bool hasIdempotencyKey = false; ///< has an idempotency key, so that it may be repeated
+    bool inTransaction = false; ///< must run on the connection of its transaction
+    bool hasIdempotencyKey = false;
     time_point deadline = noDeadline;
 
     exchange_state state = exchange_state::Queued;
-    request_id attempt; ///< id of the newest attempt; each attempt has its own
-    member_id member; ///< where the newest attempt went
-    term_number term = 0; ///< term that the newest attempt carried
+    request_id attempt; ///< id of the newest attempt; each attempt has an id of its own
+    member_id member; ///< the member that received the newest attempt
+    term_number term = 0; ///< term of the newest attempt
     std::uint32_t attempts = 0;
-    /// Attempts that were sent and not refused: each of them ran or may still run.
+    /// Number of attempts that were sent and not refused. Each of them may have run or may still
+    /// run.
     std::uint32_t unresolved = 0;
-    std::uint32_t consecutiveRefusals = 0; ///< including reads that were behind at the primary
+    std::uint32_t consecutiveRefusals = 0; ///< includes reads that found the primary behind
     bool primaryOnly = false;
 };
 
 [[nodiscard]] std::string_view toString(exchange_state state);
 [[nodiscard]] std::string_view toString(exchange_step step);
 
-/// @brief Starts the exchange of a parsed statement.
+/// @brief Creates the exchange of a parsed statement.
 [[nodiscard]] exchange makeExchange(const statement_request &statement);
 
-/// @brief An attempt is about to be written to a connection. From here on the member may run it.
-/// @param attempt fresh id of this attempt
+/// @brief Records an attempt that is about to be written to a connection. From now on the member
+/// may run it.
+/// @param attempt new id of this attempt
 /// @param term the term that the request carries
 void onSent(exchange &current, const request_id &attempt, const member_id &member,
             term_number term);
 
-/// @brief No connection could be made, so that no byte of the attempt left.
-/// @return SendToMember; for a statement of a transaction, whose connection is gone, the answer
+/// @brief Handles an attempt of which no byte was sent because no connection could be opened.
+/// @return SendToMember, or Answer with TransactionLost within a transaction, whose connection is
+/// closed
 [[nodiscard]] exchange_action onNotSent(exchange &current, time_point now);
 
-/// @brief An answer arrived on the connection of the newest attempt.
-/// @param verdict of checkAnswer() for successful reads, Accept for everything else
-/// @return what to do; an answer with a foreign id closes the connection and counts as a failure
+/// @brief Handles an answer on the connection of the newest attempt.
+/// @param verdict the result of checkAnswer() for a successful read, else Accept
+/// @return what to do; an answer with another id is handled like a lost connection
 [[nodiscard]] exchange_action onAnswer(exchange &current, const execute_answer &answer,
                                        answer_verdict verdict, time_point now);
 
-/// @brief The connection of the newest attempt closed or was silent beyond its timeout.
+/// @brief Handles a connection of the newest attempt that closed or timed out.
 [[nodiscard]] exchange_action onConnectionLost(exchange &current, time_point now);
 
-/// @brief The write was confirmed as the acknowledgement policy demands.
+/// @brief Handles the confirmation of a write according to the acknowledgement policy.
 [[nodiscard]] exchange_action onConfirmed(exchange &current);
 
-/// @brief The write was not confirmed before its deadline.
+/// @brief Handles a write that was not confirmed before its deadline.
 [[nodiscard]] exchange_action onNotConfirmed(exchange &current);
 
-/// @brief The write's term has ended before it was confirmed. With an idempotency key it is
-/// repeated at the new primary, which tells whether it has it.
+/// @brief Handles a write whose term ended before the write was confirmed. A write with an
+/// idempotency key is sent to the new primary, which runs it or reports the earlier run.
 [[nodiscard]] exchange_action onSuperseded(exchange &current, time_point now);
 
-/// @brief The deadline has passed.
-/// @param unsentReason what to report if nothing can have run: DeadlineExceeded, NoPrimary or
-/// NoMember, as the last routing decision said
+/// @brief Handles the end of the deadline.
+/// @param unsentReason error to report if no attempt can have run: NoPrimary or NoMember if the
+/// last routing decision found none, else DeadlineExceeded
 [[nodiscard]] exchange_action onDeadline(exchange &current, error_kind unsentReason);
 
-/// @return the error that is true for a statement which ends now without an answer of a member
+/// @brief Determines the error of a statement that ends without an answer from a member.
+/// @param unsentReason error if no attempt can have run
 [[nodiscard]] error_kind errorWithoutAnswer(const exchange &current, error_kind unsentReason);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief One instance as a whole: what it does with a caller's statement, from the key to the
-/// answer.
+/// @brief State and event handlers of one instance: authentication, admission, forwarding and
+/// answering of callers' statements.
 
 #pragma once
 
@@ -22,46 +22,47 @@
 
 namespace fuchsiagw::core {
 
-/// A caller's request after parsing and before any check.
+/// A caller's parsed request before authentication and validation.
 struct caller_request
 {
-    std::uint64_t ticket = 0; ///< names the caller's connection and request; unique
+    std::uint64_t ticket = 0; ///< unique number of the caller's connection and request
     key_hash key;
-    std::optional<session> known; ///< the session of a token whose MAC was right
-    bool hasSessionToken = false; ///< the request named a session, with or without usable token
-    statement_request statement; ///< its workspace is not set yet
+    std::optional<session> known; ///< decoded from a session token whose MAC is valid
+    bool hasSessionToken = false; ///< the request carried a session token, valid or not
+    statement_request statement; ///< its workspace is set after authentication
 };
 
-/// Another instance as far as this one knows.
+/// What this instance knows of another instance.
 struct peer_instance
 {
     incarnation_id incarnation = 0;
     zone_name zone;
     std::string address;
     bool isLive = false; ///< neither leaving nor gone
-    time_point avoidUntil{}; ///< after a forward to it failed
+    time_point avoidUntil{}; ///< no statement is forwarded to it before this time
 };
 
-/// A statement that entered at this instance or was forwarded to it.
+/// An unanswered statement, received from a caller or forwarded by another instance.
 struct entry_statement
 {
-    std::uint64_t ticket = 0;
-    std::optional<instance_id> from; ///< forwarded by this instance; empty: from a caller
+    std::uint64_t ticket = 0; ///< request number of the sender, a caller or instance `from`
+    std::optional<instance_id> from; ///< the forwarding instance; empty: received from a caller
     statement_request request;
-    session known; ///< what the answer's token is made from
+    session known; ///< encoded in the session token of the answer
     std::optional<instance_id> forwardedTo;
-    bool isWaiting = false; ///< for a token of its workspace
-    bool mayHaveRun = false; ///< a forward was written whose answer never came
+    bool isWaiting = false; ///< for a rate limit token of its workspace
+    bool mayHaveRun = false; ///< a forward was written but not answered
 };
 
-/// Invariants: every entry has a deadline in `deadlines`; `keys` belongs to `config`.
+/// State of one instance. Invariants: every entry has a deadline in `deadlines`; `keys` is the
+/// index of `config`.
 struct gateway
 {
     instance_id instance;
     incarnation_id incarnation = 0;
     zone_name zone;
     owner_limits limits;
-    std::size_t queueCapacity = 4096; ///< statements that may wait for one group
+    std::size_t queueCapacity = 4096; ///< maximum of queued statements for one group
     acknowledgement_policy policy = acknowledgement_policy::Majority;
 
     configuration config;
@@ -69,18 +70,18 @@
     freshness proof;
     bool isDraining = false;
 
-    std::map<instance_id, peer_instance> peers; ///< without this instance
+    std::map<instance_id, peer_instance> peers; ///< all instances except this one
     std::map<group_id, group_owner> owners;
-    limit_keeper keeper; ///< rates, bursts and connections over all instances
-    std::set<incarnation_id> ownIncarnations; ///< all that this process has had
+    limit_keeper keeper; ///< enforces rates, bursts and connection limits across instances
+    std::set<incarnation_id> ownIncarnations; ///< the current and all earlier ones of this process
     std::map<std::uint64_t, entry_statement> entries; ///< by handle
     std::set<std::pair<time_point, std::uint64_t>> deadlines;
-    std::set<std::pair<time_point, std::uint64_t>> retries; ///< of the dispatch, by time
+    std::set<std::pair<time_point, std::uint64_t>> retries; ///< handles to dispatch again, by time
     std::uint64_t nextHandle = 1;
     time_point nextOwnerCheckAt{};
 };
 
-/// What each step of a gateway needs.
+/// Arguments that all event handlers of a gateway share.
 struct gateway_turn
 {
     gateway &state;
@@ -89,70 +90,75 @@
     gateway_actions &actions;
 };
 
-/// @brief Prepares a gateway without configuration.
-/// @param self its zone and instance; the incarnation is a fresh random number
+/// @brief Creates a gateway without configuration.
+/// @param self identifies the instance and its zone; the incarnation must be a new random number
 [[nodiscard]] gateway makeGateway(const peer_ref &self, const keeper_settings &settings,
                                   time_point now);
 
-/// @brief Takes in which entry instances are live.
+/// @brief Handles a change of the set of live instances.
 void onLivePeers(gateway_turn &turn, std::vector<peer_ref> live);
 
-/// @brief Hands an event to the keeper of the limits and passes its actions on.
+/// @brief Calls @p step with the limit keeper and applies the actions that it returns.
 /// @param step calls one of the functions of limit_keeper.hpp
 template <typename function>
 void withKeeper(gateway_turn &turn, function &&step);
 
-/// @brief Turns the keeper's actions into the gateway's.
+/// @brief Applies the limit keeper's actions to the gateway or adds them to the gateway's actions.
 void applyActions(gateway_turn &turn, keeper_actions &&actions);
 
-/// @brief Puts a configuration in force. Versions only go forward.
+/// @brief Applies a configuration. An equal or older version is ignored.
 /// @return false if @p config is not newer than the one in force
 /// @complexity linear in the configuration
 bool applyConfiguration(gateway_turn &turn, const configuration &config);
 
-/// @brief Takes in a caller's request. It ends with exactly one caller_reply.
+/// @brief Handles a caller's request. Each request results in exactly one caller_reply.
 void onCallerRequest(gateway_turn &turn, caller_request request);
 
-/// @brief Takes in a statement that another instance forwarded. It ends with one forward_result.
-/// @param ticket the forwarding instance's name for it
+/// @brief Handles a statement that another instance forwarded. Each one results in exactly one
+/// forward_result.
+/// @param ticket number that the forwarding instance gave to the statement
 void onForwarded(gateway_turn &turn, const instance_id &from, std::uint64_t ticket,
                  statement_request request);
 
-/// @brief Takes in the answer to a forwarded statement; one that comes late or twice is dropped.
+/// @brief Handles the answer to a forwarded statement. Late and duplicate answers are dropped.
 void onForwardResult(gateway_turn &turn, const instance_id &from, std::uint64_t handle,
                      statement_answer answer);
 
-/// @brief A forward could not be delivered, or its link closed before the answer.
-/// @param wasWritten false only if no byte of it can have left
+/// @brief Handles a forward that could not be delivered or whose link closed before the answer.
+/// @param wasWritten false only if no byte of the forward can have been sent
 void onForwardFailed(gateway_turn &turn, std::uint64_t handle, bool wasWritten);
 
-/// @brief Hands an event of the surroundings to the owner of @p group and passes its actions on.
+/// @brief Calls @p step with the owner of @p group and applies the actions that it returns. Does
+/// nothing if this instance has no owner of @p group.
 /// @param step calls one of the functions of group_owner.hpp
 template <typename function>
 void withOwner(gateway_turn &turn, const group_id &group, function &&step);
 
-/// @brief Does what is due.
+/// @brief Runs all timers that are due: ownership checks, retries, limits and deadlines.
 void advance(gateway_turn &turn);
 
-/// @return the time at which advance() must be called again at the latest
+/// @return the latest time at which advance() must be called again
 [[nodiscard]] time_point nextWakeup(const gateway &state);
 
-/// @brief Begins a planned stop: owns nothing more, returns its shares when nothing is left to
-/// answer.
+/// @brief Starts a planned stop. The instance gives up ownership of all groups and returns its
+/// shares of the limits once every statement is answered.
 void startDraining(gateway_turn &turn);
 
-/// @return the instance that owns the zone's connections to a group; next ones in order after it
+/// @return the instances of this zone in order of preference as owner of the zone's connections to
+/// @p group; the first one is the owner
 [[nodiscard]] std::vector<instance_id> rankOwners(const gateway &state, const group_id &group,
                                                   time_point now);
 
-/// @return the owners of a group in the other zones, as far as this instance knows
+/// @return the owners of @p group in the other zones according to the peers that this instance
+/// knows
 [[nodiscard]] std::vector<instance_id> findOtherZoneOwners(const gateway &state,
                                                            const group_id &group);
 
 /// @return whether every accepted request is answered and no transaction is open
 [[nodiscard]] bool isDrained(const gateway &state);
 
-/// @brief Turns an owner's actions into the gateway's; answers go to whoever sent the statement.
+/// @brief Adds the actions of an owner to the gateway's actions. A finished statement is answered
+/// to the caller or the instance that sent it.
 void applyActions(gateway_turn &turn, const group_id &group, owner_actions &&actions);
 
 template <typename function>
--- a/include/fuchsiagw/core/gateway_action.hpp
+++ b/include/fuchsiagw/core/gateway_action.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a gateway asks its surroundings to do.
+/// @brief Actions of a gateway that its caller must carry out.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace fuchsiagw::core {
 
-/// An action of the owner of a group; never a statement_done.
+/// Carry out an action of the owner of `group`. The action is never a statement_done.
 struct group_action
 {
     group_id group;
@@ -28,10 +28,10 @@
 {
     std::uint64_t ticket = 0;
     workspace_id workspace; ///< empty if the key was not accepted
-    group_id group; ///< empty if the request was refused before it was known
+    group_id group; ///< empty if the request was refused before its group was known
     statement_kind kind = statement_kind::Read;
     statement_answer answer;
-    std::optional<session> known; ///< goes out as session token
+    std::optional<session> known; ///< returned to the caller as session token
 };
 
 /// Send a statement to the instance that owns the group's connections.
@@ -42,7 +42,7 @@
     statement_request request;
 };
 
-/// Send the answer to a forwarded statement back.
+/// Return the answer to a forwarded statement to the instance that forwarded it.
 struct forward_result
 {
     instance_id to;
@@ -51,7 +51,7 @@
     statement_answer answer;
 };
 
-/// The incarnation was voted expired; the process goes on under this new one.
+/// The peers voted the previous incarnation expired; the process continues with this new one.
 struct incarnation_changed
 {
     incarnation_id incarnation = 0;
--- a/src/core/exchange.cpp
+++ b/src/core/exchange.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The way of one statement from the queue to its answer.
+/// @brief State machine of one statement from the queue to its answer.
 
 #include <fuchsiagw/core/exchange.hpp>
 
@@ -28,8 +28,8 @@
     return action;
 }
 
-/// Whether a second run does no harm. A begin that gets no answer is rolled back with its
-/// connection.
+/// Returns whether running the statement a second time is harmless. A transaction whose begin was
+/// not answered is rolled back when its connection is closed.
 bool isSafeToRetry(const exchange &current)
 {
     if (current.inTransaction)
@@ -38,11 +38,12 @@
            || current.hasIdempotencyKey;
 }
 
-/// The write is over only when it is confirmed; within a transaction the commit is.
+/// Returns whether the answer must wait for confirmation. The writes of a transaction are confirmed
+/// together by its commit.
 bool needsConfirmation(const exchange &current, const execute_answer &answer)
 {
     if (current.kind == statement_kind::Commit)
-        return answer.position != log_position{}; // a commit without writes has no position
+        return answer.position != log_position{}; // zero if the transaction wrote nothing
     return current.kind == statement_kind::Write && !current.inTransaction;
 }
 
@@ -53,10 +54,11 @@
     return action;
 }
 
-/// @return the pause before the next attempt; counts this refusal
+/// Counts a refusal.
+/// @return the delay before the next attempt
 duration nextRefusalDelay(exchange &current)
 {
-    constexpr std::uint32_t maxExponent = 8; // beyond it every pause is the longest one
+    constexpr std::uint32_t maxExponent = 8; // beyond it every delay is maxRefusalDelay
     const std::int64_t factor = std::int64_t{ 1 }
                                 << std::min(current.consecutiveRefusals, maxExponent);
     current.consecutiveRefusals += 1;
@@ -65,12 +67,12 @@
 
 exchange_action onRefused(exchange &current, const execute_answer &answer, time_point now)
 {
-    // The refusal resolves this attempt only; an earlier one may still have run.
+    // The refusal resolves only this attempt. An earlier one may have run.
     assert(current.unresolved > 0);
     current.unresolved -= 1;
     const bool termDiffers = answer.term != current.term;
     if (current.inTransaction) {
-        // Under another term the transaction can't be committed any more.
+        // A transaction can be committed only under the term in which it began.
         return termDiffers ? failTransaction(current)
                            : answerWith(current, error_kind::UpstreamRefused);
     }
@@ -82,7 +84,8 @@
 
 exchange_action onStaleAnswer(exchange &current, time_point now)
 {
-    // A primary that is behind the session has been replaced, and its transactions with it.
+    // A primary that is behind the session has been replaced by another one, so its open
+    // transactions can't be committed.
     if (current.inTransaction)
         return failTransaction(current);
     const bool wasPrimary = current.primaryOnly;
@@ -116,7 +119,7 @@
 void onSent(exchange &current, const request_id &attempt, const member_id &member, term_number term)
 {
     assert(current.state == exchange_state::Queued);
-    // The central rule: what may have run is not sent again unless a second run does no harm.
+    // A statement that may have run must not be sent again unless a second run is harmless.
     assert(current.unresolved == 0 || isSafeToRetry(current));
     current.state = exchange_state::Sent;
     current.attempt = attempt;
@@ -139,7 +142,7 @@
                          time_point now)
 {
     if (current.state != exchange_state::Sent) {
-        // Nothing was asked on this connection, so what arrives on it can't be trusted.
+        // No request is in flight on this connection, so the answer belongs to an unknown request.
         exchange_action action;
         action.closeConnection = true;
         return action;
@@ -149,7 +152,7 @@
     if (answer.status == execute_status::Refused)
         return onRefused(current, answer, now);
     if (answer.status == execute_status::Failed) {
-        // An earlier attempt without an answer may have run, or may run later.
+        // An earlier, unanswered attempt may have run or may still run.
         const bool isResolved = current.unresolved == 1 || current.kind == statement_kind::Read;
         return answerWith(current,
                           isResolved ? error_kind::UpstreamFailed : error_kind::OutcomeUnknown);
@@ -223,7 +226,7 @@
 {
     if (current.unresolved == 0)
         return unsentReason;
-    // Without a commit a transaction is rolled back with its connection, which is closed.
+    // Closing the connection rolls back a transaction for which no commit was sent.
     const bool isOpen = current.inTransaction && current.kind != statement_kind::Commit;
     return isOpen || current.kind == statement_kind::Begin ? error_kind::TransactionLost
                                                            : error_kind::OutcomeUnknown;
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Admission of callers' statements and the way to the owner of their group.
+/// @brief Authentication and admission of callers' statements and their dispatch to the owner of
+/// the group.
 
 #include <fuchsiagw/core/gateway.hpp>
 
@@ -12,16 +13,17 @@
 
 namespace {
 
-/// How long an instance is passed over after a forward to it failed.
+/// How long no statement is forwarded to an instance after a forward to it failed.
 constexpr duration forwardAvoidInterval = std::chrono::seconds(1);
 
-/// How often the owners are chosen anew; a change of configuration or peers does it at once.
+/// Interval at which group ownership is computed again. A change of the configuration or of the
+/// live peers triggers it immediately.
 constexpr duration ownerCheckInterval = std::chrono::milliseconds(500);
 
-/// Pause before a statement that no instance of the zone could take is dispatched again.
+/// Delay before a statement is dispatched again because its group has no usable owner in this zone.
 constexpr duration forwardRetryDelay = std::chrono::milliseconds(25);
 
-/// The upper half of a transaction's number tells its group.
+/// The upper 32 bits of a transaction number are a hash of its group's name.
 constexpr unsigned groupPrefixShift = 32;
 
 std::uint64_t groupPrefix(const group_id &group)
@@ -29,7 +31,7 @@
     return stableHash(group.value) >> groupPrefixShift << groupPrefixShift;
 }
 
-/// What is true of a forwarded statement whose answer will never come.
+/// Returns the error for a forwarded statement that may have run and whose answer is lost.
 error_kind lostForwardError(const statement_request &request)
 {
     if (request.transaction && request.kind != statement_kind::Commit)
@@ -47,7 +49,7 @@
     state.entries.erase(found);
     state.deadlines.erase({ entry.request.deadline, handle });
     answer.id = entry.request.id;
-    // What a later attempt says is not true of an earlier one whose answer never came.
+    // A refusal of a later attempt does not apply to an earlier, unanswered one: it may have run.
     if (answer.error && entry.mayHaveRun
         && answerOf(*answer.error).outcome == request_outcome::NotRun)
         answer.error = lostForwardError(entry.request);
@@ -58,7 +60,8 @@
     }
     if (!answer.error && answer.position != log_position{})
         recordWrite(entry.known, entry.request.group, answer.position);
-    // The primary that served a read without usable session had every write acknowledged before.
+    // Without a usable session only the primary serves the read. Its position covers every write
+    // that was acknowledged before, so it becomes the session's position.
     const bool isReadWithoutSession =
             entry.request.isSessionUnusable && entry.request.kind == statement_kind::Read;
     if (!answer.error && isReadWithoutSession && !answer.fromReplica)
@@ -75,7 +78,7 @@
     finish(turn, handle, std::move(answer));
 }
 
-/// Refuses a request that has not become an entry.
+/// Refuses a request for which no entry was created.
 void refuse(gateway_turn &turn, const caller_request &request, const workspace_id &workspace,
             error_kind error)
 {
@@ -101,7 +104,7 @@
     return found->second.maxAge;
 }
 
-/// Finds the group of a transaction's statement, which names only the transaction.
+/// Finds the group of a transaction. Statements of a transaction carry only the transaction id.
 std::optional<group_id> groupOf(const workspace_settings &workspace,
                                 const transaction_id &transaction)
 {
@@ -113,7 +116,8 @@
     return found == workspace.groups.end() ? std::nullopt : std::optional(*found);
 }
 
-/// Checks the request against the workspace; sets its group if it belongs to a transaction.
+/// Checks that the workspace has the request's group and read class. Sets the group of a request
+/// that belongs to a transaction.
 std::optional<error_kind> checkScope(const workspace_settings &workspace,
                                      statement_request &request)
 {
@@ -131,7 +135,8 @@
     return std::nullopt;
 }
 
-/// The end of a transaction is not limited: refusing it would only hold its connection longer.
+/// Commit and rollback are not rate limited: refusing one would only keep its connection reserved
+/// for longer.
 bool consumesToken(statement_kind kind)
 {
     return kind != statement_kind::Commit && kind != statement_kind::Rollback;
@@ -176,7 +181,7 @@
 {
     gateway &state = turn.state;
     const entry_statement &entry = state.entries.at(handle);
-    // A copy: the entry ends within applyActions() if the owner answers at once.
+    // Copied because applyActions() erases the entry if the owner answers immediately.
     const group_id group = entry.request.group;
     if (state.config.groups.count(entry.request.group) == 0) {
         fail(turn, handle, error_kind::GroupUnknown);
@@ -187,7 +192,8 @@
     statement.maxAge = maxAgeOf(state.config, entry.request);
     statement.session = entry.ticket;
     group_owner &owner = findOrCreateOwner(state, entry.request.group);
-    // An owner without connections queues the statement, so that its demand brings a loan.
+    // The zone's owner of the group queues statements even without connections, so that the
+    // reported demand brings a loan of connections. Any other instance passes the statement on.
     if (owner.pool.limit == 0 && !owner.isWatching) {
         if (entry.from)
             fail(turn, handle, error_kind::PeerUnreachable);
@@ -220,7 +226,7 @@
         }
     }
     const bool isCommit = turn.state.entries.at(handle).request.kind == statement_kind::Commit;
-    // A commit that was never sent can't have happened: the transaction is rolled back.
+    // A commit that was never sent can't have run, so the transaction was rolled back.
     const bool isUnknown = isCommit && turn.state.entries.at(handle).mayHaveRun;
     fail(turn, handle, isUnknown ? error_kind::OutcomeUnknown : error_kind::TransactionLost);
 }
@@ -244,7 +250,8 @@
         forwardTo(turn, handle, ranked.front());
 }
 
-/// Rank of this zone's owner among the owners of all zones; only two that differ may not matter.
+/// Returns the rank of this zone's owner among the owners of all zones. Instances that know
+/// different zones may compute equal ranks.
 std::uint8_t ownerRank(const gateway &state)
 {
     std::set<zone_name> zones{ state.zone };
@@ -254,7 +261,7 @@
     return static_cast<std::uint8_t>(rank % (1 << rankBits));
 }
 
-/// Watches the groups that this instance owns in its zone, and no others.
+/// Starts watching the groups that this instance owns in its zone and stops watching all others.
 void updateGroupOwnership(gateway_turn &turn)
 {
     gateway &state = turn.state;
@@ -292,7 +299,7 @@
     }
 }
 
-/// Takes a token of the workspace, or waits for one.
+/// Takes a rate limit token of the workspace, or marks the entry as waiting for one.
 void admit(gateway_turn &turn, std::uint64_t handle)
 {
     entry_statement &entry = turn.state.entries.at(handle);
@@ -337,7 +344,8 @@
                    static_cast<std::uint32_t>(waiting), now, static_cast<std::uint32_t>(idle));
 }
 
-/// A process that was paused for too long has lost its shares to the others. It joins anew.
+/// Replaces the expired incarnation of this process by a new one. A process that was paused for
+/// too long has lost its shares of the limits to other instances and has to join again.
 void restartWithNewIncarnation(gateway_turn &turn)
 {
     gateway &state = turn.state;
@@ -456,7 +464,8 @@
         peer->second.avoidUntil = turn.now + forwardAvoidInterval;
     entry.forwardedTo.reset();
     entry.mayHaveRun |= wasWritten;
-    // What was never sent can't commit, so the transaction of an owner that is gone is rolled back.
+    // A statement that was never sent can't commit. If the owner is gone, its connection is closed
+    // and the transaction rolled back.
     const bool isGone = peer == turn.state.peers.end() || !peer->second.isLive;
     if (entry.request.transaction && !wasWritten)
         fail(turn, handle, isGone ? error_kind::TransactionLost : error_kind::PeerUnreachable);
@@ -484,7 +493,8 @@
         if (state.isDraining && state.entries.empty() && !keeper.isLeaving)
             startLeaving(keeper, turn.now, turn.random, actions);
     });
-    // An owner answers at the deadline itself; only what was forwarded or not admitted is left.
+    // An owner answers its statements at the deadline. After the margin only entries remain that
+    // were forwarded, wait for a token or wait to be dispatched again.
     constexpr duration answerMargin = std::chrono::milliseconds(50);
     while (!state.deadlines.empty() && state.deadlines.begin()->first + answerMargin <= turn.now) {
         const std::uint64_t handle = state.deadlines.begin()->second;
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Where a statement goes, and whether the answer may be given to the caller.
+/// @brief Choice of the member that runs a statement, and check of its answer to a read.
 
 #include <fuchsiagw/core/routing.hpp>
 
@@ -11,19 +11,20 @@
 
 namespace {
 
-/// A replica that may serve the read, with what it is compared by.
+/// A replica that may serve the read, with its sort criteria.
 struct ranked_replica
 {
     std::size_t candidate = 0; ///< index in route_decision::candidates
     bool isFull = false;
     bool isOtherZone = false;
-    std::uint32_t load = 0; ///< work in flight; the slots are the same for all members
+    std::uint32_t load = 0; ///< statements in flight; all members have the same number of slots
     bool needsConnection = false;
     std::uint64_t tieBreaker = 0;
 
     [[nodiscard]] auto key() const
     {
-        // Among full members a shorter queue saves more than the way to another zone costs.
+        // Among full members a shorter queue saves more time than the round trip to another zone
+        // costs.
         return std::tuple(isFull, isFull ? load : 0, isOtherZone, load, needsConnection,
                           tieBreaker);
     }
@@ -35,7 +36,7 @@
            && !request.primaryOnly;
 }
 
-/// @return Chosen if nothing speaks against new work for the member
+/// @return Chosen if the member may receive new statements, else the reason against it
 rejection_reason checkMember(const member_view &member, time_point now)
 {
     if (member.leaving)
@@ -67,7 +68,7 @@
     return *age > *request.maxAge ? rejection_reason::TooOld : rejection_reason::Chosen;
 }
 
-/// @return why @p other comes after @p best
+/// @return why @p other ranks after @p best
 rejection_reason compareReplicas(const ranked_replica &best, const ranked_replica &other)
 {
     if (best.isFull != other.isFull)
--- a/tests/unit-exchange.cpp
+++ b/tests/unit-exchange.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the way of one statement to its answer.
+/// @brief Tests of the state machine that executes one statement.
 
 #include <fuchsiagw/core/exchange.hpp>
 
@@ -52,7 +52,9 @@
 
 TEST_GROUP(exchange){};
 
-// Guards against M10 and M9: a lost write without key is neither repeated nor called `not_run`.
+// Guards against running a write twice and against reporting `not_run` for a write that may have
+// run. Both can happen when the connection closes, or an answer with a wrong id arrives, after a
+// write without idempotency key was sent.
 TEST(exchange, lostAnswerIsRetriedOnlyIfSafe)
 {
     struct lost_case
@@ -60,7 +62,7 @@
         statement_kind kind;
         bool hasIdempotencyKey;
         bool inTransaction;
-        std::optional<error_kind> error; ///< empty: repeated
+        std::optional<error_kind> error; ///< empty: the statement is sent again
     };
     const lost_case cases[] = {
         { statement_kind::Write, false, false, error_kind::OutcomeUnknown },
@@ -77,7 +79,7 @@
         for (const bool isForeign : { false, true }) {
             exchange current = make(each.kind, each.hasIdempotencyKey, each.inTransaction);
             send(current);
-            // An answer with another id says nothing about this request.
+            // An answer with another id must count as a lost one.
             const exchange_action action =
                     isForeign ? receive(current, makeAnswer(execute_status::Refused, 99))
                               : onConnectionLost(current, now);
@@ -88,7 +90,7 @@
     }
 }
 
-// Guards against `not_run` at the deadline for anything that was sent and not refused.
+// Guards against reporting `not_run` at the deadline for a statement that was sent and not refused.
 TEST(exchange, deadlineIsNotRunOnlyIfNothingWasSent)
 {
     for (const auto kind : { statement_kind::Read, statement_kind::Write, statement_kind::Begin,
@@ -105,7 +107,8 @@
     }
 }
 
-// Guards against a refusal that hides an earlier attempt which may have run.
+// Guards against reporting `not_run` when a retry is refused or fails although an earlier,
+// unanswered attempt may have run.
 TEST(exchange, refusalResolvesOnlyItsOwnAttempt)
 {
     exchange current = make(statement_kind::Write, true);
@@ -124,7 +127,8 @@
                        error_kind::OutcomeUnknown));
 }
 
-// Guards against refused writes that are given up during a promotion, or retried without end.
+// Guards against failing refused writes during a promotion, and against retrying them without end
+// when the term does not change.
 TEST(exchange, refusedWriteIsRoutedAgain)
 {
     exchange current = make(statement_kind::Write);
@@ -142,8 +146,8 @@
                        error_kind::UpstreamRefused));
 }
 
-// Guards against success before confirmation, and against a superseded write that is repeated
-// without a key.
+// Guards against reporting success before a write is confirmed, and against sending a write again
+// without idempotency key after its term has ended.
 TEST(exchange, writeWaitsForConfirmation)
 {
     for (const bool hasIdempotencyKey : { false, true }) {
@@ -167,7 +171,8 @@
                == exchange_step::WaitForConfirmation);
 }
 
-// Guards against M1: an answer that is behind the session is never given to the caller.
+// Guards against returning a read that misses the session's own writes because the replica had not
+// applied them yet.
 TEST(exchange, readThatIsBehindAsksThePrimary)
 {
     exchange current = make(statement_kind::Read);
@@ -178,7 +183,7 @@
     CHECK_TRUE(answers(onDeadline(current, error_kind::NoPrimary), error_kind::OutcomeUnknown));
 }
 
-// Guards against late answers that change a decided exchange (M8).
+// Guards against late events that change the answer of a finished exchange.
 TEST(exchange, lateEventsChangeNothing)
 {
     exchange current = make(statement_kind::Write);
--- a/tests/unit-gateway-forward.cpp
+++ b/tests/unit-gateway-forward.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Test of what a gateway answers after a forward whose own answer never came.
+/// @brief Tests of the gateway's answer after a forward that was sent but not answered.
 
 #include <fuchsiagw/core/gateway.hpp>
 
@@ -26,8 +26,9 @@
 
 TEST_GROUP(gateway_forward){};
 
-// Guards against a refusal of the second attempt that is passed on as `not_run` although the first
-// one may have run: the caller would send an idempotent write again under another key.
+// Guards against answering `not_run` when the first forward may have run and only the second one
+// was refused. The caller would then send the write again under another idempotency key, and it
+// could run twice.
 TEST(gateway_forward, refusalAfterALostAnswerIsUnknown)
 {
     const time_point start{ 100s };
--- a/tests/unit-routing.cpp
+++ b/tests/unit-routing.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the choice of a member and of the check of its answer.
+/// @brief Tests of the choice of a member for a statement and of the check of its answer.
 
 #include <fuchsiagw/core/routing.hpp>
 
@@ -48,7 +48,7 @@
         return routeStatement(view, request, now + later, random);
     }
 
-    /// Checks the chosen member and its reason.
+    /// Routes the request and checks the chosen member and the reason.
     void expect(const char *member, route_reason reason)
     {
         const route_decision decision = route();
@@ -60,7 +60,8 @@
     }
 };
 
-// Guards against M1 and M2: what must go to the primary goes nowhere else.
+// Guards against stale reads and lost writes: writes, transactions and reads that accept no age or
+// whose session is unusable must never be sent to a replica.
 TEST(routing, onlyReadsThatAcceptAnAgeUseReplicas)
 {
     expect("b", route_reason::OwnZone);
@@ -79,7 +80,8 @@
     expect("a", route_reason::PrimaryRequired);
 }
 
-// Guards against replicas that are used although something speaks against them.
+// Guards against sending a read to a replica that is leaving, backed off, unknown, behind or under
+// another term.
 TEST(routing, skipsIneligibleReplicas)
 {
     member_view &near = view.members[{ "b" }];
@@ -107,7 +109,8 @@
     expectRejected(rejection_reason::PositionBehind);
 }
 
-// Guards against full members of the own zone that are preferred to free ones elsewhere.
+// Guards against preferring a replica of the own zone without a free slot to a free replica in
+// another zone.
 TEST(routing, prefersZoneThenLoadThenOpenConnections)
 {
     view.members[{ "b" }].inFlight = 1;
@@ -122,7 +125,8 @@
     expect("c", route_reason::OtherZone);
 }
 
-// Guards against reads that fail although the primary can serve them, and the reverse.
+// Guards against reads that fail although the primary can serve them, and against choosing a
+// primary that is leaving.
 TEST(routing, fallsBackToThePrimaryIfItIsAvailable)
 {
     CHECK_TRUE(route(501ms).reason == route_reason::NoReplicaFits);
@@ -134,7 +138,7 @@
     CHECK_FALSE(route().member.has_value());
 }
 
-// Guards against a log line that hides why the others were not chosen.
+// Guards against a log line that omits why the other candidates were not chosen.
 TEST(routing, describesTheDecisionInOneLine)
 {
     view.members[{ "c" }].leaving = true;
@@ -142,7 +146,8 @@
                  describe(route()).c_str());
 }
 
-// Guards against M1 and M8: estimates decide where to ask, only the answer decides what is given.
+// Guards against returning stale data or the answer to another request. Routing relies on estimates
+// of a member's position and age, so the answer itself must be checked.
 TEST(routing, checksPositionAgeAndIdOfTheAnswer)
 {
     execute_answer answer;
