--- a/include/fuchsiagw/core/acknowledgement.hpp
+++ b/include/fuchsiagw/core/acknowledgement.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief When a write is acknowledged, and how an owner waits for that.
+/// @brief Acknowledgement policies, and the writes that wait for acknowledgement.
 
 #pragma once
 
@@ -15,20 +15,20 @@
 
 namespace fuchsiagw::core {
 
-/// How long a member holds a /wait request open. Short, so that a lost answer costs little.
+/// How long a member holds a /wait request open. Short, so that a lost answer causes little delay.
 inline constexpr duration waitHoldTimeout = std::chrono::milliseconds(100);
-/// Time beyond waitHoldTimeout after which the answer to a /wait request counts as lost. Several
-/// round trips between zones (8 ms).
+/// Time after waitHoldTimeout at which the answer to a /wait request counts as lost. It allows for
+/// several round trips between zones (8 ms each).
 inline constexpr duration waitAnswerMargin = std::chrono::milliseconds(50);
-/// Expected delay of a confirmation before one was seen. An owner that starts must not take slow
-/// replication for a primary that is cut off from its group.
+/// Assumed delay of a confirmation until the first one has arrived. It is long, so that a new owner
+/// does not mistake slow replication for a primary that is isolated from its group.
 inline constexpr duration initialConfirmDelay = std::chrono::seconds(1);
 
-/// The policies compared in docs/failover.md.
+/// Condition for the acknowledgement of a write. docs/failover.md compares the policies.
 enum class acknowledgement_policy : std::uint8_t {
-    Majority, ///< held by a majority under the write's term
-    Lease, ///< at once while the primary's lease lasts
-    KnownPosition, ///< at once
+    Majority, ///< a majority of the members holds the write under its term
+    Lease, ///< immediately, while the primary's lease is valid and no higher term is known
+    KnownPosition, ///< immediately, while no higher term is known
 };
 
 inline constexpr std::array<std::string_view, 3> acknowledgementPolicyNames{ "majority", "lease",
@@ -39,26 +39,26 @@
     return acknowledgementPolicyNames.at(static_cast<std::size_t>(policy));
 }
 
-/// @brief Tells whether a member is known to hold a write under the write's term.
+/// @brief Checks whether a member is known to hold a write under @p term.
 ///
-/// An entry of an earlier term (the first answer to a repeated idempotent write) counts only below
-/// an entry of the current term: until then a member with a longer log of a term in between could
-/// be promoted and truncate it.
-/// @param term term that the request carried
+/// A repeated idempotent write is answered with the position of its first run, which may be of an
+/// earlier term. Such an entry counts only if the member also holds an entry of @p term. Without
+/// one, a member whose log has entries of a term in between could be promoted and truncate it.
+/// @param term term of the request
 /// @complexity constant
 [[nodiscard]] bool holdsWrite(const member_view &member, term_number term, log_position position);
 
-/// @brief Tells whether a write may be acknowledged to the caller.
-/// @param term term that the request carried
-/// @param position the write's position as the primary answered
+/// @brief Checks whether a write may be acknowledged to the caller.
+/// @param term term of the request
+/// @param position position of the write in the primary's answer
 /// @complexity linear in the number of members
 [[nodiscard]] bool mayAcknowledge(acknowledgement_policy policy, const group_view &view,
                                   term_number term, log_position position, time_point now);
 
-/// A write that ran and is not acknowledged yet.
+/// A write that the primary has executed and that is not acknowledged yet.
 struct pending_write
 {
-    std::uint64_t number = 0; ///< the caller's name for it
+    std::uint64_t number = 0; ///< chosen by the caller to identify the write
     term_number term = 0;
     log_position position;
     time_point since; ///< when the primary's answer arrived
@@ -68,8 +68,8 @@
 /// What became of a pending write.
 enum class write_outcome : std::uint8_t {
     Acknowledged,
-    Expired, ///< `not_confirmed`
-    Superseded, ///< another term has a primary; `not_confirmed` or to be repeated with its key
+    Expired, ///< its deadline passed; the answer is `not_confirmed`
+    Superseded, ///< a later term has a primary; see onSuperseded()
 };
 
 inline constexpr std::array<std::string_view, 3> writeOutcomeNames{ "acknowledged", "expired",
@@ -87,21 +87,22 @@
     log_position position;
 };
 
-/// A `/wait` request to open at a member.
+/// A `/wait` request to send to a member.
 struct wait_request
 {
     member_id member;
     log_position position; ///< `term` and `index` of the request
     duration held = waitHoldTimeout; ///< `wait_ms`
-    time_point deadline; ///< without an answer until then, report onWaitEnded()
+    time_point deadline; ///< call onWaitEnded() if no answer has arrived by then
 };
 
-/// Writes of one owner in one group. Invariant: at most one wait is open at a member.
+/// The unacknowledged writes of one owner in one group. Invariant: at most one `/wait` request is
+/// open at each member.
 struct pending_writes
 {
     std::vector<pending_write> writes; ///< in order of arrival
-    std::map<member_id, time_point> openWaits; ///< with the deadline of each
-    /// Smoothed time from a primary's answer to the confirmation.
+    std::map<member_id, time_point> openWaits; ///< deadlines of the open `/wait` requests
+    /// Moving average of the time from a primary's answer to the acknowledgement.
     duration confirmDelay = initialConfirmDelay;
     bool isConfirmDelayKnown = false;
     time_point lastConfirmedAt = time_point::min();
@@ -111,21 +112,24 @@
 /// @complexity amortized constant
 void addPendingWrite(pending_writes &pending, const pending_write &write);
 
-/// @brief Says which waits to open now: at each member that lacks the oldest pending write, unless
-/// one is open there. The number depends on the members only, not on the pending writes.
+/// @brief Determines the `/wait` requests to send now: one to each member that is not known to hold
+/// all pending writes and at which none is open. Their number is bounded by the number of members
+/// and independent of the number of pending writes.
 /// @complexity O(m log m + w) for m members and w writes
 [[nodiscard]] std::vector<wait_request> openWaits(pending_writes &pending, const group_view &view,
                                                   time_point now);
 
-/// @brief A wait was answered (observeStatus() first) or failed.
-/// @param deadline of the wait that ended. A late or repeated answer to an earlier wait must not
-/// end the open one, else waits would multiply; noDeadline ends whichever is open.
+/// @brief Handles a `/wait` request that was answered or failed. Pass the status in an answer to
+/// observeStatus() first.
+/// @param deadline deadline of the request that ended. A late or duplicate answer to an earlier
+/// request does not end the open one, otherwise the number of open requests would grow. noDeadline
+/// ends any open request.
 /// @complexity logarithmic in the number of members
 void onWaitEnded(pending_writes &pending, const member_id &member,
                  time_point deadline = noDeadline);
 
-/// @brief Takes out the writes whose outcome is decided. Called after each observed status or
-/// answer and at nextExpiry().
+/// @brief Removes and returns the pending writes that are acknowledged, expired or superseded. Must
+/// be called after each observed status or answer and at nextExpiry().
 /// @complexity O(w * m) for w writes and m members
 [[nodiscard]] std::vector<resolved_write> resolveWrites(pending_writes &pending, group_view &view,
                                                         acknowledgement_policy policy,
@@ -135,7 +139,8 @@
 /// @complexity linear in the number of writes
 [[nodiscard]] time_point nextExpiry(const pending_writes &pending);
 
-/// @return when the oldest pending write of @p term was answered; noDeadline if there is none
+/// @return when the primary answered the oldest pending write of @p term; noDeadline if there is
+/// none
 /// @complexity linear in the number of writes
 [[nodiscard]] time_point oldestUnconfirmed(const pending_writes &pending, term_number term);
 
--- a/include/fuchsiagw/core/connection_pool.hpp
+++ b/include/fuchsiagw/core/connection_pool.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The data connections that an owner has to the members of one group.
+/// @brief Pool of the data connections of an owner to the members of one group.
 
 #pragma once
 
@@ -15,14 +15,14 @@
 
 namespace fuchsiagw::core {
 
-/// Names a connection of this instance, never used again.
+/// Identifies a connection of a pool. Ids are not reused.
 using connection_id = std::uint64_t;
 
 enum class connection_state : std::uint8_t {
     Opening,
     Idle,
-    Busy, ///< carries an exchange
-    Reserved, ///< belongs to a transaction that runs no statement at the moment
+    Busy, ///< a statement is in flight
+    Reserved, ///< belongs to a transaction that has no statement in flight
 };
 
 inline constexpr std::array<std::string_view, 4> connectionStateNames{ "opening", "idle", "busy",
@@ -32,16 +32,16 @@
 {
     member_id member;
     connection_state state = connection_state::Opening;
-    std::uint64_t statement = 0; ///< the one that it carries or is opened for; 0: none
-    std::uint64_t transaction = 0; ///< its transaction; 0: none
+    std::uint64_t statement = 0; ///< in flight on it or waiting until it is open; 0: none
+    std::uint64_t transaction = 0; ///< for which it is reserved; 0: none
     time_point idleSince{};
 };
 
-/// Invariant: the number of connections exceeds limit only after the limit was lowered, until the
-/// exchanges under way have ended.
+/// Invariant: the number of connections exceeds `limit` only after the limit was lowered, until the
+/// statements in flight have ended.
 struct connection_pool
 {
-    std::uint32_t limit = 0; ///< the instance's shares of the group's connections
+    std::uint32_t limit = 0; ///< this instance's share of the group's connection limit
     connection_id nextId = 1;
     std::map<connection_id, pooled_connection> connections;
 };
@@ -62,13 +62,15 @@
 
 /// @brief Chooses the connection for a statement to @p member.
 ///
-/// An idle connection of another member is given up if this member has none at all, or if the idle
-/// one was not used for idleReplaceInterval; otherwise two members would take it from each other in
-/// turns and each statement would pay for a new connection.
+/// At the limit, the least recently used idle connection is replaced if @p member has no connection
+/// at all, or if the idle one was not used for idleReplaceInterval. Without this interval
+/// statements to two members would alternately replace each other's connection, and each would wait
+/// for a new one.
 /// @complexity linear in the connections
 [[nodiscard]] connection_choice chooseConnection(const connection_pool &pool,
                                                  const member_id &member, time_point now);
 
+/// Time without use after which an idle connection may be replaced by one to another member.
 inline constexpr duration idleReplaceInterval = std::chrono::milliseconds(100);
 
 /// @brief Adds a connection in state Opening.
@@ -77,11 +79,12 @@
 connection_id addConnection(connection_pool &pool, const member_id &member,
                             std::uint64_t statement);
 
-/// @brief Counts the connections that carry or may take a statement without being opened first.
+/// @brief Counts the idle connections and those that may still be opened within the limit.
 /// @complexity linear in the connections
 [[nodiscard]] std::uint32_t countAvailable(const connection_pool &pool);
 
-/// @brief Lists the idle connections to close so that the limit holds, least recently used first.
+/// @brief Lists the idle connections that must be closed to respect the limit, least recently used
+/// first.
 /// @complexity O(n log n) in the connections
 [[nodiscard]] std::vector<connection_id> surplusConnections(const connection_pool &pool);
 
--- a/include/fuchsiagw/core/error_kind.hpp
+++ b/include/fuchsiagw/core/error_kind.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The closed list of errors and the answer that each one gives to a caller.
+/// @brief All error kinds and the answer that a caller receives for each.
 
 #pragma once
 
@@ -9,21 +9,21 @@
 
 namespace fuchsiagw::core {
 
-/// What became of a request that was not answered with success.
+/// Effect of a request that failed.
 enum class request_outcome : std::uint8_t {
-    NotRun, ///< nothing of it reached an upstream, or the upstream said that nothing ran
-    Unknown, ///< it may have run
-    RolledBack, ///< it ran and was undone
+    NotRun, ///< no upstream received the request, or the upstream reported that it did not run it
+    Unknown, ///< the request may have run
+    RolledBack, ///< the request ran and its changes were rolled back
 };
 
-/// What a caller may do next.
+/// Whether a caller may retry a failed request.
 enum class retry_advice : std::uint8_t {
     Retry, ///< the same request may be sent again
-    RetryWithKey, ///< may be sent again only if it carries an idempotency key
+    RetryWithKey, ///< the request may be sent again only if it has an idempotency key
     DoNotRetry, ///< the same request will fail again
 };
 
-/// Every error of the product. The numbers are stable and listed in docs/errors.md.
+/// All errors. The numbers are stable and listed in docs/errors.md.
 enum class error_kind : int {
     MalformedBody = 101,
     WrongType = 102,
@@ -76,11 +76,11 @@
 struct error_answer
 {
     error_kind kind;
-    std::string_view name; ///< stable, snake_case, used in JSON bodies and logs
+    std::string_view name; ///< stable name in snake_case for JSON bodies and logs
     int httpStatus;
     request_outcome outcome;
     retry_advice advice;
-    std::string_view sentence; ///< says what to change
+    std::string_view sentence; ///< default description, which says what to change
 };
 
 /// @brief Looks up the answer for an error.
@@ -91,7 +91,7 @@
 /// @return nullptr if there is none
 [[nodiscard]] const error_answer *findAnswer(std::string_view name);
 
-/// @return the first row of the table; rows follow each other, see errorAnswerCount()
+/// @return the first of errorAnswerCount() contiguous rows of the table
 [[nodiscard]] const error_answer *errorAnswers();
 
 /// @return the number of rows of the table
@@ -100,13 +100,13 @@
 [[nodiscard]] std::string_view toString(request_outcome outcome);
 [[nodiscard]] std::string_view toString(retry_advice advice);
 
-/// @return the category of all errors of the product
+/// @return the category of all error codes made from error_kind
 [[nodiscard]] const std::error_category &errorCategory();
 
 [[nodiscard]] std::error_code
 make_error_code(error_kind kind); // NOLINT(readability-identifier-naming)
 
-/// @brief Turns a code of errorCategory() back into its kind; any other code is
+/// @brief Converts a code of errorCategory() to its kind. Any other code becomes
 /// error_kind::Internal.
 [[nodiscard]] error_kind kindOf(const std::error_code &code);
 
--- a/include/fuchsiagw/core/fair_queue.hpp
+++ b/include/fuchsiagw/core/fair_queue.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The bounded queue in front of a group's connections: fair between workspaces, then
-/// between the sessions of a workspace.
+/// @brief Bounded fair queue of the statements of a group: deficit round robin between workspaces,
+/// round robin between the sessions of a workspace.
 
 #pragma once
 
@@ -18,28 +18,28 @@
 
 namespace fuchsiagw::core {
 
-/// What the queue knows of a waiting statement; the caller keeps the statement under its handle.
+/// Queue entry of a statement. The caller stores the statement itself under the handle.
 struct queued_statement
 {
-    std::uint64_t handle = 0; ///< unique among the waiting statements
+    std::uint64_t handle = 0; ///< unique among the queued statements
     workspace_id workspace;
-    std::uint64_t session = 0; ///< any number that tells the sessions of a workspace apart
+    std::uint64_t session = 0; ///< identifies the session within its workspace
     bool inTransaction = false;
     time_point deadline = noDeadline;
 };
 
-/// The waiting statements of one workspace.
+/// The queued statements of one workspace.
 struct workspace_flow
 {
-    std::deque<queued_statement> transactions; ///< of open transactions, served first
+    std::deque<queued_statement> transactions; ///< statements of open transactions, served first
     std::map<std::uint64_t, std::deque<queued_statement>> sessions;
-    std::deque<std::uint64_t> sessionOrder; ///< sessions with statements, next one first
+    std::deque<std::uint64_t> sessionOrder; ///< round robin order of the sessions with statements
     std::uint32_t weight = 1;
-    std::uint32_t deficit = 0; ///< statements that it may still send in this round
+    std::uint32_t deficit = 0; ///< statements that may still be served in this round
     std::size_t length = 0;
 };
 
-/// Position of a flow in the order by length relative to weight.
+/// Sort key of a flow: its length relative to its weight.
 struct flow_rank
 {
     double length = 0; ///< statements per unit of weight
@@ -55,40 +55,43 @@
     }
 };
 
-/// Invariant: length is the sum of the flows' lengths and at most bound; rotation and ranks name
-/// exactly the flows; no flow is empty.
+/// Invariant: `length` is the sum of the flows' lengths and at most `bound`; `rotation` and `ranks`
+/// each contain every flow once; no flow is empty.
 struct fair_queue
 {
-    std::size_t bound = 1024; ///< statements
+    std::size_t bound = 1024; ///< maximum number of statements
     std::size_t length = 0;
     std::map<workspace_id, workspace_flow> flows;
-    std::deque<workspace_id> rotation; ///< deficit round robin, the flow being served first
-    std::set<flow_rank> ranks; ///< the longest flow last
+    std::deque<workspace_id> rotation; ///< round robin order; the flow being served is the first
+    std::set<flow_rank> ranks; ///< the longest flow relative to its weight is the last
 };
 
 struct enqueue_result
 {
     bool accepted = false;
-    std::optional<queued_statement> evicted; ///< refused in favour of the accepted one
+    std::optional<queued_statement> evicted; ///< removed to make room for the accepted statement
 };
 
-/// @brief Adds a statement. A full queue refuses the newest statement of the workspace whose flow
-/// is the longest relative to its weight, which may be the one that comes.
-/// @param weight of the workspace, at least 1; small numbers keep the rounds short
+/// @brief Adds a statement. If the queue is full, the longest flow relative to its weight loses the
+/// newest statement of its longest session; statements of open transactions are evicted only if the
+/// flow has no others. The new statement is refused instead if it would make its own flow at least
+/// as long.
+/// @param weight weight of the workspace, at least 1; small weights keep the rounds short
 /// @complexity logarithmic in the flows and in the workspace's sessions; an eviction is linear in
-/// the sessions of the longest flow
+/// the flows and in the sessions of the longest flow
 enqueue_result enqueue(fair_queue &queue, queued_statement statement, std::uint32_t weight);
 
-/// @brief Removes the statement that is next.
+/// @brief Removes and returns the next statement to serve.
 /// @complexity logarithmic in the flows and in the workspace's sessions
 [[nodiscard]] std::optional<queued_statement> dequeue(fair_queue &queue);
 
-/// @brief Removes every statement that @p isUnwanted, for example because its caller has gone.
+/// @brief Removes and returns all statements for which @p isUnwanted returns true, for example
+/// because the caller has disconnected.
 /// @complexity linear in the queue
 std::vector<queued_statement>
 removeIf(fair_queue &queue, const std::function<bool(const queued_statement &)> &isUnwanted);
 
-/// @brief Counts the statements that are served before one more of @p workspace.
+/// @brief Counts the statements that would be served before a new statement of @p workspace.
 /// @complexity linear in the flows
 [[nodiscard]] std::size_t statementsAhead(const fair_queue &queue, const workspace_id &workspace,
                                           std::uint32_t weight);
--- a/include/fuchsiagw/core/ids.hpp
+++ b/include/fuchsiagw/core/ids.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The identifiers that all packages share.
+/// @brief Identifiers of workspaces, groups, members, zones, instances and requests.
 
 #pragma once
 
@@ -16,10 +16,11 @@
 using zone_name = named_id<struct zone_tag>;
 using instance_id = named_id<struct instance_tag>;
 
-/// Random number that an instance draws at start; a restarted instance has another one.
+/// Random number that distinguishes an instance from its earlier and later runs. It is drawn at
+/// start, and again when the previous one has expired.
 using incarnation_id = std::uint64_t;
 
-/// Random number of one exchange with an upstream.
+/// Random number that identifies one request to an upstream.
 struct request_id
 {
     std::uint64_t high = 0;
@@ -38,8 +39,8 @@
 /// @return the id as 32 lower-case hexadecimal digits
 [[nodiscard]] std::string toString(const request_id &id);
 
-/// @brief Parses what toString() wrote.
-/// @return false if @p text is not 32 hexadecimal digits; @p id is then unchanged
+/// @brief Parses the result of toString().
+/// @return false if @p text is not 32 hexadecimal digits; @p id is unchanged in this case
 [[nodiscard]] bool fromString(const std::string &text, request_id &id);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/log_position.hpp
+++ b/include/fuchsiagw/core/log_position.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A place in a group's replicated log.
+/// @brief Position in the replicated log of a group.
 
 #pragma once
 
@@ -11,8 +11,8 @@
 using term_number = std::uint64_t;
 using log_index = std::uint64_t;
 
-/// Ordered by term, then by index: a later term's log replaces what an earlier one left
-/// unconfirmed.
+/// Ordered by term, then by index, because the log of a later term replaces the unconfirmed entries
+/// of earlier terms.
 struct log_position
 {
     term_number term = 0;
--- a/include/fuchsiagw/core/named_id.hpp
+++ b/include/fuchsiagw/core/named_id.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A string identifier that can't be mixed up with one of another kind.
+/// @brief Strongly typed string identifier.
 
 #pragma once
 
@@ -9,7 +9,9 @@
 
 namespace fuchsiagw::core {
 
-/// @tparam tag empty type that tells the kinds of identifier apart
+/// String identifier. Identifiers with different tags are different types, so that they can't be
+/// mixed up.
+/// @tparam tag empty type that distinguishes the kinds of identifier
 template <typename tag>
 struct named_id
 {
--- a/include/fuchsiagw/core/random.hpp
+++ b/include/fuchsiagw/core/random.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The seeded generator that decisions draw from.
+/// @brief Seeded random number generator.
 
 #pragma once
 
@@ -8,10 +8,11 @@
 
 namespace fuchsiagw::core {
 
-/// Always passed in, so that a run can be repeated from its seed.
+/// Generator of all random decisions. It is always passed as an argument, so that a run can be
+/// reproduced from its seed.
 using random_engine = std::mt19937_64;
 
-/// @brief Draws a number below @p bound, the same on every platform for the same seed.
+/// @brief Draws a number below @p bound. The result for a seed is the same on all platforms.
 /// @param bound greater than 0
 /// @complexity constant
 [[nodiscard]] inline std::uint64_t drawBelow(random_engine &random, std::uint64_t bound)
--- a/include/fuchsiagw/core/session.hpp
+++ b/include/fuchsiagw/core/session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a session must be able to read: its newest acknowledged write in each group.
+/// @brief Read-your-writes state of a session: its newest acknowledged write in each group.
 
 #pragma once
 
@@ -11,8 +11,8 @@
 
 namespace fuchsiagw::core {
 
-/// Groups that a session remembers. With names of maxNameLength characters, a token of this many
-/// groups has 1,840 characters and fits in a cookie (4,096 bytes).
+/// Maximum number of groups in a session. With names of maxNameLength characters, a token with this
+/// many groups has 1,840 characters and fits in a cookie (4,096 bytes).
 inline constexpr std::size_t maxSessionGroups = 16;
 
 struct session_entry
@@ -28,30 +28,31 @@
 {
     workspace_id workspace;
     std::vector<session_entry> entries; ///< least recently written first
-    bool isPartial = false; ///< positions were dropped: a group without an entry is unknown
+    bool isPartial =
+            false; ///< entries were dropped; the position of a group without one is unknown
 
     friend bool operator==(const session &, const session &) = default;
 };
 
-/// @brief Tells how far a member must have applied the log of @p group to serve a read.
-/// @return nullopt if the position is unknown: only the primary may serve the read
+/// @brief Determines the log position of @p group that a member must have applied to serve a read.
+/// @return nullopt if the position is unknown, so that only the primary may serve the read
 /// @complexity linear in the number of entries
 [[nodiscard]] std::optional<log_position> minPosition(const session &state, const group_id &group);
 
-/// @brief Adds an acknowledged write to the session with which its request came.
+/// @brief Adds an acknowledged write to the session that the write's request carried.
 ///
-/// The position of a group that was dropped before is below @p position, because the write was
-/// sent after the dropped one had been acknowledged. Beyond maxSessionGroups the least recently
-/// written entry is dropped and the session becomes partial, so more reads go to the primary.
+/// If the group's entry was dropped before, its position was below @p position, because this write
+/// was sent after the dropped one had been acknowledged. Beyond maxSessionGroups the least recently
+/// written entry is dropped and the session becomes partial, so that more reads go to the primary.
 /// @complexity linear in the number of entries
 void recordWrite(session &state, const group_id &group, const log_position &position);
 
-/// @brief Joins two views of one session; the greater position of each group is kept.
+/// @brief Merges two states of one session. The greater position of each group is kept.
 ///
-/// An unknown position counts as greater than any known one. The result is never weaker than
-/// either input.
-/// @param state view that is changed
-/// @param other view with the same workspace
+/// An unknown position counts as greater than any known one. Hence a read under the result sees
+/// every write that it would see under either input.
+/// @param state session that is changed
+/// @param other session of the same workspace
 /// @complexity quadratic in the number of entries
 void merge(session &state, const session &other);
 
--- a/include/fuchsiagw/core/statement.hpp
+++ b/include/fuchsiagw/core/statement.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A caller's statement after parsing, and what became of it.
+/// @brief A caller's parsed statement, and its answer.
 
 #pragma once
 
@@ -32,7 +32,7 @@
     return statementKindNames.at(static_cast<std::size_t>(kind));
 }
 
-/// Names a transaction and the instance that owns its connection.
+/// Identifies a transaction and the instance that owns its connection.
 struct transaction_id
 {
     incarnation_id owner = 0;
@@ -48,33 +48,33 @@
     }
 };
 
-/// Invariant: the workspace was found from the caller's key and from nothing else.
+/// Invariant: the workspace is determined by the caller's key and by nothing else.
 struct statement_request
 {
     request_id id;
     workspace_id workspace;
     group_id group;
     statement_kind kind = statement_kind::Read;
-    std::string text; ///< opaque to the proxy
+    std::string text; ///< not interpreted by the proxy
     std::vector<std::string> parameters;
-    std::string readClass; ///< empty: the read accepts no age
+    std::string readClass; ///< empty: only the primary may serve the read
     std::string idempotencyKey; ///< empty: the request must run at most once
     std::optional<transaction_id> transaction;
     log_position minPosition; ///< the session's newest acknowledged write in this group
-    bool isSessionUnusable =
-            false; ///< a session was named but its token can't be used: ask the primary
+    bool isSessionUnusable = false; ///< the request's session token can't be used, so only the
+                                    ///< primary may serve a read
     time_point deadline = noDeadline;
 };
 
-/// Invariant: `error` is empty exactly if the statement succeeded.
+/// Invariant: `error` is empty if and only if the statement succeeded.
 struct statement_answer
 {
     request_id id;
     std::optional<error_kind> error;
-    std::string problem; ///< for people; empty on success
+    std::string problem; ///< description of the error for people; empty on success
     std::vector<std::vector<std::string>> rows;
     log_position position; ///< of the write; zero for reads
-    log_position applied; ///< what the member had applied at execution
+    log_position applied; ///< newest position that the member had applied at execution
     member_id member;
     bool fromReplica = false;
     std::optional<transaction_id> transaction;
--- a/include/fuchsiagw/core/time.hpp
+++ b/include/fuchsiagw/core/time.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Time as the decisions see it: points on a clock that only the caller can read.
+/// @brief Time points and durations on a clock that only the caller can read.
 
 #pragma once
 
@@ -8,8 +8,9 @@
 
 namespace fuchsiagw::core {
 
-/// Clock of all decisions. It has no `now()`: the current time is always an argument, so that the
-/// same events give the same decisions in the daemon and in virtual time.
+/// Clock of all code in core. It has no `now()`: the current time is always passed as an argument,
+/// so that the same events lead to the same decisions in the daemon and in a simulation with
+/// virtual time.
 struct decision_clock
 {
     using rep = std::int64_t;
--- a/src/core/acknowledgement.cpp
+++ b/src/core/acknowledgement.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief When a write is acknowledged, and how an owner waits for that.
+/// @brief Acknowledgement of writes and the `/wait` requests that lead to it.
 
 #include <fuchsiagw/core/acknowledgement.hpp>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Weight of a new value in the smoothed confirmation delay is 1 / confirmDelaySmoothing.
+/// A new value has the weight 1 / confirmDelaySmoothing in the average confirmation delay.
 constexpr int confirmDelaySmoothing = 8;
 
 bool isHeldByMajority(const group_view &view, term_number term, log_position position)
@@ -81,7 +81,7 @@
     if (!view.primary)
         return opened;
     for (const auto &[id, member] : view.members) {
-        // A member under another term can't confirm, and the failover makes it follow first.
+        // A member under another term can't confirm the write until failover makes it follow.
         if (id == *view.primary || member.acceptedTerm != view.highestTerm
             || pending.openWaits.contains(id))
             continue;
@@ -94,7 +94,8 @@
         }
         if (!wanted)
             continue;
-        // An entry of an earlier term is confirmed by any later entry of the term.
+        // An entry of an earlier term is confirmed by any later entry of the current term, so the
+        // request asks for the current term.
         const log_position position{ view.highestTerm, wanted->index };
         const time_point deadline = now + waitHoldTimeout + waitAnswerMargin;
         pending.openWaits[id] = deadline;
--- a/src/core/backoff.cpp
+++ b/src/core/backoff.cpp
@@ -10,7 +10,8 @@
 
 void recordFailure(backoff &state, time_point now, random_engine &random)
 {
-    // Beyond this exponent every delay is maxBackoff; the bound keeps the shift defined.
+    // Beyond this exponent every delay is maxBackoff; the bound avoids undefined behaviour of the
+    // shift.
     constexpr std::uint32_t maxExponent = 20;
     const std::uint32_t exponent = std::min(state.failures, maxExponent);
     const duration full = std::min(initialBackoff * (std::int64_t{ 1 } << exponent), maxBackoff);
--- a/src/core/connection_pool.cpp
+++ b/src/core/connection_pool.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Choice and count of an owner's connections.
+/// @brief Selection of connections from an owner's pool.
 
 #include <fuchsiagw/core/connection_pool.hpp>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Idle connections, least recently used first.
+/// Lists the idle connections, least recently used first.
 std::vector<connection_id> idleConnections(const connection_pool &pool)
 {
     std::vector<connection_id> idle;
@@ -29,7 +29,7 @@
                                    time_point now)
 {
     const std::vector<connection_id> idle = idleConnections(pool);
-    // The most recently used one, so that the others can be given up.
+    // The most recently used one, so that the others become old enough to be replaced.
     const auto own = std::find_if(idle.rbegin(), idle.rend(), [&](connection_id id) {
         return pool.connections.at(id).member == member;
     });
--- a/src/core/fair_queue.cpp
+++ b/src/core/fair_queue.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Deficit round robin over workspaces and a rotation over the sessions of each.
+/// @brief Deficit round robin over workspaces and round robin over the sessions of each.
 
 #include <fuchsiagw/core/fair_queue.hpp>
 
@@ -18,7 +18,7 @@
     return { static_cast<double>(flow.length) / flow.weight, workspace };
 }
 
-/// Changes a flow's length and keeps the order by length.
+/// Changes a flow's length and updates the totals and the order by length.
 void changeLength(fair_queue &queue, flow_map::iterator entry, std::size_t length)
 {
     workspace_flow &flow = entry->second;
@@ -38,7 +38,7 @@
     queue.flows.erase(entry);
 }
 
-/// Removes the session's entry once it has no statement, wherever it stands in the rotation.
+/// Removes the session from the flow if it has no statements left.
 void dropSessionIfEmpty(workspace_flow &flow, std::uint64_t session)
 {
     const auto entry = flow.sessions.find(session);
@@ -68,8 +68,9 @@
     return next;
 }
 
-/// Takes the newest statement of the session with the most of them. Statements of an open
-/// transaction are taken last, because they hold locks at the upstream.
+/// Removes the newest statement of the session with the most statements. Statements of open
+/// transactions are removed only if there are no others, because their transactions hold locks at
+/// the upstream.
 queued_statement popNewest(workspace_flow &flow)
 {
     queued_statement newest;
@@ -192,7 +193,7 @@
 {
     const auto own = queue.flows.find(workspace);
     const std::size_t ownLength = own == queue.flows.end() ? 0 : own->second.length;
-    // While the flow empties, each other flow sends its weight per round.
+    // In each round until the new statement is served, every other flow is served up to its weight.
     const std::size_t rounds = ownLength / weight + 1;
     std::size_t ahead = ownLength;
     for (const auto &[name, flow] : queue.flows)
--- a/src/core/ids.cpp
+++ b/src/core/ids.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Text form of request ids.
+/// @brief Conversion of request ids to and from text.
 
 #include <fuchsiagw/core/ids.hpp>
 
--- a/src/core/key_check.cpp
+++ b/src/core/key_check.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Decision on a caller's key.
+/// @brief Check of a caller's API key.
 
 #include <fuchsiagw/core/key_check.hpp>
 
@@ -13,7 +13,8 @@
     for (const auto &[workspace, settings] : config.workspaces) {
         for (const auto &[hash, state] : settings.keys) {
             key_entry &entry = index[hash];
-            // Should an invariant be broken, the key is refused.
+            // A hash in two workspaces violates an invariant of the configuration. The key is
+            // refused so that it can't reach the wrong workspace.
             const bool isRepeated = !entry.workspace.empty();
             entry = { workspace, isRepeated ? key_state::Withdrawn : state };
         }
--- a/src/core/read_age.cpp
+++ b/src/core/read_age.cpp
@@ -26,7 +26,7 @@
 void addSample(read_age &ages, time_point askedAt, log_position position)
 {
     if (!ages.samples.empty() && askedAt <= ages.samples.back().time)
-        return; // an answer that came out of order adds nothing
+        return; // an answer out of order adds no information
     if (ages.samples.size() == maxReadAgeSamples)
         decimateOlderHalf(ages.samples);
     ages.samples.push_back({ askedAt, position });
--- a/src/core/session.cpp
+++ b/src/core/session.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Positions that a session must be able to read.
+/// @brief Read-your-writes state of a session.
 
 #include <fuchsiagw/core/session.hpp>
 
--- a/tests/unit-acknowledgement.cpp
+++ b/tests/unit-acknowledgement.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of acknowledgement and of the pending writes.
+/// @brief Tests of the acknowledgement policies and of pending writes.
 
 #include <fuchsiagw/core/acknowledgement.hpp>
 
@@ -39,7 +39,8 @@
     pending_writes pending;
 };
 
-// Guards against M2: members under another term, or fewer than a majority, must not count.
+// Guards against losing an acknowledged write: it must be held by a majority of the members, and a
+// member that has accepted another term must not count.
 TEST(acknowledgement, needsAMajorityUnderTheWritesTerm)
 {
     view.members[{ "a" }].last = { 2, 6 };
@@ -50,7 +51,8 @@
     CHECK_FALSE(isAcknowledged(view, { 2, 6 }));
 }
 
-// Guards against the acknowledgement of an old term's entry that a longer log may still replace.
+// Guards against acknowledging an entry of an earlier term that the log of a later primary could
+// still replace.
 TEST(acknowledgement, oldEntryNeedsAnEntryOfTheCurrentTermAboveIt)
 {
     for (const char *id : { "a", "b" })
@@ -61,7 +63,8 @@
     CHECK_TRUE(isAcknowledged(view, { 1, 4 }));
 }
 
-// Guards against the other policies acknowledging for a term that is known to have ended.
+// Guards against acknowledging a write of a term that is known to have ended, under the policies
+// that do not wait for a majority.
 TEST(acknowledgement, otherPoliciesNeedTheNewestTerm)
 {
     view.leaseUntil = now + 1s;
@@ -73,8 +76,8 @@
     CHECK_FALSE(mayAcknowledge(acknowledgement_policy::Lease, view, 2, { 2, 6 }, now + 1s));
 }
 
-// Guards against waits that grow with the number of pending writes, and against a lost one that
-// is never opened again.
+// Guards against a number of /wait requests that grows with the number of pending writes, against a
+// late answer that ends a newer request, and against a lost request that is never sent again.
 TEST(acknowledgement, opensOneWaitPerMemberWhateverIsPending)
 {
     for (std::uint64_t i = 0; i < 1000; ++i)
@@ -90,7 +93,7 @@
     UNSIGNED_LONGS_EQUAL(2, openWaits(pending, view, waits[0].deadline).size());
 }
 
-// Guards against writes that are never answered or answered twice.
+// Guards against writes that are never resolved or resolved twice.
 TEST(acknowledgement, resolvesEachWriteOnce)
 {
     addPendingWrite(pending, { 1, 2, { 2, 5 }, now, now + 1s });
--- a/tests/unit-error-kind.cpp
+++ b/tests/unit-error-kind.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the table from error kind to answer and of the identifiers.
+/// @brief Tests of the error table, request ids, log positions and switches.
 
 #include <fuchsiagw/core/configuration.hpp>
 #include <fuchsiagw/core/error_kind.hpp>
@@ -15,7 +15,7 @@
 
 TEST_GROUP(error_kind){};
 
-// Guards against two errors that callers can't tell apart.
+// Guards against two errors with the same number or name, which callers could not distinguish.
 TEST(error_kind, numbersAndNamesAreUnique)
 {
     std::set<int> numbers;
@@ -29,7 +29,8 @@
     }
 }
 
-// Guards against advice that would repeat a request which may already have run.
+// Guards against advising an unconditional retry of a statement that may already have run. A caller
+// that follows the advice could run it twice.
 TEST(error_kind, unknownOutcomeNeverAdvisesAPlainRetryOfAStatement)
 {
     for (std::size_t i = 0; i < errorAnswerCount(); ++i) {
@@ -40,6 +41,8 @@
     }
 }
 
+// Guards against losing the error kind in a std::error_code, and against reading a code of another
+// category as a kind.
 TEST(error_kind, roundTripsThroughErrorCode)
 {
     const std::error_code code = error_kind::RateLimited;
@@ -49,6 +52,7 @@
 
 TEST_GROUP(request_id){};
 
+// Guards against a request id that differs after it was written as text and parsed.
 TEST(request_id, textFormRoundTrips)
 {
     const request_id id{ 0x0123456789abcdefULL, 0xfedcba9876543210ULL };
@@ -57,7 +61,7 @@
     CHECK_TRUE(parsed == id);
 }
 
-// Guards against a foreign id that is taken for a valid one after partial parsing.
+// Guards against accepting a malformed id after parsing only a part of it.
 TEST(request_id, refusesAnythingElse)
 {
     request_id parsed{ 1, 2 };
@@ -70,7 +74,8 @@
 
 TEST_GROUP(log_position){};
 
-// Guards against comparing indexes across terms, which would lose writes at a promotion.
+// Guards against comparing the indexes of different terms, which could lose writes at a promotion:
+// a log of an earlier term may be longer.
 TEST(log_position, termComesBeforeIndex)
 {
     CHECK_TRUE((log_position{ 2, 90 } > log_position{ 1, 100 }));
@@ -79,6 +84,7 @@
 
 TEST_GROUP(switches){};
 
+// Guards against an automatic action that stays on although the switch for all actions is off.
 TEST(switches, masterSwitchTurnsEveryActionOff)
 {
     configuration config;
--- a/tests/unit-fair-queue.cpp
+++ b/tests/unit-fair-queue.cpp
@@ -33,7 +33,7 @@
     }
 };
 
-// Guards against a workspace that delays others by sending many statements.
+// Guards against one workspace that delays all others by queueing many statements.
 TEST(fair_queue, manyStatementsOfOneWorkspaceDoNotDelayOthers)
 {
     for (int i = 0; i < 50; ++i)
@@ -44,7 +44,7 @@
     STRCMP_EQUAL("fabfaff", drain(7).c_str());
 }
 
-// Guards against weights that are ignored.
+// Guards against ignoring the weights of workspaces.
 TEST(fair_queue, servesByWeight)
 {
     for (int i = 0; i < 20; ++i) {
@@ -54,8 +54,8 @@
     STRCMP_EQUAL("hhhlhhhl", drain(8).c_str());
 }
 
-// Guards against a session that starves the others of its workspace, and against an open
-// transaction that holds locks while it waits.
+// Guards against a session that starves the other sessions of its workspace, and against open
+// transactions that hold locks while their statements wait behind others.
 TEST(fair_queue, rotatesSessionsAfterOpenTransactions)
 {
     for (int i = 0; i < 3; ++i)
@@ -68,7 +68,7 @@
     STRCMP_EQUAL("51423", handles.c_str());
 }
 
-// Guards against a full queue that refuses a small workspace for the flood of another.
+// Guards against refusing a workspace with few statements because another one filled the queue.
 TEST(fair_queue, fullQueueRefusesTheNewestOfTheLongestFlow)
 {
     queue.bound = 10;
@@ -85,7 +85,7 @@
     LONGS_EQUAL(10, queue.length);
 }
 
-// Guards against lost or doubled statements and broken counts under random use.
+// Guards against lost or duplicated statements and wrong counts after random operations.
 TEST(fair_queue, lengthMatchesUnderRandomOperations)
 {
     queue.bound = 40;
@@ -115,7 +115,8 @@
 
 TEST_GROUP(early_refusal){};
 
-// Guards against a small workspace that is refused because of another's queue.
+// Guards against refusing a statement because of the queued statements of another workspace, which
+// do not delay it in a fair queue.
 TEST(early_refusal, dependsOnTheWorkspacesOwnQueueWait)
 {
     fair_queue queue;
--- a/tests/unit-key-check.cpp
+++ b/tests/unit-key-check.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the decision on a caller's key.
+/// @brief Tests of the check of a caller's API key.
 
 #include <fuchsiagw/core/key_check.hpp>
 
@@ -38,6 +38,8 @@
 
 TEST_GROUP(key_check){};
 
+// Guards against a key that is accepted for the wrong workspace, and against accepting a withdrawn,
+// retired or unknown key.
 TEST(key_check, findsTheWorkspaceFromTheKey)
 {
     const key_index index = indexKeys(exampleConfiguration());
@@ -50,8 +52,8 @@
     CHECK_TRUE(checkKey(index, otherHash, proof, start).error == error_kind::KeyUnknown);
 }
 
-// Guards against a cut instance that goes on accepting a key withdrawn elsewhere (M6), and
-// against "unknown" for a key that may have been issued since.
+// Guards against an isolated instance that still accepts a key which was withdrawn in the meantime,
+// and against its reporting a key as unknown which may have been issued in the meantime.
 TEST(key_check, refusesWithoutAProof)
 {
     const key_index index = indexKeys(exampleConfiguration());
@@ -64,7 +66,7 @@
     CHECK_TRUE(checkKey({}, validHash, freshness{}, start).error == error_kind::KeyUnproven);
 }
 
-// Guards against one key hash that gives entry to two workspaces.
+// Guards against accepting a key whose hash is configured for two workspaces.
 TEST(key_check, repeatedHashIsRefused)
 {
     configuration config = exampleConfiguration();
--- a/tests/unit-read-age.cpp
+++ b/tests/unit-read-age.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the upper bound on a replica's age.
+/// @brief Tests of the upper bound on the age of a replica's data.
 
 #include <fuchsiagw/core/read_age.hpp>
 
@@ -13,7 +13,8 @@
 
 TEST_GROUP(read_age){};
 
-// Guards against an age that is too low: the true age is known here and never exceeds the bound.
+// Guards against a computed age below the true age, which would let a replica serve reads that
+// are too old. The test knows the true age and compares it with the bound after random events.
 TEST(read_age, neverUnderestimates)
 {
     std::mt19937_64 random(7);
@@ -31,14 +32,15 @@
         CHECK_TRUE(ages.samples.size() <= maxReadAgeSamples);
         const auto &[ignored, applied] = writes[random() % writes.size()];
         const auto age = ageOf(ages, { 1, applied }, now);
-        // Data up to `applied` became old when the next write was made.
+        // The data up to `applied` is current until the next write.
         const bool isNewest = applied == writes.back().second;
         const duration trueAge = isNewest ? duration::zero() : now - writes[applied].first;
         CHECK_TRUE(!age || *age >= trueAge);
     }
 }
 
-// Guards against samples of a deposed primary, which would make every replica look young.
+// Guards against using samples from a deposed primary, whose log no longer grows: stale replicas
+// would appear current.
 TEST(read_age, usesOnlyConfirmedSamples)
 {
     read_age ages;
@@ -53,7 +55,8 @@
     CHECK_TRUE(ageOf(ages, { 1, 5 }, start + 2s) == duration(2s));
 }
 
-// Guards against an age that stands still without contact with the primary.
+// Guards against an age that does not grow while the primary is unreachable, and against an age for
+// data that is older than all samples.
 TEST(read_age, growsWithoutContactAndIsUnknownBelowAllSamples)
 {
     read_age ages;
--- a/tests/unit-session.cpp
+++ b/tests/unit-session.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the positions of a session.
+/// @brief Tests of the positions that a session stores.
 
 #include <fuchsiagw/core/session.hpp>
 
@@ -26,7 +26,8 @@
 
 TEST_GROUP(session){};
 
-// Guards against a late answer that takes a session back behind its newest write.
+// Guards against lowering a session's position when the answer to an earlier write arrives late: a
+// read could then miss the newer write.
 TEST(session, positionsOnlyIncrease)
 {
     session state = sessionOf(0, 1);
@@ -36,7 +37,8 @@
     CHECK_TRUE((minPosition(state, groupOf(1)) == log_position{}));
 }
 
-// Guards against a read that misses a write whose group was dropped from a full session.
+// Guards against a replica serving a read without the session's write, after the write's group was
+// dropped from a session with too many groups.
 TEST(session, droppedGroupNeedsThePrimary)
 {
     session state = sessionOf(0, maxSessionGroups + 1);
@@ -46,7 +48,8 @@
     CHECK_TRUE(minPosition(state, groupOf(1)).has_value());
 }
 
-// Guards against a merge in which a known older position stands for a dropped newer one.
+// Guards against a merge that uses the older position of one session although the newer position
+// was dropped from the other.
 TEST(session, mergeIsNeverWeakerThanEitherSide)
 {
     const session full = sessionOf(0, maxSessionGroups + 1);
