--- a/include/fuchsiagw/core/acknowledgement.hpp
+++ b/include/fuchsiagw/core/acknowledgement.hpp
@@ -61,7 +61,7 @@
     std::uint64_t number = 0; ///< chosen by the caller to identify the write
     term_number term = 0;
     log_position position;
-    time_point since; ///< when the primary's answer arrived
+    time_point answeredAt; ///< when the primary's answer arrived
     time_point deadline = noDeadline;
 };
 
@@ -112,9 +112,10 @@
 /// @complexity amortized constant
 void addPendingWrite(pending_writes &pending, const pending_write &write);
 
-/// @brief Determines the `/wait` requests to send now: one to each member that is not known to hold
-/// all pending writes and at which none is open. Their number is bounded by the number of members
-/// and independent of the number of pending writes.
+/// @brief Determines the `/wait` requests to send now: one to each member under the highest term
+/// that lacks a pending write of this term and at which no request is open. The request waits for
+/// the oldest such write. The number of requests depends on the members and not on the number of
+/// pending writes.
 /// @complexity O(m log m + w) for m members and w writes
 [[nodiscard]] std::vector<wait_request> openWaits(pending_writes &pending, const group_view &view,
                                                   time_point now);
--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -39,7 +39,7 @@
     zone_name zone;
     std::string address;
     bool isLive = false; ///< neither leaving nor gone
-    time_point avoidUntil{}; ///< no statement is forwarded to it before this time
+    time_point avoidUntil{}; ///< not selected as owner before this time, after a failed forward
 };
 
 /// An unanswered statement, received from a caller or forwarded by another instance.
@@ -134,7 +134,7 @@
 template <typename function>
 void withOwner(gateway_turn &turn, const group_id &group, function &&step);
 
-/// @brief Runs all timers that are due: ownership checks, retries, limits and deadlines.
+/// @brief Runs the timers that are due: ownership checks, owners, retries, limits and deadlines.
 void advance(gateway_turn &turn);
 
 /// @return the latest time at which advance() must be called again
--- a/include/fuchsiagw/core/read_age.hpp
+++ b/include/fuchsiagw/core/read_age.hpp
@@ -15,10 +15,10 @@
 /// Maximum number of samples for a group. A sample has 24 bytes.
 inline constexpr std::size_t maxReadAgeSamples = 256;
 
-/// States that the primary's log ended at `position` at some time not before `time`.
+/// States that the primary's log ended at `position` at some time not before `askedAt`.
 struct primary_sample
 {
-    time_point time; ///< when the request to the primary was sent
+    time_point askedAt; ///< when the request to the primary was sent
     log_position position;
 };
 
--- a/include/fuchsiagw/core/routing.hpp
+++ b/include/fuchsiagw/core/routing.hpp
@@ -17,7 +17,7 @@
 
 /// Why a member was chosen, or why no member was.
 enum class route_reason : std::uint8_t {
-    PrimaryRequired, ///< a write, a begin, or a read that accepts no age
+    PrimaryRequired, ///< a write, a begin, or a read that only the primary may serve
     SessionUnusable, ///< the session's token can't be used
     NoReplicaFits, ///< the primary; replicas may serve the read, but none is eligible
     OwnZone, ///< a replica in the owner's zone
--- a/include/fuchsiagw/core/session.hpp
+++ b/include/fuchsiagw/core/session.hpp
@@ -28,8 +28,7 @@
 {
     workspace_id workspace;
     std::vector<session_entry> entries; ///< least recently written first
-    bool isPartial =
-            false; ///< entries were dropped; the position of a group without one is unknown
+    bool isPartial = false; ///< entries were dropped, so groups without entry are unknown
 
     friend bool operator==(const session &, const session &) = default;
 };
--- a/src/core/acknowledgement.cpp
+++ b/src/core/acknowledgement.cpp
@@ -121,7 +121,7 @@
             return false;
         resolved.push_back({ each.number, *outcome, each.position });
         if (*outcome == write_outcome::Acknowledged) {
-            updateConfirmDelay(pending, now - each.since, now);
+            updateConfirmDelay(pending, now - each.answeredAt, now);
             view.highestAcknowledged = std::max(view.highestAcknowledged, each.position);
         }
         return true;
@@ -142,7 +142,7 @@
     time_point oldest = noDeadline;
     for (const pending_write &each : pending.writes) {
         if (each.term == term)
-            oldest = std::min(oldest, each.since);
+            oldest = std::min(oldest, each.answeredAt);
     }
     return oldest;
 }
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// How long no statement is forwarded to an instance after a forward to it failed.
+/// How long an instance is not selected as owner after a forward to it failed.
 constexpr duration forwardAvoidInterval = std::chrono::seconds(1);
 
 /// Interval at which group ownership is computed again. A change of the configuration or of the
@@ -250,8 +250,8 @@
         forwardTo(turn, handle, ranked.front());
 }
 
-/// Returns the rank of this zone's owner among the owners of all zones. Instances that know
-/// different zones may compute equal ranks.
+/// Returns the rank of this zone among the zones of all known instances, which the failover uses as
+/// the rank of the zone's owner. Instances that know different zones may compute equal ranks.
 std::uint8_t ownerRank(const gateway &state)
 {
     std::set<zone_name> zones{ state.zone };
--- a/src/core/read_age.cpp
+++ b/src/core/read_age.cpp
@@ -25,7 +25,7 @@
 
 void addSample(read_age &ages, time_point askedAt, log_position position)
 {
-    if (!ages.samples.empty() && askedAt <= ages.samples.back().time)
+    if (!ages.samples.empty() && askedAt <= ages.samples.back().askedAt)
         return; // an answer out of order adds no information
     if (ages.samples.size() == maxReadAgeSamples)
         decimateOlderHalf(ages.samples);
@@ -40,19 +40,20 @@
 
 void dropUnconfirmed(read_age &ages)
 {
-    std::erase_if(ages.samples,
-                  [&ages](const primary_sample &each) { return each.time > ages.confirmedUntil; });
+    std::erase_if(ages.samples, [&ages](const primary_sample &each) {
+        return each.askedAt > ages.confirmedUntil;
+    });
 }
 
 std::optional<duration> ageOf(const read_age &ages, log_position applied, time_point now)
 {
     const auto found = std::find_if(
             ages.samples.rbegin(), ages.samples.rend(), [&](const primary_sample &each) {
-                return each.time <= ages.confirmedUntil && each.position <= applied;
+                return each.askedAt <= ages.confirmedUntil && each.position <= applied;
             });
     if (found == ages.samples.rend())
         return std::nullopt;
-    return now - found->time;
+    return now - found->askedAt;
 }
 
 void recordRead(read_interest &interest, duration maxAge, time_point now)
--- a/tests/unit-acknowledgement.cpp
+++ b/tests/unit-acknowledgement.cpp
@@ -78,7 +78,7 @@
 
 // Guards against a number of /wait requests that grows with the number of pending writes, against a
 // late answer that ends a newer request, and against a lost request that is never sent again.
-TEST(acknowledgement, opensOneWaitPerMemberWhateverIsPending)
+TEST(acknowledgement, opensAtMostOneWaitPerMember)
 {
     for (std::uint64_t i = 0; i < 1000; ++i)
         addPendingWrite(pending, { i, 2, { 2, 6 + i }, now, now + 1s });
--- a/tests/unit-exchange.cpp
+++ b/tests/unit-exchange.cpp
@@ -91,7 +91,7 @@
 }
 
 // Guards against reporting `not_run` at the deadline for a statement that was sent and not refused.
-TEST(exchange, deadlineIsNotRunOnlyIfNothingWasSent)
+TEST(exchange, deadlineReportsNotRunOnlyIfNothingWasSent)
 {
     for (const auto kind : { statement_kind::Read, statement_kind::Write, statement_kind::Begin,
                              statement_kind::Commit, statement_kind::Rollback }) {
@@ -173,7 +173,7 @@
 
 // Guards against returning a read that misses the session's own writes because the replica had not
 // applied them yet.
-TEST(exchange, readThatIsBehindAsksThePrimary)
+TEST(exchange, staleReadIsSentToThePrimary)
 {
     exchange current = make(statement_kind::Read);
     send(current);
--- a/tests/unit-gateway-forward.cpp
+++ b/tests/unit-gateway-forward.cpp
@@ -29,7 +29,7 @@
 // Guards against answering `not_run` when the first forward may have run and only the second one
 // was refused. The caller would then send the write again under another idempotency key, and it
 // could run twice.
-TEST(gateway_forward, refusalAfterALostAnswerIsUnknown)
+TEST(gateway_forward, refusalAfterUnansweredForwardReportsUnknownOutcome)
 {
     const time_point start{ 100s };
     random_engine random(1);
--- a/tests/unit-routing.cpp
+++ b/tests/unit-routing.cpp
@@ -60,9 +60,9 @@
     }
 };
 
-// Guards against stale reads and lost writes: writes, transactions and reads that accept no age or
-// whose session is unusable must never be sent to a replica.
-TEST(routing, onlyReadsThatAcceptAnAgeUseReplicas)
+// Guards against stale reads and lost writes: writes, begins, reads without a maximum age and reads
+// with an unusable session must never be sent to a replica.
+TEST(routing, onlyReadsWithAMaximumAgeUseReplicas)
 {
     expect("b", route_reason::OwnZone);
     request.isSessionUnusable = true;
