--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Admission of callers' statements and the way to the owner of their group.
+/// @brief Authentication and admission of callers' statements and their dispatch to the owner of
+/// the group.
 
 #include <fuchsiagw/core/gateway.hpp>
 
@@ -12,25 +13,26 @@
 
 namespace {
 
-/// How long an instance is passed over after a forward to it failed.
-constexpr duration avoidFor = std::chrono::seconds(1);
+/// How long an instance is not selected as owner after a forward to it failed.
+constexpr duration forwardAvoidInterval = std::chrono::seconds(1);
 
-/// How often the owners are chosen anew; a change of configuration or peers does it at once.
-constexpr duration ownerCheckEvery = std::chrono::milliseconds(500);
+/// Interval at which group ownership is computed again. A change of the configuration or of the
+/// live peers triggers it immediately.
+constexpr duration ownerCheckInterval = std::chrono::milliseconds(500);
 
-/// Pause before a statement that no instance of the zone could take is dispatched again.
-constexpr duration forwardPause = std::chrono::milliseconds(25);
+/// Delay before a statement is dispatched again because its group has no usable owner in this zone.
+constexpr duration forwardRetryDelay = std::chrono::milliseconds(25);
 
-/// The upper half of a transaction's number tells its group.
-constexpr unsigned groupShift = 32;
+/// The upper 32 bits of a transaction number are a hash of its group's name.
+constexpr unsigned groupPrefixShift = 32;
 
-std::uint64_t groupBits(const group_id &group)
+std::uint64_t groupPrefix(const group_id &group)
 {
-    return stableHash(group.value) >> groupShift << groupShift;
+    return stableHash(group.value) >> groupPrefixShift << groupPrefixShift;
 }
 
-/// What is true of a forwarded statement whose answer will never come.
-error_kind lostForward(const statement_request &request)
+/// Returns the error for a forwarded statement that may have run and whose answer is lost.
+error_kind lostForwardError(const statement_request &request)
 {
     if (request.transaction && request.kind != statement_kind::Commit)
         return error_kind::TransactionLost;
@@ -47,10 +49,10 @@
     state.entries.erase(found);
     state.deadlines.erase({ entry.request.deadline, handle });
     answer.id = entry.request.id;
-    // What a later attempt says is not true of an earlier one whose answer never came.
+    // A refusal of a later attempt does not apply to an earlier, unanswered one: it may have run.
     if (answer.error && entry.mayHaveRun
         && answerOf(*answer.error).outcome == request_outcome::NotRun)
-        answer.error = lostForward(entry.request);
+        answer.error = lostForwardError(entry.request);
     if (entry.from) {
         turn.actions.emplace_back(forward_result{ *entry.from, entry.ticket, entry.request.group,
                                                   std::move(answer) });
@@ -58,10 +60,11 @@
     }
     if (!answer.error && answer.position != log_position{})
         recordWrite(entry.known, entry.request.group, answer.position);
-    // The primary that served a read without usable session had every write acknowledged before.
-    const bool isProvenRead =
+    // Without a usable session only the primary serves the read. Its position covers every write
+    // that was acknowledged before, so it becomes the session's position.
+    const bool isReadWithoutSession =
             entry.request.isSessionUnusable && entry.request.kind == statement_kind::Read;
-    if (!answer.error && isProvenRead && !answer.fromReplica)
+    if (!answer.error && isReadWithoutSession && !answer.fromReplica)
         recordWrite(entry.known, entry.request.group, answer.applied);
     turn.actions.emplace_back(caller_reply{ entry.ticket, entry.request.workspace,
                                             entry.request.group, entry.request.kind,
@@ -75,7 +78,7 @@
     finish(turn, handle, std::move(answer));
 }
 
-/// Refuses a request that has not become an entry.
+/// Refuses a request for which no entry was created.
 void refuse(gateway_turn &turn, const caller_request &request, const workspace_id &workspace,
             error_kind error)
 {
@@ -101,18 +104,20 @@
     return found->second.maxAge;
 }
 
-/// Finds the group of a transaction's statement, which names only the transaction.
+/// Finds the group of a transaction. Statements of a transaction carry only the transaction id.
 std::optional<group_id> groupOf(const workspace_settings &workspace,
                                 const transaction_id &transaction)
 {
     const auto found = std::find_if(
             workspace.groups.begin(), workspace.groups.end(), [&](const group_id &each) {
-                return groupBits(each) == transaction.number >> groupShift << groupShift;
+                return groupPrefix(each)
+                       == transaction.number >> groupPrefixShift << groupPrefixShift;
             });
     return found == workspace.groups.end() ? std::nullopt : std::optional(*found);
 }
 
-/// Checks the request against the workspace; sets its group if it belongs to a transaction.
+/// Checks that the workspace has the request's group and read class. Sets the group of a request
+/// that belongs to a transaction.
 std::optional<error_kind> checkScope(const workspace_settings &workspace,
                                      statement_request &request)
 {
@@ -130,13 +135,14 @@
     return std::nullopt;
 }
 
-/// The end of a transaction is not limited: refusing it would only hold its connection longer.
-bool costsToken(statement_kind kind)
+/// Commit and rollback are not rate limited: refusing one would only keep its connection reserved
+/// for longer.
+bool consumesToken(statement_kind kind)
 {
     return kind != statement_kind::Commit && kind != statement_kind::Rollback;
 }
 
-void setSession(statement_request &statement, const caller_request &request)
+void setReadRequirement(statement_request &statement, const caller_request &request)
 {
     std::optional<log_position> position = log_position{};
     if (request.known)
@@ -154,7 +160,7 @@
     return handle;
 }
 
-group_owner &ownerOf(gateway &state, const group_id &group)
+group_owner &findOrCreateOwner(gateway &state, const group_id &group)
 {
     const auto [entry, isNew] = state.owners.try_emplace(group);
     group_owner &owner = entry->second;
@@ -165,17 +171,17 @@
         owner.limits = state.limits;
         owner.policy = state.policy;
         owner.queue.bound = state.queueCapacity;
-        owner.nextTransaction = groupBits(group) + 1;
+        owner.nextTransaction = groupPrefix(group) + 1;
         applySettings(owner.view, group, state.config.groups.at(group));
     }
     return owner;
 }
 
-void submitHere(gateway_turn &turn, std::uint64_t handle)
+void submitLocally(gateway_turn &turn, std::uint64_t handle)
 {
     gateway &state = turn.state;
     const entry_statement &entry = state.entries.at(handle);
-    // A copy: the entry ends within passOn() if the owner answers at once.
+    // Copied because applyActions() erases the entry if the owner answers immediately.
     const group_id group = entry.request.group;
     if (state.config.groups.count(entry.request.group) == 0) {
         fail(turn, handle, error_kind::GroupUnknown);
@@ -185,18 +191,19 @@
     statement.request = entry.request;
     statement.maxAge = maxAgeOf(state.config, entry.request);
     statement.session = entry.ticket;
-    group_owner &owner = ownerOf(state, entry.request.group);
-    // An owner without connections queues the statement, so that its demand brings a loan.
+    group_owner &owner = findOrCreateOwner(state, entry.request.group);
+    // The zone's owner of the group queues statements even without connections, so that the
+    // reported demand brings a loan of connections. Any other instance passes the statement on.
     if (owner.pool.limit == 0 && !owner.isMonitoringMembers) {
         if (entry.from)
             fail(turn, handle, error_kind::PeerUnreachable);
         else
-            state.retries.emplace(turn.now + forwardPause, handle);
+            state.retries.emplace(turn.now + forwardRetryDelay, handle);
         return;
     }
     owner_actions actions;
     submit(owner, handle, std::move(statement), turn.now, turn.random, actions);
-    passOn(turn, group, std::move(actions));
+    applyActions(turn, group, std::move(actions));
 }
 
 void forwardTo(gateway_turn &turn, std::uint64_t handle, const instance_id &to)
@@ -209,7 +216,7 @@
 void dispatchTransaction(gateway_turn &turn, std::uint64_t handle, incarnation_id owner)
 {
     if (turn.state.ownIncarnations.count(owner) != 0) {
-        submitHere(turn, handle);
+        submitLocally(turn, handle);
         return;
     }
     for (const auto &[instance, peer] : turn.state.peers) {
@@ -219,7 +226,7 @@
         }
     }
     const bool isCommit = turn.state.entries.at(handle).request.kind == statement_kind::Commit;
-    // A commit that was never sent can't have happened: the transaction is rolled back.
+    // A commit that was never sent can't have run, so the transaction was rolled back.
     const bool isUnknown = isCommit && turn.state.entries.at(handle).mayHaveRun;
     fail(turn, handle, isUnknown ? error_kind::OutcomeUnknown : error_kind::TransactionLost);
 }
@@ -233,17 +240,18 @@
         return;
     }
     if (entry.from) {
-        submitHere(turn, handle);
+        submitLocally(turn, handle);
         return;
     }
     const std::vector<instance_id> ranked = rankOwners(state, entry.request.group, turn.now);
     if (ranked.empty() || ranked.front() == state.instance)
-        submitHere(turn, handle);
+        submitLocally(turn, handle);
     else
         forwardTo(turn, handle, ranked.front());
 }
 
-/// Rank of this zone's owner among the owners of all zones; only two that differ may not matter.
+/// Returns the rank of this zone among the zones of all known instances, which the failover uses as
+/// the rank of the zone's owner. Instances that know different zones may compute equal ranks.
 std::uint8_t ownerRank(const gateway &state)
 {
     std::set<zone_name> zones{ state.zone };
@@ -253,8 +261,8 @@
     return static_cast<std::uint8_t>(rank % (1 << rankBits));
 }
 
-/// Watches the groups that this instance owns in its zone, and no others.
-void chooseOwners(gateway_turn &turn)
+/// Starts watching the groups that this instance owns in its zone and stops watching all others.
+void updateGroupOwnership(gateway_turn &turn)
 {
     gateway &state = turn.state;
     std::set<group_id> owned;
@@ -265,7 +273,7 @@
             continue;
         if (isOwner)
             owned.insert(group);
-        group_owner &owner = ownerOf(state, group);
+        group_owner &owner = findOrCreateOwner(state, group);
         owner.isMonitoringMembers = isOwner;
         owner.failover.rank = ownerRank(state);
         owner.failover.policy = state.policy;
@@ -277,7 +285,7 @@
     });
 }
 
-void dispatchAgain(gateway_turn &turn)
+void dispatchDueRetries(gateway_turn &turn)
 {
     auto &retries = turn.state.retries;
     std::vector<std::uint64_t> due;
@@ -291,7 +299,7 @@
     }
 }
 
-/// Takes a token of the workspace, or waits for one.
+/// Takes a rate limit token of the workspace, or marks the entry as waiting for one.
 void admit(gateway_turn &turn, std::uint64_t handle)
 {
     entry_statement &entry = turn.state.entries.at(handle);
@@ -299,7 +307,7 @@
     limit_manager_actions actions;
     result = admitStatement(turn.state.keeper, entry.request.workspace, handle, turn.now, actions);
     entry.isWaiting = result == admission::Wait;
-    passOn(turn, std::move(actions));
+    applyActions(turn, std::move(actions));
     if (result == admission::Granted)
         dispatch(turn, handle);
     else if (result == admission::Refused)
@@ -318,11 +326,11 @@
         fail(turn, outcome.ticket, error_kind::RateLimited);
 }
 
-void limitConnections(gateway_turn &turn, const group_id &group, std::uint32_t limit)
+void applyConnectionLimit(gateway_turn &turn, const group_id &group, std::uint32_t limit)
 {
     owner_actions actions;
-    setConnectionLimit(ownerOf(turn.state, group), limit, turn.now, turn.random, actions);
-    passOn(turn, group, std::move(actions));
+    setConnectionLimit(findOrCreateOwner(turn.state, group), limit, turn.now, turn.random, actions);
+    applyActions(turn, group, std::move(actions));
 }
 
 void reportDemand(gateway &state, const group_owner &owner, time_point now)
@@ -336,8 +344,9 @@
                    static_cast<std::uint32_t>(waiting), now, static_cast<std::uint32_t>(idle));
 }
 
-/// A process that was paused for too long has lost its shares to the others. It joins anew.
-void startAnew(gateway_turn &turn)
+/// Replaces the expired incarnation of this process by a new one. A process that was paused for
+/// too long has lost its shares of the limits to other instances and has to join again.
+void restartWithNewIncarnation(gateway_turn &turn)
 {
     gateway &state = turn.state;
     state.incarnation = turn.random();
@@ -351,12 +360,12 @@
     for (auto &[group, owner] : state.owners) {
         owner_actions actions;
         setConnectionLimit(owner, 0, turn.now, turn.random, actions);
-        passOn(turn, group, std::move(actions));
+        applyActions(turn, group, std::move(actions));
     }
     state.nextOwnerCheckAt = turn.now;
 }
 
-bool mayRepeat(const statement_request &request)
+bool isSafeToRetry(const statement_request &request)
 {
     if (request.transaction)
         return false;
@@ -411,9 +420,9 @@
     entry_statement entry;
     entry.ticket = request.ticket;
     entry.request = request.statement;
-    setSession(entry.request, request);
+    setReadRequirement(entry.request, request);
     entry.known = request.known.value_or(session{ key.workspace, {}, request.hasSessionToken });
-    const bool isLimited = costsToken(entry.request.kind);
+    const bool isLimited = consumesToken(entry.request.kind);
     const std::uint64_t handle = insertEntry(state, std::move(entry));
     if (isLimited)
         admit(turn, handle);
@@ -452,15 +461,16 @@
     entry_statement &entry = found->second;
     const auto peer = turn.state.peers.find(*entry.forwardedTo);
     if (peer != turn.state.peers.end())
-        peer->second.avoidUntil = turn.now + avoidFor;
+        peer->second.avoidUntil = turn.now + forwardAvoidInterval;
     entry.forwardedTo.reset();
     entry.mayHaveRun |= wasWritten;
-    // What was never sent can't commit, so the transaction of an owner that is gone is rolled back.
+    // A statement that was never sent can't commit. If the owner is gone, its connection is closed
+    // and the transaction rolled back.
     const bool isGone = peer == turn.state.peers.end() || !peer->second.isLive;
     if (entry.request.transaction && !wasWritten)
         fail(turn, handle, isGone ? error_kind::TransactionLost : error_kind::PeerUnreachable);
-    else if (wasWritten && !mayRepeat(entry.request))
-        fail(turn, handle, lostForward(entry.request));
+    else if (wasWritten && !isSafeToRetry(entry.request))
+        fail(turn, handle, lostForwardError(entry.request));
     else
         dispatch(turn, handle);
 }
@@ -469,21 +479,22 @@
 {
     gateway &state = turn.state;
     if (turn.now >= state.nextOwnerCheckAt) {
-        state.nextOwnerCheckAt = turn.now + ownerCheckEvery;
-        chooseOwners(turn);
+        state.nextOwnerCheckAt = turn.now + ownerCheckInterval;
+        updateGroupOwnership(turn);
     }
     for (auto &[group, owner] : state.owners) {
         owner_actions actions;
         advance(owner, turn.now, turn.random, actions);
-        passOn(turn, group, std::move(actions));
+        applyActions(turn, group, std::move(actions));
     }
-    dispatchAgain(turn);
+    dispatchDueRetries(turn);
     withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
         tickLimitManager(keeper, turn.now, turn.random, actions);
         if (state.isDraining && state.entries.empty() && !keeper.isLeaving)
             startLeaving(keeper, turn.now, turn.random, actions);
     });
-    // An owner answers at the deadline itself; only what was forwarded or not admitted is left.
+    // An owner answers its statements at the deadline. After the margin only entries remain that
+    // were forwarded, wait for a token or wait to be dispatched again.
     constexpr duration answerMargin = std::chrono::milliseconds(50);
     while (!state.deadlines.empty() && state.deadlines.begin()->first + answerMargin <= turn.now) {
         const std::uint64_t handle = state.deadlines.begin()->second;
@@ -491,7 +502,7 @@
         if (entry.isWaiting)
             abandonStatement(state.keeper, entry.request.workspace, handle);
         const error_kind lost = entry.mayHaveRun || entry.forwardedTo
-                                        ? lostForward(entry.request)
+                                        ? lostForwardError(entry.request)
                                         : error_kind::DeadlineExceeded;
         fail(turn, handle, entry.isWaiting ? error_kind::RateLimited : lost);
     }
@@ -567,7 +578,7 @@
                           [](const auto &each) { return isDrained(each.second); });
 }
 
-void passOn(gateway_turn &turn, const group_id &group, owner_actions &&actions)
+void applyActions(gateway_turn &turn, const group_id &group, owner_actions &&actions)
 {
     for (owner_action &each : actions) {
         if (auto *done = std::get_if<statement_done>(&each))
@@ -580,20 +591,20 @@
         reportDemand(turn.state, owner->second, turn.now);
 }
 
-void passOn(gateway_turn &turn, limit_manager_actions &&actions)
+void applyActions(gateway_turn &turn, limit_manager_actions &&actions)
 {
     for (limit_manager_action &each : actions) {
         if (const auto *admitted = std::get_if<admission_outcome>(&each)) {
             onAdmitted(turn, *admitted);
         } else if (const auto *limit = std::get_if<connection_limit_change>(&each)) {
             if (turn.state.config.groups.count(limit->group) != 0)
-                limitConnections(turn, limit->group, limit->limit);
+                applyConnectionLimit(turn, limit->group, limit->limit);
         } else if (auto *message = std::get_if<limit_message>(&each)) {
             turn.actions.emplace_back(std::move(*message));
         } else if (auto *call = std::get_if<limit_platform_call>(&each)) {
             turn.actions.emplace_back(std::move(*call));
         } else {
-            startAnew(turn);
+            restartWithNewIncarnation(turn);
         }
     }
 }
--- a/src/core/read_age.cpp
+++ b/src/core/read_age.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-void thinOut(std::vector<primary_sample> &samples)
+void decimateOlderHalf(std::vector<primary_sample> &samples)
 {
     const std::size_t half = samples.size() / 2;
     std::size_t kept = 0;
@@ -25,10 +25,10 @@
 
 void addSample(read_age &ages, time_point askedAt, log_position position)
 {
-    if (!ages.samples.empty() && askedAt <= ages.samples.back().time)
-        return; // an answer that came out of order adds nothing
+    if (!ages.samples.empty() && askedAt <= ages.samples.back().askedAt)
+        return; // an answer out of order adds no information
     if (ages.samples.size() == maxReadAgeSamples)
-        thinOut(ages.samples);
+        decimateOlderHalf(ages.samples);
     ages.samples.push_back({ askedAt, position });
     assert(ages.samples.size() <= maxReadAgeSamples);
 }
@@ -40,19 +40,20 @@
 
 void dropUnconfirmed(read_age &ages)
 {
-    std::erase_if(ages.samples,
-                  [&ages](const primary_sample &each) { return each.time > ages.confirmedUntil; });
+    std::erase_if(ages.samples, [&ages](const primary_sample &each) {
+        return each.askedAt > ages.confirmedUntil;
+    });
 }
 
 std::optional<duration> ageOf(const read_age &ages, log_position applied, time_point now)
 {
     const auto found = std::find_if(
             ages.samples.rbegin(), ages.samples.rend(), [&](const primary_sample &each) {
-                return each.time <= ages.confirmedUntil && each.position <= applied;
+                return each.askedAt <= ages.confirmedUntil && each.position <= applied;
             });
     if (found == ages.samples.rend())
         return std::nullopt;
-    return now - found->time;
+    return now - found->askedAt;
 }
 
 void recordRead(read_interest &interest, duration maxAge, time_point now)
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Where a statement goes, and whether the answer may be given to the caller.
+/// @brief Choice of the member that runs a statement, and check of its answer to a read.
 
 #include <fuchsiagw/core/routing.hpp>
 
@@ -11,20 +11,22 @@
 
 namespace {
 
-/// A replica that may serve the read, with what it is compared by.
+/// A replica that may serve the read, with its sort criteria.
 struct ranked_replica
 {
     std::size_t candidate = 0; ///< index in route_decision::candidates
     bool isFull = false;
     bool isOtherZone = false;
-    std::uint32_t load = 0; ///< work in flight; the slots are the same for all members
+    std::uint32_t load = 0; ///< statements in flight; all members have the same number of slots
     bool needsConnection = false;
-    std::uint64_t draw = 0;
+    std::uint64_t tieBreaker = 0;
 
     [[nodiscard]] auto key() const
     {
-        // Among full members a shorter queue saves more than the way to another zone costs.
-        return std::tuple(isFull, isFull ? load : 0, isOtherZone, load, needsConnection, draw);
+        // Among full members a shorter queue saves more time than the round trip to another zone
+        // costs.
+        return std::tuple(isFull, isFull ? load : 0, isOtherZone, load, needsConnection,
+                          tieBreaker);
     }
 };
 
@@ -34,7 +36,7 @@
            && !request.primaryOnly;
 }
 
-/// @return Chosen if nothing speaks against new work for the member
+/// @return Chosen if the member may receive new statements, else the reason against it
 rejection_reason checkMember(const member_view &member, time_point now)
 {
     if (member.leaving)
@@ -66,7 +68,7 @@
     return *age > *request.maxAge ? rejection_reason::TooOld : rejection_reason::Chosen;
 }
 
-/// @return why @p other comes after @p best
+/// @return why @p other ranks after @p best
 rejection_reason compareReplicas(const ranked_replica &best, const ranked_replica &other)
 {
     if (best.isFull != other.isFull)
@@ -86,7 +88,7 @@
                    random_engine &random, route_decision &decision)
 {
     std::vector<ranked_replica> allowed;
-    bool ownZoneIsAllowed = false;
+    bool isOwnZoneAllowed = false;
     for (const auto &[id, member] : view.members) {
         if (view.primary == id) {
             decision.candidates.push_back({ id, rejection_reason::IsPrimary });
@@ -102,8 +104,8 @@
         each.isOtherZone = member.zone != request.zone;
         each.load = member.inFlight;
         each.needsConnection = member.openConnections <= member.inFlight;
-        each.draw = random();
-        ownZoneIsAllowed = ownZoneIsAllowed || !each.isOtherZone;
+        each.tieBreaker = random();
+        isOwnZoneAllowed = isOwnZoneAllowed || !each.isOtherZone;
         allowed.push_back(each);
     }
     if (allowed.empty())
@@ -118,7 +120,7 @@
     decision.member = decision.candidates[best->candidate].member;
     decision.fromReplica = true;
     decision.reason = !best->isOtherZone ? route_reason::OwnZone
-                      : ownZoneIsAllowed ? route_reason::LessLoaded
+                      : isOwnZoneAllowed ? route_reason::LessLoaded
                                          : route_reason::OtherZone;
     return true;
 }
@@ -207,8 +209,8 @@
     if (!fromReplica)
         return answer_verdict::Accept;
     const std::optional<duration> age = ageOf(view.ages, answer.applied, now);
-    const bool isYoung = age && request.maxAge && *age <= *request.maxAge;
-    return isYoung ? answer_verdict::Accept : answer_verdict::AskPrimaryAge;
+    const bool isFreshEnough = age && request.maxAge && *age <= *request.maxAge;
+    return isFreshEnough ? answer_verdict::Accept : answer_verdict::AskPrimaryAge;
 }
 
 std::string describe(const route_decision &decision)
--- a/tests/unit-acknowledgement.cpp
+++ b/tests/unit-acknowledgement.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of acknowledgement and of the pending writes.
+/// @brief Tests of the acknowledgement policies and of pending writes.
 
 #include <fuchsiagw/core/acknowledgement.hpp>
 
@@ -28,7 +28,7 @@
 
 bool isAcknowledged(const group_view &view, log_position position)
 {
-    return acknowledgementOf(acknowledgement_policy::Majority, view, 2, position, now);
+    return mayAcknowledge(acknowledgement_policy::Majority, view, 2, position, now);
 }
 
 } // namespace
@@ -39,7 +39,8 @@
     pending_writes pending;
 };
 
-// Guards against M2: members under another term, or fewer than a majority, must not count.
+// Guards against losing an acknowledged write: it must be held by a majority of the members, and a
+// member that has accepted another term must not count.
 TEST(acknowledgement, needsAMajorityUnderTheWritesTerm)
 {
     view.members[{ "a" }].last = { 2, 6 };
@@ -50,7 +51,8 @@
     CHECK_FALSE(isAcknowledged(view, { 2, 6 }));
 }
 
-// Guards against the acknowledgement of an old term's entry that a longer log may still replace.
+// Guards against acknowledging an entry of an earlier term that the log of a later primary could
+// still replace.
 TEST(acknowledgement, oldEntryNeedsAnEntryOfTheCurrentTermAboveIt)
 {
     for (const char *id : { "a", "b" })
@@ -61,21 +63,22 @@
     CHECK_TRUE(isAcknowledged(view, { 1, 4 }));
 }
 
-// Guards against the other policies acknowledging for a term that is known to have ended.
+// Guards against acknowledging a write of a term that is known to have ended, under the policies
+// that do not wait for a majority.
 TEST(acknowledgement, otherPoliciesNeedTheNewestTerm)
 {
     view.leaseUntil = now + 1s;
     for (const auto policy :
          { acknowledgement_policy::Lease, acknowledgement_policy::KnownPosition }) {
-        CHECK_TRUE(acknowledgementOf(policy, view, 2, { 2, 6 }, now));
-        CHECK_FALSE(acknowledgementOf(policy, view, 1, { 1, 6 }, now));
+        CHECK_TRUE(mayAcknowledge(policy, view, 2, { 2, 6 }, now));
+        CHECK_FALSE(mayAcknowledge(policy, view, 1, { 1, 6 }, now));
     }
-    CHECK_FALSE(acknowledgementOf(acknowledgement_policy::Lease, view, 2, { 2, 6 }, now + 1s));
+    CHECK_FALSE(mayAcknowledge(acknowledgement_policy::Lease, view, 2, { 2, 6 }, now + 1s));
 }
 
-// Guards against waits that grow with the number of pending writes, and against a lost one that
-// is never opened again.
-TEST(acknowledgement, opensOneWaitPerMemberWhateverIsPending)
+// Guards against a number of /wait requests that grows with the number of pending writes, against a
+// late answer that ends a newer request, and against a lost request that is never sent again.
+TEST(acknowledgement, opensAtMostOneWaitPerMember)
 {
     for (std::uint64_t i = 0; i < 1000; ++i)
         addPendingWrite(pending, { i, 2, { 2, 6 + i }, now, now + 1s });
@@ -90,23 +93,23 @@
     UNSIGNED_LONGS_EQUAL(2, openWaits(pending, view, waits[0].deadline).size());
 }
 
-// Guards against writes that are never answered or answered twice.
-TEST(acknowledgement, settlesEachWriteOnce)
+// Guards against writes that are never resolved or resolved twice.
+TEST(acknowledgement, resolvesEachWriteOnce)
 {
     addPendingWrite(pending, { 1, 2, { 2, 5 }, now, now + 1s });
     addPendingWrite(pending, { 2, 2, { 2, 6 }, now, now + 1s });
     addPendingWrite(pending, { 3, 2, { 2, 7 }, now, now + 2s });
     const auto policy = acknowledgement_policy::Majority;
-    auto settled = resolveWrites(pending, view, policy, now);
-    UNSIGNED_LONGS_EQUAL(1, settled.size());
-    CHECK_TRUE(settled[0].number == 1 && settled[0].outcome == write_outcome::Acknowledged);
+    auto resolved = resolveWrites(pending, view, policy, now);
+    UNSIGNED_LONGS_EQUAL(1, resolved.size());
+    CHECK_TRUE(resolved[0].number == 1 && resolved[0].outcome == write_outcome::Acknowledged);
     CHECK_TRUE(nextExpiry(pending) == now + 1s);
-    settled = resolveWrites(pending, view, policy, now + 1s);
-    UNSIGNED_LONGS_EQUAL(1, settled.size());
-    CHECK_TRUE(settled[0].number == 2 && settled[0].outcome == write_outcome::Expired);
+    resolved = resolveWrites(pending, view, policy, now + 1s);
+    UNSIGNED_LONGS_EQUAL(1, resolved.size());
+    CHECK_TRUE(resolved[0].number == 2 && resolved[0].outcome == write_outcome::Expired);
     observePrimary(view, { "b" }, 3, now);
-    settled = resolveWrites(pending, view, policy, now + 1s);
-    UNSIGNED_LONGS_EQUAL(1, settled.size());
-    CHECK_TRUE(settled[0].number == 3 && settled[0].outcome == write_outcome::Superseded);
+    resolved = resolveWrites(pending, view, policy, now + 1s);
+    UNSIGNED_LONGS_EQUAL(1, resolved.size());
+    CHECK_TRUE(resolved[0].number == 3 && resolved[0].outcome == write_outcome::Superseded);
     CHECK_TRUE(nextExpiry(pending) == noDeadline);
 }
--- a/tests/unit-gateway-forward.cpp
+++ b/tests/unit-gateway-forward.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Test of what a gateway answers after a forward whose own answer never came.
+/// @brief Tests of the gateway's answer after a forward that was sent but not answered.
 
 #include <fuchsiagw/core/gateway.hpp>
 
@@ -26,9 +26,10 @@
 
 TEST_GROUP(gateway_forward){};
 
-// Guards against a refusal of the second attempt that is passed on as `not_run` although the first
-// one may have run: the caller would send an idempotent write again under another key.
-TEST(gateway_forward, refusalAfterALostAnswerIsUnknown)
+// Guards against answering `not_run` when the first forward may have run and only the second one
+// was refused. The caller would then send the write again under another idempotency key, and it
+// could run twice.
+TEST(gateway_forward, refusalAfterUnansweredForwardReportsUnknownOutcome)
 {
     const time_point start{ 100s };
     random_engine random(1);
@@ -50,7 +51,7 @@
     onCallerRequest(turn, request);
     CHECK_EQUAL(1, state.entries.size());
     const std::uint64_t handle = state.entries.begin()->first;
-    passOn(turn, limit_manager_actions{ admission_outcome{ handle, true } });
+    applyActions(turn, limit_manager_actions{ admission_outcome{ handle, true } });
     CHECK_TRUE(state.entries.at(handle).forwardedTo.has_value());
 
     onForwardFailed(turn, handle, true);
--- a/tests/unit-routing.cpp
+++ b/tests/unit-routing.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the choice of a member and of the check of its answer.
+/// @brief Tests of the choice of a member for a statement and of the check of its answer.
 
 #include <fuchsiagw/core/routing.hpp>
 
@@ -48,7 +48,7 @@
         return routeStatement(view, request, now + later, random);
     }
 
-    /// Checks the chosen member and its reason.
+    /// Routes the request and checks the chosen member and the reason.
     void expect(const char *member, route_reason reason)
     {
         const route_decision decision = route();
@@ -60,8 +60,9 @@
     }
 };
 
-// Guards against M1 and M2: what must go to the primary goes nowhere else.
-TEST(routing, onlyReadsThatAcceptAnAgeLeaveThePrimary)
+// Guards against stale reads and lost writes: writes, begins, reads without a maximum age and reads
+// with an unusable session must never be sent to a replica.
+TEST(routing, onlyReadsWithAMaximumAgeUseReplicas)
 {
     expect("b", route_reason::OwnZone);
     request.isSessionUnusable = true;
@@ -79,35 +80,37 @@
     expect("a", route_reason::PrimaryRequired);
 }
 
-// Guards against replicas that are used although something speaks against them.
-TEST(routing, passesOverReplicasThatAreNotAllowed)
+// Guards against sending a read to a replica that is leaving, backed off, unknown, behind or under
+// another term.
+TEST(routing, skipsIneligibleReplicas)
 {
     member_view &near = view.members[{ "b" }];
     const member_view before = near;
-    const auto expectPassed = [&](rejection_reason reason) {
+    const auto expectRejected = [&](rejection_reason reason) {
         const route_decision decision = route();
         CHECK_TRUE(decision.member == member_id{ "c" });
         CHECK_TRUE(decision.candidates.at(1).reason == reason);
         near = before;
     };
     near.leaving = true;
-    expectPassed(rejection_reason::Leaving);
+    expectRejected(rejection_reason::Leaving);
     near.pause.until = now + 1us;
-    expectPassed(rejection_reason::BackedOff);
+    expectRejected(rejection_reason::BackedOff);
     near.catchUp = log_position{ 2, 5 };
-    expectPassed(rejection_reason::FarBehind);
+    expectRejected(rejection_reason::FarBehind);
     near.acceptedTerm = 1;
-    expectPassed(rejection_reason::OtherTerm);
+    expectRejected(rejection_reason::OtherTerm);
     near.lastHeard = time_point::min();
-    expectPassed(rejection_reason::NeverHeard);
+    expectRejected(rejection_reason::NeverHeard);
     near.applied = { 2, 4 };
-    expectPassed(rejection_reason::AgeUnknown);
+    expectRejected(rejection_reason::AgeUnknown);
     request.minPosition = { 2, 5 };
     near.applied = { 2, 4 };
-    expectPassed(rejection_reason::PositionBehind);
+    expectRejected(rejection_reason::PositionBehind);
 }
 
-// Guards against full members of the own zone that are preferred to free ones elsewhere.
+// Guards against preferring a replica of the own zone without a free slot to a free replica in
+// another zone.
 TEST(routing, prefersZoneThenLoadThenOpenConnections)
 {
     view.members[{ "b" }].inFlight = 1;
@@ -122,8 +125,9 @@
     expect("c", route_reason::OtherZone);
 }
 
-// Guards against reads that fail although the primary can serve them, and the reverse.
-TEST(routing, fallsBackToThePrimaryUnlessItIsOutToo)
+// Guards against reads that fail although the primary can serve them, and against choosing a
+// primary that is leaving.
+TEST(routing, fallsBackToThePrimaryIfItIsAvailable)
 {
     CHECK_TRUE(route(501ms).reason == route_reason::NoReplicaFits);
     CHECK_TRUE(route(501ms).member == member_id{ "a" });
@@ -134,7 +138,7 @@
     CHECK_FALSE(route().member.has_value());
 }
 
-// Guards against a log line that hides why the others were not chosen.
+// Guards against a log line that omits why the other candidates were not chosen.
 TEST(routing, describesTheDecisionInOneLine)
 {
     view.members[{ "c" }].leaving = true;
@@ -142,8 +146,9 @@
                  describe(route()).c_str());
 }
 
-// Guards against M1 and M8: estimates decide where to ask, only the answer decides what is given.
-TEST(routing, checksTheAnswerItself)
+// Guards against returning stale data or the answer to another request. Routing relies on estimates
+// of a member's position and age, so the answer itself must be checked.
+TEST(routing, checksPositionAgeAndIdOfTheAnswer)
 {
     execute_answer answer;
     answer.id = { 1, 1 };
