--- a/include/fuchsiagw/core/limit_manager.hpp
+++ b/include/fuchsiagw/core/limit_manager.hpp
@@ -160,7 +160,7 @@
     std::vector<std::string> pendingPrefixes; ///< to be scanned from back to front
     table_view view;
     std::set<std::string> unreadableKeys; ///< rows that can't be parsed
-    share_move move;
+    share_transaction move;
     std::set<resource_id> resources; ///< limits of a Rebalance task
     incarnation_id deadIncarnation = 0; ///< holder of the shares of a Reclaim task
     bool includesPools = false; ///< the Reclaim task reads the pool rows too
--- a/include/fuchsiagw/core/loan_policy.hpp
+++ b/include/fuchsiagw/core/loan_policy.hpp
@@ -12,7 +12,7 @@
 #include <fuchsiagw/core/incarnation_lease.hpp>
 #include <fuchsiagw/core/loan_message.hpp>
 #include <fuchsiagw/core/random.hpp>
-#include <fuchsiagw/core/share_book.hpp>
+#include <fuchsiagw/core/share_ledger.hpp>
 
 #include <cstddef>
 #include <cstdint>
@@ -46,7 +46,7 @@
 /// State of one limit at this instance.
 struct limit_entry
 {
-    share_book book;
+    share_ledger book;
     demand_estimate demand;
     std::uint32_t waiting = 0; ///< statements that wait for a token or a connection
     std::uint32_t inUse = 0; ///< open connections; 0 for a workspace
--- a/src/core/limit_manager.cpp
+++ b/src/core/limit_manager.cpp
@@ -139,7 +139,7 @@
     {
         limit_entry *entry = nullptr;
         std::uint32_t inUse = 0;
-        std::map<loan_id, loan_in> loans;
+        std::map<loan_id, received_loan> loans;
     };
     std::vector<hidden_loans> hidden;
     for (auto &[resource, entry] : loanManager.limits) {
@@ -194,7 +194,7 @@
     const lease_times &times = manager.settings.leases;
     for (const incarnation_id each : dueWitnesses(manager.lease, times, now))
         send(actions, each, requestOf(manager.lease, now));
-    for (const vote_question &question : dueVoteQuestions(manager.witness, times, now))
+    for (const vote_poll &question : dueVotePolls(manager.witness, times, now))
         for (const incarnation_id each : question.witnesses)
             send(actions, each, vote_request{ question.holder });
 }
@@ -223,7 +223,7 @@
     std::set<incarnation_id> excluded = lostWitnesses(lease, manager.settings.leases, now);
     if (excluded.empty() && lease.current.size() >= fullWitnessCount) {
         if (!lease.next.empty())
-            prepareWitnesses(lease, {});
+            prepareWitnessChange(lease, {});
         return;
     }
     const bool hasLost = !excluded.empty();
@@ -233,7 +233,7 @@
     excluded.insert(0);
     const auto next = chooseWitnesses(manager.self, manager.live, excluded, random);
     const bool isBetter = hasLost ? !next.empty() : next.size() > lease.current.size();
-    prepareWitnesses(lease, isBetter ? next : std::vector<incarnation_id>{});
+    prepareWitnessChange(lease, isBetter ? next : std::vector<incarnation_id>{});
     manager.nextWitnessChangeAt = now + witnessPromiseTimeout;
 }
 
@@ -314,12 +314,12 @@
     return resource.kind == resource_kind::Workspace ? manager.rates : manager.connections;
 }
 
-share_book &bookOf(limit_manager &manager, const resource_id &resource)
+share_ledger &bookOf(limit_manager &manager, const resource_id &resource)
 {
     return loanManagerOf(manager, resource).limits.at(resource).book;
 }
 
-share_count sharesUntil(const share_book &book, time_point at)
+share_count sharesUntil(const share_ledger &book, time_point at)
 {
     share_count shares = book.homeUntil > at ? book.home - book.lent : 0;
     for (const auto &[id, loan] : book.in)
--- a/src/core/limit_manager_limits.cpp
+++ b/src/core/limit_manager_limits.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t maxInstancesPerTick = 20'000;
 
 /// Differences from the fair part below the fair part divided by this are ignored, as in
-/// wantedMove().
+/// rebalanceDelta().
 constexpr share_count smallDifferenceDivisor = 10;
 
 /// Holders take shares or resize pools one after another, delayed by their rank among the holders,
@@ -115,7 +115,7 @@
                       random_engine &random)
 {
     limit_state &limit = manager.limits.at(resource);
-    const share_book &book = bookOf(manager, resource);
+    const share_ledger &book = bookOf(manager, resource);
     const share_count difference = limit.fair - book.home;
     const bool isNear = isSmall(difference, limit.fair);
     limit.pendingReturn = 0;
@@ -158,7 +158,7 @@
             limit.holders = shareHolders(resource, limit.burst, manager.live);
         else
             limit.holders = zoneOwners(manager, group_id{ resource.name });
-        limit.fair = fairPart(limit.total, limit.holders, manager.self.incarnation);
+        limit.fair = fairShare(limit.total, limit.holders, manager.self.incarnation);
         if (limit.isUsed)
             setLoanCandidates(manager, resource, limit.holders, random);
         if (manager.hasJoined)
--- a/src/core/limit_manager_transactions.cpp
+++ b/src/core/limit_manager_transactions.cpp
@@ -113,7 +113,7 @@
 {
     limit_state &limit = manager.limits.at(resource);
     const share_count home = bookOf(manager, resource).home;
-    share_count move = wantedMove(home, limit.fair, pool);
+    share_count move = rebalanceDelta(home, limit.fair, pool);
     if (move == 0 && limit.mayExceedFairPart && pool.free > 0)
         move = std::clamp<share_count>(limit.fair + (limit.fair - 1) / absorptionDivisor - home, 0,
                                        pool.free);
@@ -153,7 +153,7 @@
     if (createPools(manager, task.resources) || resizePools(manager))
         return true;
     std::map<resource_id, share_count> wanted;
-    std::map<resource_id, removed_home> given;
+    std::map<resource_id, share_transfer> given;
     for (const resource_id &resource : task.resources) {
         const pool_row *pool = findPool(task.view, resource);
         if (pool == nullptr) {
@@ -174,7 +174,7 @@
     return true;
 }
 
-bool prepareWitnesses(limit_manager &manager, time_point now, limit_manager_actions &actions)
+bool prepareWitnessChange(limit_manager &manager, time_point now, limit_manager_actions &actions)
 {
     if (manager.task.unreadableKeys.contains(leaseKey(manager.self.incarnation)))
         return false;
@@ -186,7 +186,7 @@
         expireLimitManager(manager, now, actions);
     if (!change)
         return false;
-    submitWitnesses(manager.lease);
+    submitWitnessChange(manager.lease);
     applyLease(manager, now);
     manager.task.move.transaction = std::move(*change);
     return true;
@@ -270,7 +270,7 @@
         applyLease(manager, now);
         return false;
     }
-    std::map<resource_id, removed_home> given;
+    std::map<resource_id, share_transfer> given;
     for (const auto &[resource, limit] : manager.limits) {
         const share_count removable = removableShares(manager, resource, now);
         if (removable > 0 && findPool(task.view, resource) != nullptr)
@@ -285,7 +285,7 @@
     return true;
 }
 
-void addShares(limit_manager &manager, const std::map<resource_id, removed_home> &shares,
+void addShares(limit_manager &manager, const std::map<resource_id, share_transfer> &shares,
                time_point now, random_engine &random, limit_manager_actions &actions)
 {
     for (const auto &[resource, part] : shares) {
@@ -311,7 +311,7 @@
     case limit_task_kind::Rebalance:
         return prepareRebalance(manager, now, random, actions);
     case limit_task_kind::Witnesses:
-        return prepareWitnesses(manager, now, actions);
+        return prepareWitnessChange(manager, now, actions);
     case limit_task_kind::Reclaim:
         return prepareReclaim(manager, now);
     case limit_task_kind::Predecessor:
@@ -358,7 +358,7 @@
         }
         break;
     case limit_task_kind::Witnesses:
-        finishWitnesses(manager.lease, isCommitted);
+        finishWitnessChange(manager.lease, isCommitted);
         applyLease(manager, now);
         break;
     case limit_task_kind::Reclaim:
--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -46,7 +46,7 @@
 /// Arrivals per second up to which a limit is treated as unused.
 constexpr double idleArrivalRate = 0.01;
 
-share_count sharesForRate(const share_book &book, double perSecond)
+share_count sharesForRate(const share_ledger &book, double perSecond)
 {
     if (book.rate == 0)
         return 0;
@@ -55,7 +55,7 @@
 }
 
 /// @return the shares whose part of the burst holds @p tokens
-share_count sharesForTokens(const share_book &book, token_amount tokens)
+share_count sharesForTokens(const share_ledger &book, token_amount tokens)
 {
     if (book.burst == 0)
         return 0;
@@ -70,8 +70,8 @@
     if (entry.book.rate == 0)
         return static_cast<share_count>(entry.inUse) + entry.waiting;
     const double steady = demandHeadroom * decayed(entry.demand, now).slow;
-    return sharesForRate(entry.book, std::max(provenLeast(entry.demand, now),
-                                              std::min(steady, provenMost(entry.demand, now))));
+    return sharesForRate(entry.book, std::max(rateLowerBound(entry.demand, now),
+                                              std::min(steady, rateUpperBound(entry.demand, now))));
 }
 
 /// @return the shares to be borrowed as a rate loan, which lasts for seconds; none if the bucket is
@@ -79,9 +79,9 @@
 /// borrowed with token loans instead.
 share_count missingRate(const limit_entry &entry, time_point now)
 {
-    const share_book &book = entry.book;
-    const double rate = std::max(demandHeadroom * steadyLeast(entry.demand, now),
-                                 provenLeast(entry.demand, now));
+    const share_ledger &book = entry.book;
+    const double rate = std::max(demandHeadroom * steadyRateLowerBound(entry.demand, now),
+                                 rateLowerBound(entry.demand, now));
     share_count need = book.rate == 0 ? neededShares(entry, now) : sharesForRate(book, rate);
     // A growing queue shows a lack of rate before the demand estimate does.
     if (book.rate > 0 && entry.waiting > 1)
@@ -102,7 +102,7 @@
 /// is low, a reserve for the next peak within the capacity of the usable shares
 token_amount missingTokens(const limit_entry &entry, time_point now)
 {
-    const share_book &book = entry.book;
+    const share_ledger &book = entry.book;
     if (book.rate == 0)
         return 0;
     const token_amount waiting = static_cast<token_amount>(entry.waiting) * oneToken;
@@ -184,7 +184,7 @@
 {
     const loan_times &times = manager.settings.times;
     const duration longest =
-            entry.book.in.at(id).kind == loan_kind::Rate ? times.length : times.tokenLength;
+            entry.book.in.at(id).kind == loan_kind::Rate ? times.length : times.tokenLoanDuration;
     if (auto back = returnLoan(entry.book, resource, id, longest, now))
         returns[id.lender].loans.push_back(std::move(*back));
 }
@@ -228,7 +228,7 @@
         if (loan.kind == loan_kind::Tokens && loan.shares > 0)
             unused.push_back(id);
     for (const loan_id &id : unused) {
-        const share_book &book = entry.book;
+        const share_ledger &book = entry.book;
         const share_count own = book.usable - book.in.at(id).shares;
         const token_amount room = partOf(book.burst, std::min(own, book.total), book.total);
         const bool isLarge = book.in.at(id).shares * largeLoanDivisor >= book.total;
@@ -286,7 +286,7 @@
 loan_offer offerRate(const limit_entry &entry, const loan_request_item &item, share_count need,
                      share_count lendable)
 {
-    const share_book &book = entry.book;
+    const share_ledger &book = entry.book;
     if (need > book.usable)
         return {};
     const share_count spare = std::min(book.usable - need, lendable);
@@ -301,7 +301,7 @@
 loan_offer offerTokens(const limit_entry &entry, const loan_request_item &item,
                        share_count lendable)
 {
-    const share_book &book = entry.book;
+    const share_ledger &book = entry.book;
     const token_amount half =
             std::max(book.bucket.level / 2, std::min(book.bucket.level, oneToken));
     const bool isTiny =
@@ -412,7 +412,7 @@
         return std::min<share_count>(static_cast<share_count>(entry.inUse) + entry.waiting,
                                      entry.book.total);
     return sharesForRate(entry.book, std::max(demandHeadroom * decayed(entry.demand, now).slow,
-                                              provenLeast(entry.demand, now)));
+                                              rateLowerBound(entry.demand, now)));
 }
 
 std::vector<loan_message> poll(loan_manager &manager, time_point now)
--- a/tests/unit-config-matrix.cpp
+++ b/tests/unit-config-matrix.cpp
@@ -143,8 +143,8 @@
     [[nodiscard]] bool haveAllStarted() const
     {
         for (std::size_t i = 0; i < planned_.size(); ++i) {
-            const bool isUnreachable = planned_[i].at == stage::Accepted && !acceptedAt();
-            if (!hasStarted_[i] && !isUnreachable)
+            const bool isDeadlineUnreachable = planned_[i].at == stage::Accepted && !acceptedAt();
+            if (!hasStarted_[i] && !isDeadlineUnreachable)
                 return false;
         }
         return true;
--- a/tests/unit-loan-policy.cpp
+++ b/tests/unit-loan-policy.cpp
@@ -39,9 +39,9 @@
         all.clear();
         for (const peer_ref &each : live) {
             loan_manager &manager = all.emplace_back(makeLoanManager(each, {}, at(0)));
-            share_book &book = openLimit(manager, resource, std::int64_t(rate * oneToken),
-                                         token_amount(burst * oneToken), workspaceShares, at(0))
-                                       .book;
+            share_ledger &book = openLimit(manager, resource, std::int64_t(rate * oneToken),
+                                           token_amount(burst * oneToken), workspaceShares, at(0))
+                                         .book;
             addHome(book, workspaceShares / managerCount, 0, at(0));
             setCandidates(manager, resource, holders, live, random);
             setHomeUntil(manager, noDeadline, at(0));
