--- a/include/fuchsiagw/core/demand_estimate.hpp
+++ b/include/fuchsiagw/core/demand_estimate.hpp
@@ -26,15 +26,15 @@
 /// @return a rate that the short window shows to be exceeded: the count of arrivals in it deviates
 /// by about its square root from the mean, and two deviations are allowed for
 /// @complexity constant
-[[nodiscard]] double provenLeast(const demand_estimate &demand, time_point now);
+[[nodiscard]] double rateLowerBound(const demand_estimate &demand, time_point now);
 
 /// @return a rate that the short window and the silence since the last arrival show not to be
 /// exceeded
 /// @complexity constant
-[[nodiscard]] double provenMost(const demand_estimate &demand, time_point now);
+[[nodiscard]] double rateUpperBound(const demand_estimate &demand, time_point now);
 
 /// @return a rate that the long window shows to be exceeded, with one deviation allowed for
 /// @complexity constant
-[[nodiscard]] double steadyLeast(const demand_estimate &demand, time_point now);
+[[nodiscard]] double steadyRateLowerBound(const demand_estimate &demand, time_point now);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/group_owner.hpp
+++ b/include/fuchsiagw/core/group_owner.hpp
@@ -84,7 +84,7 @@
     /// of the next questions. Invariant: each is Confirming.
     std::map<std::uint64_t, time_point> unprovenReads;
     fair_queue queue;
-    service_meter meter;
+    service_time_average meter;
     connection_pool pool;
     std::map<std::uint64_t, owned_statement> statements; ///< by handle
     std::set<std::pair<time_point, std::uint64_t>> deadlines; ///< of statements, earliest first
--- a/include/fuchsiagw/core/incarnation_lease.hpp
+++ b/include/fuchsiagw/core/incarnation_lease.hpp
@@ -146,7 +146,7 @@
 
 /// @brief Begins to ask the witnesses that shall replace the current ones.
 /// @complexity logarithmic in the witnesses
-void prepareWitnesses(lease_holder &holder, const std::vector<incarnation_id> &next);
+void prepareWitnessChange(lease_holder &holder, const std::vector<incarnation_id> &next);
 
 /// @brief Tells whether submitting the change would not shorten the lease: the new witnesses have
 /// promised, or the old ones no longer do.
@@ -154,10 +154,10 @@
 [[nodiscard]] bool isChangeReady(const lease_holder &holder, time_point now);
 
 /// @brief Marks the change as submitted. Until its outcome is known both sets must promise.
-void submitWitnesses(lease_holder &holder);
+void submitWitnessChange(lease_holder &holder);
 
 /// @brief Ends the change. Call it only with a definite outcome.
-void finishWitnesses(lease_holder &holder, bool isCommitted);
+void finishWitnessChange(lease_holder &holder, bool isCommitted);
 
 /// @brief Lists the witnesses to ask now and notes that they are asked.
 /// @complexity constant, there are at most 6 witnesses
@@ -198,7 +198,7 @@
 [[nodiscard]] bool voteExpired(lease_witness &witness, incarnation_id holder,
                                const lease_times &times, time_point now);
 
-struct vote_question
+struct vote_poll
 {
     incarnation_id holder = 0;
     std::vector<incarnation_id> witnesses; ///< to be asked
@@ -207,8 +207,8 @@
 /// @brief Lists the other witnesses of silent holders that must be asked for their votes now. The
 /// first witness of a row asks first, the others follow if it does not succeed.
 /// @complexity linear in the watched leases
-[[nodiscard]] std::vector<vote_question> dueVoteQuestions(lease_witness &witness,
-                                                          const lease_times &times, time_point now);
+[[nodiscard]] std::vector<vote_poll> dueVotePolls(lease_witness &witness, const lease_times &times,
+                                                  time_point now);
 
 /// @brief Notes the vote of another witness.
 /// @complexity logarithmic in the watched leases
--- a/include/fuchsiagw/core/limit_keeper.hpp
+++ b/include/fuchsiagw/core/limit_keeper.hpp
@@ -150,7 +150,7 @@
     std::vector<std::string> prefixes; ///< still to be scanned; the last one is next
     table_view view;
     std::set<std::string> damaged; ///< keys of rows that can't be read
-    share_move move;
+    share_transaction move;
     std::set<resource_id> resources; ///< of a rebalancing
     incarnation_id dead = 0; ///< whose shares are reclaimed
     bool hasPools = false; ///< the pools are read too, of a reclaim
--- a/include/fuchsiagw/core/loan_message.hpp
+++ b/include/fuchsiagw/core/loan_message.hpp
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <fuchsiagw/core/share_book.hpp>
+#include <fuchsiagw/core/share_ledger.hpp>
 
 #include <cstdint>
 #include <variant>
--- a/include/fuchsiagw/core/loan_policy.hpp
+++ b/include/fuchsiagw/core/loan_policy.hpp
@@ -11,7 +11,7 @@
 #include <fuchsiagw/core/incarnation_lease.hpp>
 #include <fuchsiagw/core/loan_message.hpp>
 #include <fuchsiagw/core/random.hpp>
-#include <fuchsiagw/core/share_book.hpp>
+#include <fuchsiagw/core/share_ledger.hpp>
 
 #include <cstddef>
 #include <cstdint>
@@ -44,7 +44,7 @@
 /// One limit as an instance sees it.
 struct limit_entry
 {
-    share_book book;
+    share_ledger book;
     demand_estimate demand;
     std::uint32_t waiting = 0; ///< statements that wait for a token or a connection
     std::uint32_t inUse = 0; ///< open connections; 0 for a workspace
--- a/include/fuchsiagw/core/share_book.hpp
+++ b/include/fuchsiagw/core/share_ledger.hpp
@@ -117,7 +117,7 @@
     }
 };
 
-struct loan_out
+struct granted_loan
 {
     incarnation_id borrower = 0;
     loan_kind kind = loan_kind::Rate;
@@ -126,7 +126,7 @@
     time_point endsAt{}; ///< the shares are home again from here on; includes the drift margin
 };
 
-struct loan_in
+struct received_loan
 {
     loan_kind kind = loan_kind::Rate;
     share_count shares = 0; ///< 0 after an early return
@@ -135,15 +135,15 @@
 };
 
 /// Invariant: 0 <= lent <= home; the usable shares are at most home - lent + borrowed.
-struct share_book
+struct share_ledger
 {
     share_count total = workspaceShares;
     std::int64_t rate = 0; ///< of the whole limit, millionths of a token per second
     token_amount burst = 0; ///< of the whole limit
     share_count home = 0; ///< recorded for this incarnation, not above the table's row
     time_point homeUntil{}; ///< deadline of the incarnation lease; home is unusable from here on
-    std::map<loan_id, loan_out> out;
-    std::map<loan_id, loan_in> in; ///< returned loans stay as a mark against late grants
+    std::map<loan_id, granted_loan> out;
+    std::map<loan_id, received_loan> in; ///< returned loans stay as a mark against late grants
     std::uint64_t nextLoan = 1;
     token_bucket bucket; ///< fed by the usable shares
 
@@ -158,7 +158,7 @@
 {
     duration length = std::chrono::seconds(4); ///< of loan_kind::Rate, the longest
     /// Of loan_kind::Tokens: several round trips between zones.
-    duration tokenLength = std::chrono::milliseconds(50);
+    duration tokenLoanDuration = std::chrono::milliseconds(50);
     /// 0.5 % of the length; crystal clocks differ by less than 0.05 %.
     duration driftMargin = std::chrono::milliseconds(20);
 };
@@ -169,22 +169,22 @@
 
 /// @brief Applies every end of a loan or of the lease up to @p now, each at its own time.
 /// @complexity constant if nothing ended, else linear in the loans
-void advance(share_book &book, time_point now);
+void advance(share_ledger &book, time_point now);
 
 /// @brief Changes the limit itself, after a change of the configuration.
 /// @complexity constant, but see advance()
-void setLimit(share_book &book, std::int64_t rate, token_amount burst, share_count total,
+void setLimit(share_ledger &book, std::int64_t rate, token_amount burst, share_count total,
               time_point now);
 
 /// @brief Sets until when home shares may be used, after news of the incarnation lease.
 /// @complexity linear in the loans
-void setHomeUntil(share_book &book, time_point until, time_point now);
+void setHomeUntil(share_ledger &book, time_point until, time_point now);
 
 /// @brief Adds home shares that the table has recorded for this incarnation.
 /// @complexity linear in the loans
-void addHome(share_book &book, share_count shares, token_amount tokens, time_point now);
+void addHome(share_ledger &book, share_count shares, token_amount tokens, time_point now);
 
-struct removed_home
+struct share_transfer
 {
     share_count shares = 0;
     token_amount tokens = 0;
@@ -193,20 +193,20 @@
 /// @brief Removes home shares before they are returned to the pool; lent shares stay.
 /// @return what was removed, at most what was asked; the tokens that moved with it
 /// @complexity linear in the loans
-removed_home removeHome(share_book &book, share_count shares, time_point now);
+share_transfer removeHome(share_ledger &book, share_count shares, time_point now);
 
 /// @brief Shares that may be used at @p now.
 /// @complexity see advance()
-[[nodiscard]] share_count usableShares(share_book &book, time_point now);
+[[nodiscard]] share_count usableShares(share_ledger &book, time_point now);
 
 /// @brief Home shares that are usable now and not lent.
 /// @complexity see advance()
-[[nodiscard]] share_count lendableShares(share_book &book, time_point now);
+[[nodiscard]] share_count lendableShares(share_ledger &book, time_point now);
 
 /// @brief Takes one token for a statement.
 /// @return false if the statement must wait or be refused
 /// @complexity see advance()
-[[nodiscard]] bool takeToken(share_book &book, time_point now);
+[[nodiscard]] bool takeToken(share_ledger &book, time_point now);
 
 /// @brief Lends home shares, or enlarges and extends the loan of this kind that @p borrower has
 /// already.
@@ -214,7 +214,7 @@
 /// @param tokens at most as many as fit into the lent shares
 /// @return nothing if the lease has lapsed, or if there is neither a loan nor a share to lend
 /// @complexity linear in the loans
-[[nodiscard]] std::optional<loan_terms> grantLoan(share_book &book, const resource_id &resource,
+[[nodiscard]] std::optional<loan_terms> grantLoan(share_ledger &book, const resource_id &resource,
                                                   incarnation_id lender, incarnation_id borrower,
                                                   loan_kind kind, share_count shares,
                                                   token_amount tokens, const loan_times &times,
@@ -224,13 +224,13 @@
 /// @param sentAt when this instance sent the request that @p terms answers
 /// @return whether anything changed
 /// @complexity linear in the loans
-bool receiveLoan(share_book &book, const loan_terms &terms, time_point sentAt, time_point now);
+bool receiveLoan(share_ledger &book, const loan_terms &terms, time_point sentAt, time_point now);
 
 /// @brief Stops using a loan so that it can be given back.
 /// @param longest the length of the longest loan: no grant that is still under way can outlast it
 /// @return nothing if the loan is not in use
 /// @complexity linear in the loans
-[[nodiscard]] std::optional<loan_return> returnLoan(share_book &book, const resource_id &resource,
+[[nodiscard]] std::optional<loan_return> returnLoan(share_ledger &book, const resource_id &resource,
                                                     const loan_id &id, duration longest,
                                                     time_point now);
 
@@ -238,6 +238,6 @@
 /// a return that crosses a later grant of the same loan: the borrower may use that grant.
 /// @return whether the shares are home again
 /// @complexity linear in the loans
-bool acceptReturn(share_book &book, const loan_return &message, time_point now);
+bool acceptReturn(share_ledger &book, const loan_return &message, time_point now);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/share_pool.hpp
+++ b/include/fuchsiagw/core/share_pool.hpp
@@ -8,7 +8,7 @@
 #pragma once
 
 #include <fuchsiagw/core/incarnation_lease.hpp>
-#include <fuchsiagw/core/share_book.hpp>
+#include <fuchsiagw/core/share_ledger.hpp>
 
 #include <cstdint>
 #include <map>
@@ -80,11 +80,11 @@
 /// given must leave the book before the transaction is sent; shares that are gained enter it once
 /// the transaction is known to be committed. If it is known to be impossible, the given ones return
 /// to the book.
-struct share_move
+struct share_transaction
 {
     table_transaction transaction;
-    std::map<resource_id, removed_home> gained;
-    std::map<resource_id, removed_home> given;
+    std::map<resource_id, share_transfer> gained;
+    std::map<resource_id, share_transfer> given;
 };
 
 enum class transaction_state : std::uint8_t {
@@ -112,15 +112,15 @@
 
 /// @brief The fair part of @p total for @p self among @p holders; the parts add up to the total.
 /// @complexity linear in the holders
-[[nodiscard]] share_count fairPart(share_count total, const std::vector<incarnation_id> &holders,
-                                   incarnation_id self);
+[[nodiscard]] share_count fairShare(share_count total, const std::vector<incarnation_id> &holders,
+                                    incarnation_id self);
 
 /// @brief Decides how many shares to take from the pool (positive) or to return (negative).
 /// @param home recorded in the own row
 /// @return 0 while the difference is below a tenth of the fair part, so that a change of one
 /// instance among many does not make all of them write
 /// @complexity constant
-[[nodiscard]] share_count wantedMove(share_count home, share_count fair, const pool_row &pool);
+[[nodiscard]] share_count rebalanceDelta(share_count home, share_count fair, const pool_row &pool);
 
 /// @brief Creates the pool of a resource, full of shares and tokens.
 [[nodiscard]] table_transaction createPool(const std::string &id, const resource_id &resource,
@@ -136,25 +136,26 @@
 /// @brief Records a new incarnation and takes home shares, as far as the pool has them.
 /// @param row without homes
 /// @complexity linear in the resources, times logarithm
-[[nodiscard]] share_move joinPool(const std::string &id, const table_view &view, lease_row row,
-                                  const std::map<resource_id, share_count> &wanted);
+[[nodiscard]] share_transaction joinPool(const std::string &id, const table_view &view,
+                                         lease_row row,
+                                         const std::map<resource_id, share_count> &wanted);
 
 /// @brief Takes shares from the pool and returns others.
 /// @param wanted shares to take, as far as the pool has them
 /// @param given shares and tokens that have left the book already
 /// @return nothing if the own row is missing or nothing would change
 /// @complexity linear in the resources, times logarithm
-[[nodiscard]] std::optional<share_move>
+[[nodiscard]] std::optional<share_transaction>
 moveShares(const std::string &id, const table_view &view, incarnation_id self,
            const std::map<resource_id, share_count> &wanted,
-           const std::map<resource_id, removed_home> &given);
+           const std::map<resource_id, share_transfer> &given);
 
 /// @brief Returns shares at the end of an incarnation. The row is deleted with the last share;
 /// lent shares are returned by a second call once their loans have ended.
 /// @complexity linear in the resources, times logarithm
-[[nodiscard]] std::optional<share_move> leavePool(const std::string &id, const table_view &view,
-                                                  incarnation_id self,
-                                                  const std::map<resource_id, removed_home> &given);
+[[nodiscard]] std::optional<share_transaction>
+leavePool(const std::string &id, const table_view &view, incarnation_id self,
+          const std::map<resource_id, share_transfer> &given);
 
 /// @brief Replaces the witnesses in the own row.
 /// @return nothing if the own row is missing
--- a/include/fuchsiagw/detail/keeper_steps.hpp
+++ b/include/fuchsiagw/detail/keeper_steps.hpp
@@ -14,11 +14,11 @@
 [[nodiscard]] loan_desk &deskOf(limit_keeper &keeper, const resource_id &resource);
 
 /// @return the book of a limit that the keeper has
-[[nodiscard]] share_book &bookOf(limit_keeper &keeper, const resource_id &resource);
+[[nodiscard]] share_ledger &bookOf(limit_keeper &keeper, const resource_id &resource);
 
 /// @brief Shares that stay usable until @p at if nothing is extended, lent shares not counted.
 /// @complexity linear in the loans
-[[nodiscard]] share_count sharesUntil(const share_book &book, time_point at);
+[[nodiscard]] share_count sharesUntil(const share_ledger &book, time_point at);
 
 /// @brief Home shares that may be given away now: not lent, and not needed by open connections
 /// until connectionWindDown has passed.
--- a/src/core/demand_estimate.cpp
+++ b/src/core/demand_estimate.cpp
@@ -34,13 +34,13 @@
     demand.slow += 1 / slowWindowSeconds;
 }
 
-double provenLeast(const demand_estimate &demand, time_point now)
+double rateLowerBound(const demand_estimate &demand, time_point now)
 {
     const double seen = decayed(demand, now).fast * fastWindowSeconds;
     return std::max(0.0, seen - 2 * std::sqrt(seen)) / fastWindowSeconds;
 }
 
-double provenMost(const demand_estimate &demand, time_point now)
+double rateUpperBound(const demand_estimate &demand, time_point now)
 {
     const double seen = decayed(demand, now).fast * fastWindowSeconds;
     const double byCount = (seen + 2 * std::sqrt(seen) + 2) / fastWindowSeconds;
@@ -49,7 +49,7 @@
     return std::min(byCount, bySilence);
 }
 
-double steadyLeast(const demand_estimate &demand, time_point now)
+double steadyRateLowerBound(const demand_estimate &demand, time_point now)
 {
     const double seen = decayed(demand, now).slow * slowWindowSeconds;
     return std::max(0.0, seen - std::sqrt(seen)) / slowWindowSeconds;
--- a/src/core/early_refusal.cpp
+++ b/src/core/early_refusal.cpp
@@ -14,14 +14,14 @@
 
 } // namespace
 
-void recordService(service_meter &meter, duration took)
+void recordServiceTime(service_time_average &meter, duration took)
 {
     meter.samples = std::min(meter.samples + 1, averagedSamples);
     const std::int64_t nanos = std::max<std::int64_t>(took.count(), 0) * 1000;
     meter.meanNanos += (nanos - meter.meanNanos) / static_cast<std::int64_t>(meter.samples);
 }
 
-duration expectedWait(const service_meter &meter, const fair_queue &queue,
+duration expectedWait(const service_time_average &meter, const fair_queue &queue,
                       const workspace_id &workspace, std::uint32_t weight,
                       std::uint32_t connections, std::uint32_t free)
 {
@@ -33,9 +33,9 @@
     return duration((ahead + 1) * meter.meanNanos / connections / 1000);
 }
 
-bool isUnreachable(const service_meter &meter, const fair_queue &queue,
-                   const queued_statement &statement, std::uint32_t weight,
-                   std::uint32_t connections, std::uint32_t free, time_point now)
+bool isDeadlineUnreachable(const service_time_average &meter, const fair_queue &queue,
+                           const queued_statement &statement, std::uint32_t weight,
+                           std::uint32_t connections, std::uint32_t free, time_point now)
 {
     if (statement.deadline == noDeadline)
         return false;
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -85,8 +85,8 @@
     group_owner &owner = turn.owner;
     const owned_statement &statement = owner.statements.at(handle);
     const queued_statement waiting = toQueued(handle, statement);
-    if (isUnreachable(owner.meter, owner.queue, waiting, statement.weight, owner.pool.limit,
-                      countFree(owner.pool), turn.now)) {
+    if (isDeadlineUnreachable(owner.meter, owner.queue, waiting, statement.weight, owner.pool.limit,
+                              countFree(owner.pool), turn.now)) {
         fail(turn, handle, error_kind::DeadlineUnreachable);
         return;
     }
--- a/src/core/incarnation_lease.cpp
+++ b/src/core/incarnation_lease.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t fullWitnesses = 3;
+constexpr std::size_t fullWitnessCount = 3;
 
 /// The latest time at which a majority of @p witnesses still promises.
 time_point majorityUntil(const lease_holder &holder, const std::vector<incarnation_id> &witnesses)
@@ -69,8 +69,8 @@
     std::sort(candidates.begin(), candidates.end(), [](const auto &left, const auto &right) {
         return left.isFar == right.isFar ? left.order < right.order : right.isFar;
     });
-    const std::size_t count = candidates.size() >= fullWitnesses
-                                      ? fullWitnesses
+    const std::size_t count = candidates.size() >= fullWitnessCount
+                                      ? fullWitnessCount
                                       : std::min<std::size_t>(candidates.size(), 1);
     std::vector<incarnation_id> chosen;
     for (std::size_t i = 0; i < count; ++i)
@@ -86,7 +86,7 @@
     forgetOthers(holder);
 }
 
-void prepareWitnesses(lease_holder &holder, const std::vector<incarnation_id> &next)
+void prepareWitnessChange(lease_holder &holder, const std::vector<incarnation_id> &next)
 {
     assert(!holder.isSubmitted);
     holder.next = next;
@@ -106,13 +106,13 @@
                               }));
 }
 
-void submitWitnesses(lease_holder &holder)
+void submitWitnessChange(lease_holder &holder)
 {
     assert(!holder.next.empty());
     holder.isSubmitted = true;
 }
 
-void finishWitnesses(lease_holder &holder, bool isCommitted)
+void finishWitnessChange(lease_holder &holder, bool isCommitted)
 {
     assert(holder.isSubmitted);
     if (isCommitted)
@@ -218,10 +218,10 @@
     return lease.hasVoted;
 }
 
-std::vector<vote_question> dueVoteQuestions(lease_witness &witness, const lease_times &times,
-                                            time_point now)
+std::vector<vote_poll> dueVotePolls(lease_witness &witness, const lease_times &times,
+                                    time_point now)
 {
-    std::vector<vote_question> questions;
+    std::vector<vote_poll> questions;
     for (auto &[holder, lease] : witness.watched) {
         const auto rank = std::find(lease.witnesses.begin(), lease.witnesses.end(), witness.self)
                           - lease.witnesses.begin();
@@ -232,7 +232,7 @@
             continue;
         lease.nextVoteAsk = now + times.voteRetry;
         static_cast<void>(voteExpired(witness, holder, times, now));
-        vote_question question{ holder, {} };
+        vote_poll question{ holder, {} };
         for (const incarnation_id each : lease.witnesses)
             if (!lease.votes.contains(each))
                 question.witnesses.push_back(each);
--- a/src/core/limit_keeper.cpp
+++ b/src/core/limit_keeper.cpp
@@ -21,7 +21,7 @@
 /// New witnesses that have not promised after this time are replaced by others.
 constexpr duration witnessPatience = std::chrono::seconds(3);
 
-constexpr std::size_t fullWitnesses = 3;
+constexpr std::size_t fullWitnessCount = 3;
 
 /// Idle connections that a peer needs stay closed until its next requests have come.
 constexpr duration yieldTime = std::chrono::milliseconds(500);
@@ -135,7 +135,7 @@
     {
         limit_entry *entry = nullptr;
         std::uint32_t inUse = 0;
-        std::map<loan_id, loan_in> loans;
+        std::map<loan_id, received_loan> loans;
     };
     std::vector<hidden_part> hidden;
     for (auto &[resource, entry] : desk.limits) {
@@ -188,7 +188,7 @@
     const lease_times &times = keeper.settings.leases;
     for (const incarnation_id each : dueWitnesses(keeper.lease, times, now))
         send(actions, each, requestOf(keeper.lease, now));
-    for (const vote_question &question : dueVoteQuestions(keeper.witness, times, now))
+    for (const vote_poll &question : dueVotePolls(keeper.witness, times, now))
         for (const incarnation_id each : question.witnesses)
             send(actions, each, vote_request{ question.holder });
 }
@@ -215,9 +215,9 @@
         || (!lease.next.empty() && now < keeper.witnessesDue))
         return;
     std::set<incarnation_id> excluded = lostWitnesses(lease, keeper.settings.leases, now);
-    if (excluded.empty() && lease.current.size() >= fullWitnesses) {
+    if (excluded.empty() && lease.current.size() >= fullWitnessCount) {
         if (!lease.next.empty())
-            prepareWitnesses(lease, {});
+            prepareWitnessChange(lease, {});
         return;
     }
     const bool hasLost = !excluded.empty();
@@ -227,7 +227,7 @@
     excluded.insert(0);
     const auto next = chooseWitnesses(keeper.self, keeper.live, excluded, random);
     const bool isBetter = hasLost ? !next.empty() : next.size() > lease.current.size();
-    prepareWitnesses(lease, isBetter ? next : std::vector<incarnation_id>{});
+    prepareWitnessChange(lease, isBetter ? next : std::vector<incarnation_id>{});
     keeper.witnessesDue = now + witnessPatience;
 }
 
@@ -305,12 +305,12 @@
     return resource.kind == resource_kind::Workspace ? keeper.rates : keeper.connections;
 }
 
-share_book &bookOf(limit_keeper &keeper, const resource_id &resource)
+share_ledger &bookOf(limit_keeper &keeper, const resource_id &resource)
 {
     return deskOf(keeper, resource).limits.at(resource).book;
 }
 
-share_count sharesUntil(const share_book &book, time_point at)
+share_count sharesUntil(const share_ledger &book, time_point at)
 {
     share_count shares = book.homeUntil > at ? book.home - book.lent : 0;
     for (const auto &[id, loan] : book.in)
--- a/src/core/limit_keeper_limits.cpp
+++ b/src/core/limit_keeper_limits.cpp
@@ -15,7 +15,7 @@
 /// Instances that are looked at by one tick while it computes holders; the rest follows later.
 constexpr std::size_t visitsPerTick = 20'000;
 
-/// Differences below one in so many of the fair part are left alone, as wantedMove() does.
+/// Differences below one in so many of the fair part are left alone, as rebalanceDelta() does.
 constexpr share_count smallPart = 10;
 
 /// Holders in this order take shares or change pools one after another, not all at once.
@@ -111,7 +111,7 @@
                   random_engine &random)
 {
     keeper_limit &limit = keeper.limits.at(resource);
-    const share_book &book = bookOf(keeper, resource);
+    const share_ledger &book = bookOf(keeper, resource);
     const share_count difference = limit.fair - book.home;
     const bool isNear = isSmall(difference, limit.fair);
     limit.reserve = 0;
@@ -151,7 +151,7 @@
             limit.holders = shareHolders(resource, limit.burst, keeper.live);
         else
             limit.holders = zoneOwners(keeper, group_id{ resource.name });
-        limit.fair = fairPart(limit.total, limit.holders, keeper.self.incarnation);
+        limit.fair = fairShare(limit.total, limit.holders, keeper.self.incarnation);
         if (limit.isUsed)
             setLoanCandidates(keeper, resource, limit.holders, random);
         if (keeper.hasJoined)
--- a/src/core/limit_keeper_moves.cpp
+++ b/src/core/limit_keeper_moves.cpp
@@ -107,7 +107,7 @@
 {
     keeper_limit &limit = keeper.limits.at(resource);
     const share_count home = bookOf(keeper, resource).home;
-    share_count move = wantedMove(home, limit.fair, pool);
+    share_count move = rebalanceDelta(home, limit.fair, pool);
     if (move == 0 && limit.isAbsorbing && pool.free > 0)
         move = std::clamp<share_count>(limit.fair + (limit.fair - 1) / absorbedPart - home, 0,
                                        pool.free);
@@ -146,7 +146,7 @@
     if (createPools(keeper, work.resources) || resizePools(keeper))
         return true;
     std::map<resource_id, share_count> wanted;
-    std::map<resource_id, removed_home> given;
+    std::map<resource_id, share_transfer> given;
     for (const resource_id &resource : work.resources) {
         const pool_row *pool = findPool(work.view, resource);
         if (pool == nullptr) {
@@ -166,7 +166,7 @@
     return true;
 }
 
-bool prepareWitnesses(limit_keeper &keeper, time_point now, keeper_actions &actions)
+bool prepareWitnessChange(limit_keeper &keeper, time_point now, keeper_actions &actions)
 {
     if (keeper.work.damaged.contains(leaseKey(keeper.self.incarnation)))
         return false;
@@ -178,7 +178,7 @@
         expireKeeper(keeper, now, actions);
     if (!change)
         return false;
-    submitWitnesses(keeper.lease);
+    submitWitnessChange(keeper.lease);
     applyLease(keeper, now);
     keeper.work.move.transaction = std::move(*change);
     return true;
@@ -259,7 +259,7 @@
         applyLease(keeper, now);
         return false;
     }
-    std::map<resource_id, removed_home> given;
+    std::map<resource_id, share_transfer> given;
     for (const auto &[resource, limit] : keeper.limits) {
         const share_count removable = removableShares(keeper, resource, now);
         if (removable > 0 && findPool(work.view, resource) != nullptr)
@@ -274,7 +274,7 @@
     return true;
 }
 
-void addShares(limit_keeper &keeper, const std::map<resource_id, removed_home> &shares,
+void addShares(limit_keeper &keeper, const std::map<resource_id, share_transfer> &shares,
                time_point now, random_engine &random, keeper_actions &actions)
 {
     for (const auto &[resource, part] : shares) {
@@ -300,7 +300,7 @@
     case keeper_goal::Rebalance:
         return prepareRebalance(keeper, now, random, actions);
     case keeper_goal::Witnesses:
-        return prepareWitnesses(keeper, now, actions);
+        return prepareWitnessChange(keeper, now, actions);
     case keeper_goal::Reclaim:
         return prepareReclaim(keeper, now);
     case keeper_goal::Predecessor:
@@ -345,7 +345,7 @@
         }
         break;
     case keeper_goal::Witnesses:
-        finishWitnesses(keeper.lease, isCommitted);
+        finishWitnessChange(keeper.lease, isCommitted);
         applyLease(keeper, now);
         break;
     case keeper_goal::Reclaim:
--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -41,7 +41,7 @@
 /// Arrivals per second below which a limit counts as unused.
 constexpr double idleRate = 0.01;
 
-share_count sharesForRate(const share_book &book, double perSecond)
+share_count sharesForRate(const share_ledger &book, double perSecond)
 {
     if (book.rate == 0)
         return 0;
@@ -50,7 +50,7 @@
 }
 
 /// Shares whose burst holds @p tokens.
-share_count sharesForTokens(const share_book &book, token_amount tokens)
+share_count sharesForTokens(const share_ledger &book, token_amount tokens)
 {
     if (book.burst == 0)
         return 0;
@@ -65,17 +65,17 @@
     if (entry.book.rate == 0)
         return static_cast<share_count>(entry.inUse) + entry.waiting;
     const double steady = slowHeadroom * decayed(entry.demand, now).slow;
-    return sharesForRate(entry.book, std::max(provenLeast(entry.demand, now),
-                                              std::min(steady, provenMost(entry.demand, now))));
+    return sharesForRate(entry.book, std::max(rateLowerBound(entry.demand, now),
+                                              std::min(steady, rateUpperBound(entry.demand, now))));
 }
 
 /// Shares that should be borrowed for seconds. A bucket that is half full shows that there is no
 /// lack. A small part of a small burst is borrowed token by token instead.
 share_count missingRate(const limit_entry &entry, time_point now)
 {
-    const share_book &book = entry.book;
-    const double rate =
-            std::max(slowHeadroom * steadyLeast(entry.demand, now), provenLeast(entry.demand, now));
+    const share_ledger &book = entry.book;
+    const double rate = std::max(slowHeadroom * steadyRateLowerBound(entry.demand, now),
+                                 rateLowerBound(entry.demand, now));
     share_count need = book.rate == 0 ? neededShares(entry, now) : sharesForRate(book, rate);
     // Statements that queue up show a lack before the estimates have followed.
     if (book.rate > 0 && entry.waiting > 1)
@@ -96,7 +96,7 @@
 /// as the own shares can keep them.
 token_amount missingTokens(const limit_entry &entry, time_point now)
 {
-    const share_book &book = entry.book;
+    const share_ledger &book = entry.book;
     if (book.rate == 0)
         return 0;
     const token_amount waiting = static_cast<token_amount>(entry.waiting) * oneToken;
@@ -175,7 +175,7 @@
 {
     const loan_times &times = desk.settings.times;
     const duration longest =
-            entry.book.in.at(id).kind == loan_kind::Rate ? times.length : times.tokenLength;
+            entry.book.in.at(id).kind == loan_kind::Rate ? times.length : times.tokenLoanDuration;
     if (auto back = returnLoan(entry.book, resource, id, longest, now))
         returns[id.lender].loans.push_back(std::move(*back));
 }
@@ -218,7 +218,7 @@
         if (loan.kind == loan_kind::Tokens && loan.shares > 0)
             unused.push_back(id);
     for (const loan_id &id : unused) {
-        const share_book &book = entry.book;
+        const share_ledger &book = entry.book;
         const share_count own = book.usable - book.in.at(id).shares;
         const token_amount room = partOf(book.burst, std::min(own, book.total), book.total);
         const bool isLarge = book.in.at(id).shares * largePart >= book.total;
@@ -274,7 +274,7 @@
 lent_part rateToLend(const limit_entry &entry, const loan_ask &ask, share_count need,
                      share_count lendable)
 {
-    const share_book &book = entry.book;
+    const share_ledger &book = entry.book;
     if (need > book.usable)
         return {};
     const share_count spare = std::min(book.usable - need, lendable);
@@ -287,7 +287,7 @@
 /// Half of the tokens, but a whole one if there is one, with the shares that make room for them.
 lent_part tokensToLend(const limit_entry &entry, const loan_ask &ask, share_count lendable)
 {
-    const share_book &book = entry.book;
+    const share_ledger &book = entry.book;
     const token_amount half =
             std::max(book.bucket.level / 2, std::min(book.bucket.level, oneToken));
     const bool isTiny =
@@ -395,7 +395,7 @@
         return std::min<share_count>(static_cast<share_count>(entry.inUse) + entry.waiting,
                                      entry.book.total);
     return sharesForRate(entry.book, std::max(slowHeadroom * decayed(entry.demand, now).slow,
-                                              provenLeast(entry.demand, now)));
+                                              rateLowerBound(entry.demand, now)));
 }
 
 std::vector<loan_message> poll(loan_desk &desk, time_point now)
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -134,7 +134,7 @@
         observeAnswer(owner.view, statement.progress.member, answer, statement.progress.term,
                       statement.sentAt, turn.now);
         reportPrimary(turn);
-        recordService(owner.meter, turn.now - statement.sentAt);
+        recordServiceTime(owner.meter, turn.now - statement.sentAt);
     }
     if (verdict == answer_verdict::AskPrimaryAge)
         noteFailure(turn, statement.progress.member, member_failure::FarBehind);
--- a/src/core/share_book.cpp
+++ b/src/core/share_ledger.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Accounts of shares and the bucket that follows them.
 
-#include <fuchsiagw/core/share_book.hpp>
+#include <fuchsiagw/core/share_ledger.hpp>
 
 #include <algorithm>
 #include <cassert>
@@ -11,7 +11,7 @@
 namespace {
 
 /// Recomputes what depends on the loans and the lease, and gives the bucket its new shape.
-void settle(share_book &book, time_point now)
+void settle(share_ledger &book, time_point now)
 {
     const bool homeUsable = now < book.homeUntil;
     book.lent = 0;
@@ -55,7 +55,7 @@
     return whole / total * shares + whole % total * shares / total;
 }
 
-void advance(share_book &book, time_point now)
+void advance(share_ledger &book, time_point now)
 {
     while (book.nextChange <= now) {
         const time_point at = std::max(book.nextChange, book.advancedTo);
@@ -69,7 +69,7 @@
     book.advancedTo = std::max(book.advancedTo, now);
 }
 
-void setLimit(share_book &book, std::int64_t rate, token_amount burst, share_count total,
+void setLimit(share_ledger &book, std::int64_t rate, token_amount burst, share_count total,
               time_point now)
 {
     assert(total > 0);
@@ -80,7 +80,7 @@
     settle(book, book.advancedTo);
 }
 
-void setHomeUntil(share_book &book, time_point until, time_point now)
+void setHomeUntil(share_ledger &book, time_point until, time_point now)
 {
     // Applies a lapse that lies in the past first: its tokens are lost even if the lease is back.
     advance(book, now);
@@ -88,7 +88,7 @@
     settle(book, book.advancedTo);
 }
 
-void addHome(share_book &book, share_count shares, token_amount tokens, time_point now)
+void addHome(share_ledger &book, share_count shares, token_amount tokens, time_point now)
 {
     assert(shares >= 0 && tokens >= 0);
     advance(book, now);
@@ -98,10 +98,10 @@
         now);
 }
 
-removed_home removeHome(share_book &book, share_count shares, time_point now)
+share_transfer removeHome(share_ledger &book, share_count shares, time_point now)
 {
     advance(book, now);
-    removed_home removed;
+    share_transfer removed;
     removed.shares = std::clamp<share_count>(shares, 0, book.home - book.lent);
     const bool homeUsable = book.advancedTo < book.homeUntil;
     if (homeUsable && book.usable > 0)
@@ -112,25 +112,25 @@
     return removed;
 }
 
-share_count usableShares(share_book &book, time_point now)
+share_count usableShares(share_ledger &book, time_point now)
 {
     advance(book, now);
     return book.usable;
 }
 
-share_count lendableShares(share_book &book, time_point now)
+share_count lendableShares(share_ledger &book, time_point now)
 {
     advance(book, now);
     return book.advancedTo < book.homeUntil ? book.home - book.lent : 0;
 }
 
-bool takeToken(share_book &book, time_point now)
+bool takeToken(share_ledger &book, time_point now)
 {
     advance(book, now);
     return take(book.bucket, oneToken, book.advancedTo);
 }
 
-std::optional<loan_terms> grantLoan(share_book &book, const resource_id &resource,
+std::optional<loan_terms> grantLoan(share_ledger &book, const resource_id &resource,
                                     incarnation_id lender, incarnation_id borrower, loan_kind kind,
                                     share_count shares, token_amount tokens,
                                     const loan_times &times, time_point now)
@@ -145,18 +145,18 @@
     if (entry == book.out.end()) {
         if (shares == 0)
             return std::nullopt;
-        entry = book.out.emplace(loan_id{ lender, book.nextLoan++ }, loan_out{}).first;
+        entry = book.out.emplace(loan_id{ lender, book.nextLoan++ }, granted_loan{}).first;
         entry->second.borrower = borrower;
         entry->second.kind = kind;
     }
-    loan_out &loan = entry->second;
+    granted_loan &loan = entry->second;
     // Tokens need room in the shares that move with them: a loan that is only extended may hold
     // as many already as it has room for.
     const token_amount room = partOf(book.burst, std::min(shares, book.total), book.total);
     const token_amount moved = takeUpTo(book.bucket, std::min(tokens, room), book.advancedTo);
     loan.shares += shares;
     ++loan.serial;
-    const duration length = kind == loan_kind::Rate ? times.length : times.tokenLength;
+    const duration length = kind == loan_kind::Rate ? times.length : times.tokenLoanDuration;
     loan.endsAt = std::max(loan.endsAt, book.advancedTo + length + times.driftMargin);
     settle(book, book.advancedTo);
     return loan_terms{
@@ -164,7 +164,7 @@
     };
 }
 
-bool receiveLoan(share_book &book, const loan_terms &terms, time_point sentAt, time_point now)
+bool receiveLoan(share_ledger &book, const loan_terms &terms, time_point sentAt, time_point now)
 {
     advance(book, now);
     const time_point endsAt = sentAt + duration(terms.remainingMicros);
@@ -173,7 +173,7 @@
     const auto known = book.in.find(terms.id);
     if (known != book.in.end() && known->second.serial >= terms.serial)
         return false;
-    loan_in &loan = book.in[terms.id];
+    received_loan &loan = book.in[terms.id];
     const bool isMark = loan.shares == 0;
     const share_count more = std::max<share_count>(terms.shares - loan.shares, 0);
     loan.shares = terms.shares;
@@ -187,7 +187,7 @@
     return true;
 }
 
-std::optional<loan_return> returnLoan(share_book &book, const resource_id &resource,
+std::optional<loan_return> returnLoan(share_ledger &book, const resource_id &resource,
                                       const loan_id &id, duration longest, time_point now)
 {
     advance(book, now);
@@ -203,7 +203,7 @@
     return loan_return{ id, resource, entry->second.serial, tokens };
 }
 
-bool acceptReturn(share_book &book, const loan_return &message, time_point now)
+bool acceptReturn(share_ledger &book, const loan_return &message, time_point now)
 {
     advance(book, now);
     const auto entry = book.out.find(message.id);
--- a/src/core/share_pool.cpp
+++ b/src/core/share_pool.cpp
@@ -65,9 +65,9 @@
     }
 };
 
-removed_home takeFrom(pool_row &pool, share_count wanted)
+share_transfer takeFrom(pool_row &pool, share_count wanted)
 {
-    removed_home taken;
+    share_transfer taken;
     taken.shares = std::clamp<share_count>(wanted, 0, std::max<share_count>(pool.free, 0));
     if (taken.shares == 0)
         return taken;
@@ -86,7 +86,7 @@
         lease.homes.erase(resource);
 }
 
-void giveBack(draft &rows, lease_row &lease, const std::map<resource_id, removed_home> &given)
+void giveBack(draft &rows, lease_row &lease, const std::map<resource_id, share_transfer> &given)
 {
     for (const auto &[resource, removed] : given) {
         if (removed.shares == 0)
@@ -161,8 +161,8 @@
     return holders;
 }
 
-share_count fairPart(share_count total, const std::vector<incarnation_id> &holders,
-                     incarnation_id self)
+share_count fairShare(share_count total, const std::vector<incarnation_id> &holders,
+                      incarnation_id self)
 {
     const auto place = std::find(holders.begin(), holders.end(), self);
     if (place == holders.end())
@@ -172,7 +172,7 @@
     return total / count + (rank < total % count ? 1 : 0);
 }
 
-share_count wantedMove(share_count home, share_count fair, const pool_row &pool)
+share_count rebalanceDelta(share_count home, share_count fair, const pool_row &pool)
 {
     const share_count difference = fair - home;
     const bool isSmall = std::abs(difference) * moveHysteresis < fair;
@@ -201,17 +201,17 @@
     return rows.finish(id);
 }
 
-share_move joinPool(const std::string &id, const table_view &view, lease_row row,
-                    const std::map<resource_id, share_count> &wanted)
+share_transaction joinPool(const std::string &id, const table_view &view, lease_row row,
+                           const std::map<resource_id, share_count> &wanted)
 {
     assert(row.homes.empty());
-    share_move move;
+    share_transaction move;
     draft rows{ view, {}, {}, {} };
     for (const auto &[resource, shares] : wanted) {
         const pool_row *known = findPool(view, resource);
         if (known == nullptr || known->free <= 0 || shares <= 0)
             continue;
-        const removed_home taken = takeFrom(*rows.edit<pool_row>(poolKey(resource)), shares);
+        const share_transfer taken = takeFrom(*rows.edit<pool_row>(poolKey(resource)), shares);
         move.gained[resource] = taken;
         changeHome(row, resource, taken.shares);
     }
@@ -222,12 +222,12 @@
     return move;
 }
 
-std::optional<share_move> moveShares(const std::string &id, const table_view &view,
-                                     incarnation_id self,
-                                     const std::map<resource_id, share_count> &wanted,
-                                     const std::map<resource_id, removed_home> &given)
+std::optional<share_transaction> moveShares(const std::string &id, const table_view &view,
+                                            incarnation_id self,
+                                            const std::map<resource_id, share_count> &wanted,
+                                            const std::map<resource_id, share_transfer> &given)
 {
-    share_move move;
+    share_transaction move;
     draft rows{ view, {}, {}, {} };
     auto *lease = rows.edit<lease_row>(leaseKey(self));
     if (lease == nullptr)
@@ -238,7 +238,7 @@
         const pool_row *known = findPool(view, resource);
         if (known == nullptr || known->free <= 0 || shares <= 0)
             continue;
-        const removed_home taken = takeFrom(*rows.edit<pool_row>(poolKey(resource)), shares);
+        const share_transfer taken = takeFrom(*rows.edit<pool_row>(poolKey(resource)), shares);
         move.gained[resource] = taken;
         changeHome(*lease, resource, taken.shares);
     }
@@ -248,11 +248,11 @@
     return move;
 }
 
-std::optional<share_move> leavePool(const std::string &id, const table_view &view,
-                                    incarnation_id self,
-                                    const std::map<resource_id, removed_home> &given)
+std::optional<share_transaction> leavePool(const std::string &id, const table_view &view,
+                                           incarnation_id self,
+                                           const std::map<resource_id, share_transfer> &given)
 {
-    share_move move;
+    share_transaction move;
     draft rows{ view, {}, {}, {} };
     const std::string key = leaseKey(self);
     auto *lease = rows.edit<lease_row>(key);
--- a/testing/limits_world_node.cpp
+++ b/testing/limits_world_node.cpp
@@ -92,7 +92,7 @@
     submit(world, index);
 }
 
-void startMove(limits_world &world, std::size_t index, share_move move)
+void startMove(limits_world &world, std::size_t index, share_transaction move)
 {
     const incarnation_id self = world.nodes[index].self.incarnation;
     const table_transaction transaction = move.transaction;
@@ -131,9 +131,9 @@
 share_count fairOf(limits_world &world, const resource_id &resource, const world_node &node,
                    const std::vector<peer_ref> &live)
 {
-    const share_book &book = node.desk.limits.at(resource).book;
-    return fairPart(book.total, holdersOf(world, resource, book.burst, live),
-                    node.self.incarnation);
+    const share_ledger &book = node.desk.limits.at(resource).book;
+    return fairShare(book.total, holdersOf(world, resource, book.burst, live),
+                     node.self.incarnation);
 }
 
 /// The list lags, so a new instance may not find itself in it.
@@ -159,7 +159,7 @@
     std::map<resource_id, share_count> wanted;
     for (const auto &[resource, entry] : node.desk.limits)
         wanted[resource] = fairOf(world, resource, node, live);
-    share_move move = joinPool(
+    share_transaction move = joinPool(
             nextId(world), world.table,
             { node.self.incarnation, node.self.instance, node.self.zone, witnesses, {}, {} },
             wanted);
@@ -185,7 +185,7 @@
     const time_point local = localTime(world, node);
     node.desk.areLoansOn = false;
     std::map<incarnation_id, loan_returns> returns;
-    std::map<resource_id, removed_home> given;
+    std::map<resource_id, share_transfer> given;
     bool hasLent = false;
     for (auto &[resource, entry] : node.desk.limits) {
         std::vector<loan_id> loans;
@@ -207,7 +207,7 @@
     }
     const bool isLast = !move->transaction.deletes.empty();
     const incarnation_id self = node.self.incarnation;
-    const share_move copy = *move;
+    const share_transaction copy = *move;
     startCall(world, index, move->transaction, [&world, self, copy, isLast](bool isCommitted) {
         const std::size_t to = nodeOf(world, self);
         if (to == world.nodes.size())
@@ -232,7 +232,7 @@
         if (lost.empty() && !isShort)
             return;
         std::vector<incarnation_id> next = chooseWitnesses(node.self, live, lost, world.random);
-        prepareWitnesses(node.lease, next);
+        prepareWitnessChange(node.lease, next);
         return;
     }
     if (!isChangeReady(node.lease, local))
@@ -241,12 +241,12 @@
             changeWitnesses(nextId(world), world.table, node.self.incarnation, node.lease.next);
     if (!change)
         return;
-    submitWitnesses(node.lease);
+    submitWitnessChange(node.lease);
     const incarnation_id self = node.self.incarnation;
     startCall(world, index, *change, [&world, self](bool isCommitted) {
         const std::size_t to = nodeOf(world, self);
         if (to != world.nodes.size())
-            finishWitnesses(world.nodes[to].lease, isCommitted);
+            finishWitnessChange(world.nodes[to].lease, isCommitted);
     });
 }
 
@@ -261,14 +261,14 @@
     const bool isListNew = node.knownPeers != live;
     node.knownPeers = live;
     std::map<resource_id, share_count> wanted;
-    std::map<resource_id, removed_home> given;
+    std::map<resource_id, share_transfer> given;
     for (auto &[resource, entry] : node.desk.limits) {
         const pool_row *pool = findPool(world.table, resource);
         if (pool == nullptr)
             continue;
         const auto home = own->homes.find(resource);
-        const share_count difference = wantedMove(home == own->homes.end() ? 0 : home->second,
-                                                  fairOf(world, resource, node, live), *pool);
+        const share_count difference = rebalanceDelta(home == own->homes.end() ? 0 : home->second,
+                                                      fairOf(world, resource, node, live), *pool);
         if (difference > 0)
             wanted[resource] = difference;
         else if (difference < 0)
@@ -325,7 +325,7 @@
             });
         });
     }
-    for (const vote_question &question : dueVoteQuestions(node.witness, times, local))
+    for (const vote_poll &question : dueVotePolls(node.witness, times, local))
         for (const incarnation_id each : question.witnesses) {
             const incarnation_id self = node.self.incarnation;
             const incarnation_id holder = question.holder;
--- a/tests/unit-fair-queue.cpp
+++ b/tests/unit-fair-queue.cpp
@@ -119,18 +119,18 @@
 TEST(early_refusal, judgesByTheOwnPlaceInTheQueue)
 {
     fair_queue queue;
-    service_meter meter;
+    service_time_average meter;
     const time_point now{};
     queued_statement statement{ 1, workspace_id{ "a" }, 0, false,
                                 now + std::chrono::milliseconds(50) };
-    CHECK_FALSE(isUnreachable(meter, queue, statement, 1, 1, 0, now));
+    CHECK_FALSE(isDeadlineUnreachable(meter, queue, statement, 1, 1, 0, now));
     for (int i = 0; i < 100; ++i)
-        recordService(meter, std::chrono::milliseconds(10));
+        recordServiceTime(meter, std::chrono::milliseconds(10));
     for (std::uint64_t i = 10; i < 110; ++i)
         enqueue(queue, { i, workspace_id{ "f" }, 0, false, noDeadline }, 1);
-    CHECK_FALSE(isUnreachable(meter, queue, statement, 1, 1, 0, now));
+    CHECK_FALSE(isDeadlineUnreachable(meter, queue, statement, 1, 1, 0, now));
     statement.workspace = workspace_id{ "f" };
-    CHECK_TRUE(isUnreachable(meter, queue, statement, 1, 1, 0, now));
-    CHECK_FALSE(isUnreachable(meter, queue, statement, 1, 60, 0, now));
-    CHECK_TRUE(isUnreachable(meter, queue, statement, 1, 60, 0, statement.deadline));
+    CHECK_TRUE(isDeadlineUnreachable(meter, queue, statement, 1, 1, 0, now));
+    CHECK_FALSE(isDeadlineUnreachable(meter, queue, statement, 1, 60, 0, now));
+    CHECK_TRUE(isDeadlineUnreachable(meter, queue, statement, 1, 60, 0, statement.deadline));
 }
--- a/tests/unit-incarnation-lease.cpp
+++ b/tests/unit-incarnation-lease.cpp
@@ -72,17 +72,17 @@
 {
     promise(1, 1'000, 1'001);
     promise(2, 1'000, 1'001);
-    prepareWitnesses(holder, { 2, 3, 4 });
+    prepareWitnessChange(holder, { 2, 3, 4 });
     CHECK_FALSE(isChangeReady(holder, at(1'002)));
     CHECK_TRUE(homeUntil(holder) == at(7'000));
     promise(4, 1'500, 1'501);
     promise(3, 1'500, 1'501);
     CHECK_TRUE(isChangeReady(holder, at(1'502)));
-    submitWitnesses(holder);
+    submitWitnessChange(holder);
     promise(3, 2'000, 2'001);
     promise(4, 2'000, 2'001);
     CHECK_TRUE(homeUntil(holder) == at(7'000));
-    finishWitnesses(holder, true);
+    finishWitnessChange(holder, true);
     CHECK_TRUE(homeUntil(holder) == at(8'000));
 }
 
@@ -91,8 +91,8 @@
 {
     for (const std::size_t each : { 1, 2, 3 })
         promise(each, 1'000, 1'001);
-    CHECK_TRUE(dueVoteQuestions(witnesses[1], times, at(9'000)).empty());
-    const auto questions = dueVoteQuestions(witnesses[1], times, at(9'002));
+    CHECK_TRUE(dueVotePolls(witnesses[1], times, at(9'000)).empty());
+    const auto questions = dueVotePolls(witnesses[1], times, at(9'002));
     LONGS_EQUAL(1, questions.size());
     LONGS_EQUAL(2, questions.front().witnesses.size());
     CHECK_TRUE(reclaimable(witnesses[1], std::chrono::seconds(4), at(99'000)).empty());
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -58,9 +58,9 @@
                        [&](const auto &each) { return isWanted(each.second); });
 }
 
-using core::loan_in;
+using core::granted_loan;
 using core::loan_kind;
-using core::loan_out;
+using core::received_loan;
 using core::watched_lease;
 
 const std::array<step, 13> steps{ {
@@ -70,24 +70,25 @@
         { "rate_granted", prelude::None,
           [](const world_node &node) {
               return anyOut(node,
-                            [](const loan_out &loan) { return loan.kind == loan_kind::Rate; });
+                            [](const granted_loan &loan) { return loan.kind == loan_kind::Rate; });
           } },
         { "tokens_granted", prelude::None,
           [](const world_node &node) {
-              return anyOut(node,
-                            [](const loan_out &loan) { return loan.kind == loan_kind::Tokens; });
+              return anyOut(node, [](const granted_loan &loan) {
+                  return loan.kind == loan_kind::Tokens;
+              });
           } },
         { "loan_in_use", prelude::None,
           [](const world_node &node) {
-              return anyIn(node, [](const loan_in &loan) { return loan.shares > 0; });
+              return anyIn(node, [](const received_loan &loan) { return loan.shares > 0; });
           } },
         { "loan_extended", prelude::None,
           [](const world_node &node) {
-              return anyOut(node, [](const loan_out &loan) { return loan.serial >= 2; });
+              return anyOut(node, [](const granted_loan &loan) { return loan.serial >= 2; });
           } },
         { "loan_returned", prelude::None,
           [](const world_node &node) {
-              return anyIn(node, [](const loan_in &loan) { return loan.shares == 0; });
+              return anyIn(node, [](const received_loan &loan) { return loan.shares == 0; });
           } },
         { "voted", prelude::Kill,
           [](const world_node &node) {
--- a/tests/unit-loan-policy.cpp
+++ b/tests/unit-loan-policy.cpp
@@ -39,9 +39,9 @@
         all.clear();
         for (const peer_ref &each : live) {
             loan_desk &desk = all.emplace_back(makeDesk(each, {}, at(0)));
-            share_book &book = openLimit(desk, resource, std::int64_t(rate * oneToken),
-                                         token_amount(burst * oneToken), workspaceShares, at(0))
-                                       .book;
+            share_ledger &book = openLimit(desk, resource, std::int64_t(rate * oneToken),
+                                           token_amount(burst * oneToken), workspaceShares, at(0))
+                                         .book;
             addHome(book, workspaceShares / desks, 0, at(0));
             setCandidates(desk, resource, holders, live, random);
             setHomeUntil(desk, noDeadline, at(0));
--- a/tests/unit-share-book.cpp
+++ b/tests/unit-share-ledger.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Tests of the accounts of shares and loans.
 
-#include <fuchsiagw/core/share_book.hpp>
+#include <fuchsiagw/core/share_ledger.hpp>
 
 #include <CppUTest/TestHarness.h>
 
@@ -17,9 +17,9 @@
     return time_point(std::chrono::milliseconds(millis));
 }
 
-share_book bookWith(share_count home, token_amount tokens)
+share_ledger bookWith(share_count home, token_amount tokens)
 {
-    share_book book;
+    share_ledger book;
     setLimit(book, 100 * oneToken, 100 * oneToken, workspaceShares, at(0));
     setHomeUntil(book, at(60'000), at(0));
     addHome(book, home, tokens, at(0));
@@ -28,12 +28,12 @@
 
 } // namespace
 
-TEST_GROUP(share_book)
+TEST_GROUP(share_ledger)
 {
     resource_id resource{ resource_kind::Workspace, "libros" };
     loan_times times;
-    share_book lender = bookWith(600'000, 60 * oneToken);
-    share_book borrower = bookWith(0, 0);
+    share_ledger lender = bookWith(600'000, 60 * oneToken);
+    share_ledger borrower = bookWith(0, 0);
 
     loan_terms lend(share_count shares, std::int64_t millis)
     {
@@ -45,7 +45,7 @@
 };
 
 // Guards against shares that lender and borrower count at the same time.
-TEST(share_book, giverSubtractsFirstAndBorrowerEndsFirst)
+TEST(share_ledger, giverSubtractsFirstAndBorrowerEndsFirst)
 {
     const loan_terms terms = lend(100'000, 5);
     LONGS_EQUAL(500'000, usableShares(lender, at(5)));
@@ -59,12 +59,12 @@
 }
 
 // Guards against a loan that is counted twice because its message came twice or late.
-TEST(share_book, ignoresDuplicatesAndLateGrants)
+TEST(share_ledger, ignoresDuplicatesAndLateGrants)
 {
     const loan_terms terms = lend(100'000, 5);
     CHECK_FALSE(receiveLoan(borrower, terms, at(0), at(4'000)));
     LONGS_EQUAL(0, usableShares(borrower, at(4'000)));
-    share_book other = bookWith(0, 0);
+    share_ledger other = bookWith(0, 0);
     CHECK_TRUE(receiveLoan(other, terms, at(0), at(10)));
     CHECK_FALSE(receiveLoan(other, terms, at(0), at(11)));
     LONGS_EQUAL(100'000, usableShares(other, at(11)));
@@ -72,7 +72,7 @@
 }
 
 // Guards against a return that frees shares at the lender while a later grant revives the loan.
-TEST(share_book, returnThatCrossesAnExtensionIsIgnored)
+TEST(share_ledger, returnThatCrossesAnExtensionIsIgnored)
 {
     CHECK_TRUE(receiveLoan(borrower, lend(100'000, 5), at(0), at(10)));
     const loan_terms extension = lend(0, 3'000);
@@ -86,7 +86,7 @@
 }
 
 // Guards against a returned loan that a late grant revives for as long as its mark is kept.
-TEST(share_book, revivedLoanEndsWithItsGrant)
+TEST(share_ledger, revivedLoanEndsWithItsGrant)
 {
     CHECK_TRUE(receiveLoan(borrower, lend(100'000, 5), at(0), at(10)));
     const loan_terms extension = lend(0, 500);
@@ -97,7 +97,7 @@
 }
 
 // Guards against shares that stay idle although they came back, or come back twice.
-TEST(share_book, earlyReturnIsCountedOnce)
+TEST(share_ledger, earlyReturnIsCountedOnce)
 {
     const loan_terms terms = lend(100'000, 5);
     CHECK_TRUE(receiveLoan(borrower, terms, at(0), at(10)));
@@ -109,7 +109,7 @@
 }
 
 // Guards against a paused holder that on waking uses, or has earned tokens from, a lapsed lease.
-TEST(share_book, lapsedLeaseStopsHomeSharesAtItsDeadline)
+TEST(share_ledger, lapsedLeaseStopsHomeSharesAtItsDeadline)
 {
     setHomeUntil(lender, at(1'000), at(0));
     LONGS_EQUAL(600'000, usableShares(lender, at(999)));
@@ -122,10 +122,10 @@
 }
 
 // Guards against home shares that are returned to the pool while they are lent.
-TEST(share_book, lentSharesCannotLeaveHome)
+TEST(share_ledger, lentSharesCannotLeaveHome)
 {
     static_cast<void>(lend(400'000, 5));
-    const removed_home removed = removeHome(lender, 600'000, at(6));
+    const share_transfer removed = removeHome(lender, 600'000, at(6));
     LONGS_EQUAL(200'000, removed.shares);
     CHECK_TRUE(removed.tokens <= 20 * oneToken);
     LONGS_EQUAL(0, usableShares(lender, at(7)));
@@ -133,9 +133,9 @@
 }
 
 // Guards against a burst of 5 that nine instances can't use because no share holds one token.
-TEST(share_book, tokensMoveUntilATinyBurstIsUsable)
+TEST(share_ledger, tokensMoveUntilATinyBurstIsUsable)
 {
-    share_book poor = bookWith(111'111, 0);
+    share_ledger poor = bookWith(111'111, 0);
     setLimit(poor, 5 * oneToken, 5 * oneToken, workspaceShares, at(0));
     setLimit(lender, 5 * oneToken, 5 * oneToken, workspaceShares, at(0));
     CHECK_FALSE(takeToken(poor, at(3'000)));
--- a/tests/unit-share-pool.cpp
+++ b/tests/unit-share-pool.cpp
@@ -43,7 +43,7 @@
                 all += lease->homes.contains(resource) ? lease->homes.at(resource) : 0;
         return all;
     }
-    share_move join(incarnation_id who, share_count shares, share_count links)
+    share_transaction join(incarnation_id who, share_count shares, share_count links)
     {
         return joinPool(id(), table, { who, instance_id{ "i" }, {}, { 7, 8, 9 }, {}, {} },
                         { { workspace, shares }, { connections, links } });
@@ -59,7 +59,7 @@
 TEST(share_pool, sumIsAlwaysTheTotal)
 {
     CHECK_TRUE(apply(join(1, 400'000, 8).transaction));
-    const share_move second = join(2, 900'000, 9);
+    const share_transaction second = join(2, 900'000, 9);
     CHECK_TRUE(apply(second.transaction));
     LONGS_EQUAL(600'000, second.gained.at(workspace).shares);
     LONGS_EQUAL(30 * oneToken, second.gained.at(workspace).tokens);
@@ -85,8 +85,8 @@
 // taken for a failure.
 TEST(share_pool, racesAndLostAnswersAreDecidedByTheRows)
 {
-    const share_move first = join(1, 600'000, 0);
-    const share_move second = join(2, 600'000, 0);
+    const share_transaction first = join(1, 600'000, 0);
+    const share_transaction second = join(2, 600'000, 0);
     CHECK_TRUE(judge(first.transaction, table) == transaction_state::Undecided);
     CHECK_TRUE(apply(first.transaction));
     CHECK_FALSE(apply(second.transaction));
@@ -106,7 +106,7 @@
     LONGS_EQUAL(-6, findPool(table, connections)->free);
     LONGS_EQUAL(10, sum(connections));
     CHECK_FALSE(join(2, 0, 4).gained.contains(connections));
-    LONGS_EQUAL(-6, wantedMove(16, 10, *findPool(table, connections)));
+    LONGS_EQUAL(-6, rebalanceDelta(16, 10, *findPool(table, connections)));
 }
 
 // Guards against fair parts that do not add up, against holders with a burst too small to use and
@@ -124,11 +124,11 @@
     CHECK_TRUE(few[0] % 3 != few[1] % 3 && few[1] % 3 != few[2] % 3 && few[0] % 3 != few[2] % 3);
     const share_count all = std::accumulate(few.begin(), few.end(), share_count{ 0 },
                                             [&](share_count part, auto each) {
-                                                return part + fairPart(workspaceShares, few, each);
+                                                return part + fairShare(workspaceShares, few, each);
                                             });
     LONGS_EQUAL(workspaceShares, all);
     pool_row pool{ workspace, workspaceShares, 50, 0, {} };
-    LONGS_EQUAL(50, wantedMove(100, 200, pool));
-    LONGS_EQUAL(0, wantedMove(195, 200, pool));
-    LONGS_EQUAL(-100, wantedMove(100, 0, pool));
+    LONGS_EQUAL(50, rebalanceDelta(100, 200, pool));
+    LONGS_EQUAL(0, rebalanceDelta(195, 200, pool));
+    LONGS_EQUAL(-100, rebalanceDelta(100, 0, pool));
 }
