--- a/include/fuchsiagw/core/demand_estimate.hpp
+++ b/include/fuchsiagw/core/demand_estimate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Estimates of how many statements of a workspace arrive at an instance.
+/// @brief Estimates the arrival rate of a workspace's statements at an instance.
 
 #pragma once
 
@@ -7,33 +7,32 @@
 
 namespace fuchsiagw::core {
 
-/// Arrivals per second over a short and a long window.
+/// Arrivals per second, averaged with exponential decay over a short and a long window.
 struct demand_estimate
 {
-    double fast = 0; ///< over the last 0.2 s
-    double slow = 0; ///< over the last 2 s
-    time_point at{};
+    double fast = 0; ///< time constant 0.2 s
+    double slow = 0; ///< time constant 2 s
+    time_point updatedAt{};
 };
 
-/// @brief Counts one arrival.
+/// @brief Records the arrival of one statement.
 /// @complexity constant
 void recordArrival(demand_estimate &demand, time_point now);
 
-/// @return the estimate at @p now
+/// @return the estimate, decayed to @p now
 /// @complexity constant
 [[nodiscard]] demand_estimate decayed(const demand_estimate &demand, time_point now);
 
-/// @return a rate that the short window shows to be exceeded: the count of arrivals in it deviates
-/// by about its square root from the mean, and two deviations are allowed for
+/// @return a lower bound of the rate over the short window. The standard deviation of the number of
+/// arrivals is about its square root; two of them are subtracted.
 /// @complexity constant
 [[nodiscard]] double rateLowerBound(const demand_estimate &demand, time_point now);
 
-/// @return a rate that the short window and the silence since the last arrival show not to be
-/// exceeded
+/// @return an upper bound of the rate, from the short window and the time since the last arrival
 /// @complexity constant
 [[nodiscard]] double rateUpperBound(const demand_estimate &demand, time_point now);
 
-/// @return a rate that the long window shows to be exceeded, with one deviation allowed for
+/// @return a lower bound of the rate over the long window; one standard deviation is subtracted
 /// @complexity constant
 [[nodiscard]] double steadyRateLowerBound(const demand_estimate &demand, time_point now);
 
--- a/include/fuchsiagw/core/early_refusal.hpp
+++ b/include/fuchsiagw/core/early_refusal.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Refuses a statement that can't start before its deadline, judged by the measured service
-/// rate of the queue.
+/// @brief Admission control by deadline: decides whether a queued statement can still start before
+/// its deadline, based on the average service time.
 
 #pragma once
 
@@ -11,31 +11,32 @@
 
 namespace fuchsiagw::core {
 
-/// Moving average of how long a statement holds a connection.
+/// Moving average of the time for which a statement holds a connection.
 struct service_time_average
 {
     std::int64_t meanNanos = 0;
-    std::uint32_t samples = 0; ///< counted up to a bound only
+    std::uint32_t samples = 0; ///< stops at the number of averaged samples
 };
 
-/// @brief Records that a statement held a connection for @p took.
+/// @brief Records the time for which a statement held a connection.
 /// @complexity constant
-void recordServiceTime(service_time_average &meter, duration took);
+void recordServiceTime(service_time_average &average, duration serviceTime);
 
 /// @brief Estimates how long one more statement of @p workspace would wait for a connection.
-/// @param connections that serve the queue; with none the wait is duration::max()
-/// @param free connections that are idle now
-/// @return zero as long as nothing was measured
+/// @param connections number of connections that serve the queue; if 0, the wait is duration::max()
+/// @param idleConnections number of connections that are idle now
+/// @return zero while no service time is recorded
 /// @complexity linear in the queue's lanes
-[[nodiscard]] duration expectedWait(const service_time_average &meter, const fair_queue &queue,
+[[nodiscard]] duration expectedWait(const service_time_average &average, const fair_queue &queue,
                                     const workspace_id &workspace, std::uint32_t weight,
-                                    std::uint32_t connections, std::uint32_t free);
+                                    std::uint32_t connections, std::uint32_t idleConnections);
 
-/// @brief Tells whether the statement must be refused with error_kind::DeadlineUnreachable.
+/// @brief Tells whether the statement must be rejected with error_kind::DeadlineUnreachable,
+/// because its deadline has passed or the expected wait exceeds the remaining time.
 /// @complexity linear in the queue's lanes
-[[nodiscard]] bool isDeadlineUnreachable(const service_time_average &meter, const fair_queue &queue,
-                                         const queued_statement &statement, std::uint32_t weight,
-                                         std::uint32_t connections, std::uint32_t free,
-                                         time_point now);
+[[nodiscard]] bool isDeadlineUnreachable(const service_time_average &average,
+                                         const fair_queue &queue, const queued_statement &statement,
+                                         std::uint32_t weight, std::uint32_t connections,
+                                         std::uint32_t idleConnections, time_point now);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/incarnation_lease.hpp
+++ b/include/fuchsiagw/core/incarnation_lease.hpp
@@ -1,9 +1,14 @@
 /// @file
-/// @brief The right of an incarnation to use its home shares, promised by a majority of witnesses.
+/// @brief Quorum lease that allows an incarnation to use its home shares.
 ///
-/// A holder counts each promise from when it sent the request and a witness from when it answered,
+/// A holder asks a small set of peers, its witnesses, for promises. The lease is valid while a
+/// majority of them promises it. To end the lease of a dead holder, a majority must vote that it
+/// has expired.
+///
+/// A holder measures each promise from when it sent the request, a witness from when it answered,
 /// so the holder's deadline is always the earlier one. Any majority of promises and any majority of
-/// votes share a witness, which votes only after its promise has expired and never promises again.
+/// votes have a witness in common, and a witness votes only after its own promise has expired and
+/// makes no promise after its vote. So no lease is valid once a majority has voted.
 
 #pragma once
 
@@ -18,19 +23,22 @@
 
 namespace fuchsiagw::core {
 
+/// Durations of the lease protocol.
 struct lease_times
 {
-    duration promise = std::chrono::seconds(6); ///< the longest promise that a witness makes
-    duration askEvery = std::chrono::seconds(2);
-    duration retryAfter = std::chrono::milliseconds(400); ///< while a witness does not answer
-    /// 0.5 % of a promise; crystal clocks differ by less than 0.05 %.
+    duration promise = std::chrono::seconds(6); ///< duration of each promise of a witness
+    duration promiseRenewInterval = std::chrono::seconds(2);
+    /// Between requests to a witness that does not answer.
+    duration promiseRetryInterval = std::chrono::milliseconds(400);
+    /// 0.5 % of a promise. Crystal oscillators differ by less than 0.05 %.
     duration driftMargin = std::chrono::milliseconds(30);
-    /// A vote ends an incarnation for good, so short interruptions must not lead to one.
-    duration voteGrace = std::chrono::seconds(2);
-    duration voteRetry = std::chrono::seconds(1);
+    /// Time after the end of a promise before a witness asks for votes. A majority of votes ends an
+    /// incarnation permanently, so a short network interruption must not lead to one.
+    duration voteGracePeriod = std::chrono::seconds(2);
+    duration voteRetryInterval = std::chrono::seconds(1);
 };
 
-/// Another incarnation as the list of instances and the peers' messages show it.
+/// Another incarnation, known from the list of instances and from the peers' messages.
 struct peer_ref
 {
     incarnation_id incarnation = 0;
@@ -43,8 +51,8 @@
 struct lease_request
 {
     incarnation_id holder = 0;
-    std::vector<incarnation_id> witnesses; ///< so that the witnesses can find each other
-    std::int64_t sentAt = 0; ///< on the holder's clock; meaningless to the witness
+    std::vector<incarnation_id> witnesses; ///< the witnesses ask each other for votes
+    std::int64_t sentAt = 0; ///< clock of the holder; the witness only copies it
 
     template <typename archive>
     void serialize(archive &ar)
@@ -57,8 +65,8 @@
 {
     incarnation_id holder = 0;
     incarnation_id witness = 0;
-    std::int64_t sentAt = 0; ///< as in the request
-    std::int64_t promisedMicros = 0; ///< 0: the witness has voted and promises no more
+    std::int64_t sentAt = 0; ///< copied from the request
+    std::int64_t promisedMicros = 0; ///< 0: the witness has voted and makes no more promises
 
     template <typename archive>
     void serialize(archive &ar)
@@ -78,7 +86,7 @@
     }
 };
 
-/// Sent only if the witness has voted the incarnation expired.
+/// Sent only by a witness that has voted that the incarnation's lease is expired.
 struct expiry_vote
 {
     incarnation_id holder = 0;
@@ -91,39 +99,43 @@
     }
 };
 
-/// What a holder knows of one witness.
+/// State that a holder keeps for each witness.
 struct witness_state
 {
     time_point promisedUntil{};
-    time_point nextAsk{};
-    time_point silentSince = noDeadline; ///< first request without an answer
+    time_point nextRequestAt{};
+    time_point silentSince = noDeadline; ///< time of the first unanswered request
     bool hasVoted = false;
 };
 
-/// Invariant: home shares are used only before homeUntil().
+/// State of the incarnation that holds the lease. Invariant: home shares are used only before
+/// homeUntil().
 struct lease_holder
 {
     incarnation_id self = 0;
-    std::vector<incarnation_id> current; ///< witnesses in the table's row
-    std::vector<incarnation_id> next; ///< witnesses that shall replace them; empty if none
-    bool isSubmitted = false; ///< the row may name either set
-    std::map<incarnation_id, witness_state> witnesses; ///< of both sets
+    std::vector<incarnation_id> current; ///< witnesses that the table's row names
+    std::vector<incarnation_id>
+            next; ///< witnesses that shall replace the current ones; empty if no change is prepared
+    bool isSubmitted = false; ///< the change was submitted; the row may name either set
+    std::map<incarnation_id, witness_state> witnesses; ///< state of the witnesses of both sets
 };
 
-/// What a witness knows of one holder.
+/// State that a witness keeps for each holder.
 struct watched_lease
 {
     time_point promisedUntil{};
-    bool hasVoted = false; ///< never cleared: a promise after a vote would revive lost shares
+    bool hasVoted = false; ///< never cleared: a promise after a vote would let the holder use
+                           ///< reclaimed shares
     std::vector<incarnation_id> witnesses;
-    std::set<incarnation_id> votes; ///< collected by this witness, its own included
+    std::set<incarnation_id> votes; ///< votes known to this witness, including its own
     time_point majoritySince = noDeadline;
-    time_point nextVoteAsk{};
+    time_point nextVoteRequestAt{};
     bool isReclaimed = false;
 };
 
-/// Invariant: no vote before startedAt plus the longest promise, because a predecessor of this
-/// process may have promised and this one can't know it.
+/// State of an incarnation as a witness of others. Invariant: no vote before startedAt plus the
+/// longest promise, because the previous process of this instance may have made a promise that this
+/// process does not know.
 struct lease_witness
 {
     incarnation_id self = 0;
@@ -131,9 +143,9 @@
     std::map<incarnation_id, watched_lease> watched;
 };
 
-/// @brief Chooses the witnesses of an incarnation: 3, from the own zone first, or 1 if there are
-/// less than 3 peers. With two, the loss of either would stop the holder.
-/// @param excluded peers that did not answer or have voted
+/// @brief Chooses the witnesses of an incarnation: 3 peers, those in the own zone first, or 1 peer
+/// if there are fewer than 3. With two witnesses, the failure of either would end the lease.
+/// @param excluded peers that do not answer or have voted
 /// @complexity linear in the peers
 [[nodiscard]] std::vector<incarnation_id> chooseWitnesses(const peer_ref &self,
                                                           const std::vector<peer_ref> &peers,
@@ -144,88 +156,92 @@
 /// @complexity logarithmic in the witnesses
 void setWitnesses(lease_holder &holder, const std::vector<incarnation_id> &witnesses);
 
-/// @brief Begins to ask the witnesses that shall replace the current ones.
+/// @brief Starts to request promises from the witnesses that shall replace the current ones.
 /// @complexity logarithmic in the witnesses
 void prepareWitnessChange(lease_holder &holder, const std::vector<incarnation_id> &next);
 
-/// @brief Tells whether submitting the change would not shorten the lease: the new witnesses have
-/// promised, or the old ones no longer do.
+/// @brief Tells whether the change can be submitted. A majority of the new witnesses must promise,
+/// and the change must not shorten the lease unless the promise of a current witness has expired.
 /// @complexity constant
 [[nodiscard]] bool isChangeReady(const lease_holder &holder, time_point now);
 
-/// @brief Marks the change as submitted. Until its outcome is known both sets must promise.
+/// @brief Marks the change as submitted. Until its outcome is known, the lease needs a majority of
+/// both sets.
 void submitWitnessChange(lease_holder &holder);
 
-/// @brief Ends the change. Call it only with a definite outcome.
+/// @brief Ends the change. Call it only after the outcome of the transaction is known.
 void finishWitnessChange(lease_holder &holder, bool isCommitted);
 
-/// @brief Lists the witnesses to ask now and notes that they are asked.
-/// @complexity constant, there are at most 6 witnesses
+/// @brief Lists the witnesses to which a request is due and records that it is sent now.
+/// @complexity constant, as there are at most 6 witnesses
 [[nodiscard]] std::vector<incarnation_id> dueWitnesses(lease_holder &holder,
                                                        const lease_times &times, time_point now);
 
-/// @return the request to send to each of dueWitnesses()
+/// @return the request to send to each witness that dueWitnesses() lists
 [[nodiscard]] lease_request requestOf(const lease_holder &holder, time_point now);
 
-/// @brief Takes a promise in account. A promise of a stranger or to another holder is ignored.
+/// @brief Records a promise. A promise of an unknown witness or to another holder is ignored.
 /// @return whether homeUntil() may have changed
 /// @complexity logarithmic in the witnesses
 bool onPromise(lease_holder &holder, const lease_promise &promise, const lease_times &times,
                time_point now);
 
-/// @return until when home shares may be used; noDeadline if the row names no witness
+/// @return the deadline until which home shares may be used; noDeadline if the row names no witness
 /// @complexity constant
 [[nodiscard]] time_point homeUntil(const lease_holder &holder);
 
-/// @brief Lists the current witnesses that should be replaced: they have voted, or have not
-/// answered for half of a promise.
+/// @brief Lists the current witnesses to replace: those that have voted, or have not answered for
+/// half the duration of a promise.
 /// @complexity constant
 [[nodiscard]] std::set<incarnation_id> lostWitnesses(const lease_holder &holder,
                                                      const lease_times &times, time_point now);
 
-/// @brief Tells whether a majority of the witnesses has voted: the incarnation must start anew.
+/// @brief Tells whether a majority of the witnesses has voted. The incarnation must then be
+/// replaced by a new one.
 /// @complexity constant
 [[nodiscard]] bool isExpired(const lease_holder &holder);
 
-/// @brief Answers a holder. After a vote the answer promises nothing.
+/// @brief Promises the lease to a holder, or returns an empty promise if this witness has voted.
 /// @complexity logarithmic in the watched leases
 [[nodiscard]] lease_promise onLeaseRequest(lease_witness &witness, const lease_request &request,
                                            const lease_times &times, time_point now);
 
-/// @brief Votes an incarnation expired if the promise to it has expired.
+/// @brief Votes that the lease of an incarnation is expired, if the own promise to it has expired.
 /// @return whether this witness has voted, now or earlier
 /// @complexity logarithmic in the watched leases
 [[nodiscard]] bool voteExpired(lease_witness &witness, incarnation_id holder,
                                const lease_times &times, time_point now);
 
+/// Votes to request from other witnesses.
 struct vote_poll
 {
     incarnation_id holder = 0;
-    std::vector<incarnation_id> witnesses; ///< to be asked
+    std::vector<incarnation_id> witnesses; ///< witnesses to ask
 };
 
-/// @brief Lists the other witnesses of silent holders that must be asked for their votes now. The
-/// first witness of a row asks first, the others follow if it does not succeed.
+/// @brief Votes against holders whose promise has expired and lists the other witnesses to ask for
+/// their votes now. The first witness of a row asks first, the others later if no majority is
+/// known.
 /// @complexity linear in the watched leases
 [[nodiscard]] std::vector<vote_poll> dueVotePolls(lease_witness &witness, const lease_times &times,
                                                   time_point now);
 
-/// @brief Notes the vote of another witness.
+/// @brief Records the vote of another witness.
 /// @complexity logarithmic in the watched leases
 void onVote(lease_witness &witness, const expiry_vote &vote, time_point now);
 
-/// @brief Replaces the witnesses of a dead holder by those that the table's row names.
+/// @brief Replaces the known witnesses of a dead holder by those that the table's row names.
 /// @complexity linear in the witnesses
 void setRowWitnesses(lease_witness &witness, incarnation_id holder,
                      const std::vector<incarnation_id> &witnesses, time_point now);
 
-/// @brief Lists the dead incarnations whose home shares may be returned to the pool: a majority
-/// voted and the longest loan since then has ended.
+/// @brief Lists the dead incarnations whose home shares may be returned to the pool: a majority has
+/// voted, and any loan that the incarnation granted before has ended since.
 /// @complexity linear in the watched leases
 [[nodiscard]] std::vector<incarnation_id> reclaimable(const lease_witness &witness,
                                                       duration longestLoan, time_point now);
 
-/// @brief Notes that the row of a dead incarnation is gone. The vote is kept.
+/// @brief Records that the lease row of a dead incarnation was deleted. The own vote is kept.
 /// @complexity logarithmic in the watched leases
 void onReclaimed(lease_witness &witness, incarnation_id holder);
 
--- a/include/fuchsiagw/core/membership.hpp
+++ b/include/fuchsiagw/core/membership.hpp
@@ -50,21 +50,21 @@
 struct membership_times
 {
     /// Neighbours speak each second; two lost messages and the delay between zones are normal.
-    duration suspectAfter = std::chrono::milliseconds(2'500);
+    duration suspicionTimeout = std::chrono::milliseconds(2'500);
     /// The list can't remove an instance that was heard within this time.
-    duration keepHeard = std::chrono::seconds(10);
+    duration heardValidity = std::chrono::seconds(10);
     /// A message of another incarnation may be a late one of a dead predecessor. It is believed if
     /// the known incarnation was not heard for this time, or at the second message.
-    duration replaceAfter = std::chrono::seconds(1);
-    duration firstProbe = std::chrono::seconds(1); ///< doubles with each probe
-    duration longestProbe = std::chrono::seconds(16);
+    duration incarnationTimeout = std::chrono::seconds(1);
+    duration initialProbeInterval = std::chrono::seconds(1); ///< doubles with each probe
+    duration maxProbeInterval = std::chrono::seconds(16);
     /// An instance that said goodbye but is still listed may have been started anew unheard.
-    duration farewellLasts = std::chrono::seconds(30);
-    duration forgetAfter = std::chrono::minutes(1); ///< an instance that is gone and unlisted
+    duration departureTimeout = std::chrono::seconds(30);
+    duration goneRetention = std::chrono::minutes(1); ///< an instance that is gone and unlisted
 };
 
 /// The sender of a message, as the message says.
-struct heard_sender
+struct message_sender
 {
     incarnation_id incarnation = 0;
     instance_id instance;
@@ -85,14 +85,14 @@
     bool isListed = false;
     bool isListedLeaving = false;
     time_point heardAt = time_point::min(); ///< of this incarnation
-    sender_state said = sender_state::Live; ///< by this incarnation
-    time_point farewellUntil = time_point::min(); ///< if it said that it is gone
+    sender_state announcedState = sender_state::Live; ///< by this incarnation
+    time_point departureDeadline = time_point::min(); ///< if it said that it is gone
     bool isExpected = false; ///< it should speak regularly
     time_point expectedSince = time_point::min();
     bool isSuspected = false;
-    incarnation_id candidate = 0; ///< another incarnation, heard once since heardAt
-    time_point nextProbe = time_point::min();
-    duration probePause{ 0 };
+    incarnation_id successorCandidate = 0; ///< another incarnation, heard once since heardAt
+    time_point nextProbeAt = time_point::min();
+    duration probeInterval{ 0 };
     time_point goneSince = noDeadline;
 };
 
@@ -129,17 +129,17 @@
                                               time_point now);
 
 /// @brief Takes in that a message came, whose MAC and sequence number were right.
-/// A sender without an instance name is found by its incarnation; see onHeardAgain().
+/// A sender without an instance name is found by its incarnation; see onHeardByIncarnation().
 /// @return what changed; nothing if the message is a late one of a dead incarnation
 /// @complexity logarithmic in the number of instances
-std::vector<membership_change> onHeard(membership &state, const heard_sender &sender,
+std::vector<membership_change> onHeard(membership &state, const message_sender &sender,
                                        time_point now);
 
 /// @brief Takes in that a message came which does not name its sender; the header's incarnation
 /// does. Nothing happens if findIncarnation() does not know it: the sender should be probed.
 /// @complexity logarithmic in the number of instances
-std::vector<membership_change> onHeardAgain(membership &state, incarnation_id incarnation,
-                                            sender_state said, time_point now);
+std::vector<membership_change> onHeardByIncarnation(membership &state, incarnation_id incarnation,
+                                                    sender_state announcedState, time_point now);
 
 /// @brief Takes in that an instance did not answer a question or can't be reached.
 /// @complexity logarithmic in the number of instances
@@ -156,9 +156,9 @@
 
 /// @brief Lists instances to ask for a sign of life and notes that they are asked: suspected ones,
 /// and those of the own zone whose incarnation is not known.
-/// @param most greatest number of instances
+/// @param maxCount largest number of instances
 /// @complexity linear in the number of instances
-[[nodiscard]] std::vector<instance_id> dueProbes(membership &state, std::size_t most,
+[[nodiscard]] std::vector<instance_id> dueProbes(membership &state, std::size_t maxCount,
                                                  time_point now);
 
 /// @return the instance, nullptr if it is not known
--- a/include/fuchsiagw/core/rendezvous.hpp
+++ b/include/fuchsiagw/core/rendezvous.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Rendezvous hashing: which instance owns a key, and which ones come next.
+/// @brief Rendezvous hashing: selects the instance that owns a key and its successors.
 
 #pragma once
 
@@ -12,19 +12,20 @@
 
 namespace fuchsiagw::core {
 
-/// @brief Hash that is the same on all machines and in all releases (FNV-1a with a final mix).
+/// @brief Computes a hash that is the same on all machines and in all releases (FNV-1a with a final
+/// mix).
 /// @complexity linear in the length of @p text
 [[nodiscard]] std::uint64_t stableHash(std::string_view text);
 
-/// @brief Orders instances for a key. When an instance leaves, the order of the others stays.
-/// @param key what is owned, see ownerKey()
-/// @param instances in any order; duplicates count once
-/// @return the owner first, then the next in order
+/// @brief Ranks instances for a key. If an instance is removed, the order of the others stays.
+/// @param key key to assign, see ownerKey()
+/// @param instances instances in any order; duplicates count once
+/// @return the owner, followed by its successors in order
 /// @complexity O(n log n) hashes and comparisons
 [[nodiscard]] std::vector<instance_id> rankInstances(std::string_view key,
                                                      const std::vector<instance_id> &instances);
 
-/// @return the key under which a zone's owner of a group is chosen
+/// @return the key for which rankInstances() selects a zone's owner of a group
 [[nodiscard]] std::string ownerKey(const group_id &group, const zone_name &zone);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/share_pool.hpp
+++ b/include/fuchsiagw/core/share_pool.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// @brief Transactions on the platform's table that move shares between the pool and the home of an
-/// incarnation.
+/// @brief Transactions on the platform's table that move shares between the pool of a limit and the
+/// home shares of an incarnation.
 ///
-/// Every transaction keeps the sum: free shares of the pool plus all homes is the total. Every row
-/// names the transaction that wrote it, so a lost answer is found out by reading back.
+/// Every transaction keeps the invariant that the free shares of the pool plus the home shares of
+/// all lease rows equal the total. Every row names the transaction that wrote it, so the outcome of
+/// a transaction whose response was lost can be determined by reading the rows.
 
 #pragma once
 
@@ -19,7 +20,7 @@
 
 namespace fuchsiagw::core {
 
-/// Row `lease/<incarnation>`. Only its own incarnation changes it; a reclaim deletes it.
+/// Row `lease/<incarnation>`. Only its own incarnation updates it; reclaimLease() deletes it.
 struct lease_row
 {
     incarnation_id incarnation = 0;
@@ -27,19 +28,19 @@
     zone_name zone;
     std::vector<incarnation_id> witnesses;
     std::map<resource_id, share_count> homes; ///< no zero entries
-    std::string writtenBy; ///< id of the transaction
+    std::string writtenBy; ///< id of the transaction that wrote the row
 
     friend bool operator==(const lease_row &, const lease_row &) = default;
 };
 
-/// Row `pool/<resource>`. Invariant: free plus the homes of all lease rows is total.
+/// Row `pool/<resource>`. Invariant: free plus the home shares of all lease rows equals total.
 struct pool_row
 {
     resource_id resource;
     share_count total = 0;
-    share_count free = 0; ///< negative while holders must return shares after a decrease
-    token_amount tokens = 0; ///< that came with the free shares; they do not grow
-    std::string writtenBy; ///< id of the transaction
+    share_count free = 0; ///< negative while holders must return shares after a decrease of total
+    token_amount tokens = 0; ///< returned with the free shares; not refilled
+    std::string writtenBy; ///< id of the transaction that wrote the row
 
     friend bool operator==(const pool_row &, const pool_row &) = default;
 };
@@ -52,7 +53,7 @@
     share_row row;
 };
 
-/// Rows by key as they were read. A row that is missing here does not exist.
+/// Rows by key at the time of a read. A key that is missing does not exist in the table.
 using table_view = std::map<std::string, versioned_share_row>;
 
 struct share_check
@@ -67,19 +68,19 @@
     share_row row;
 };
 
-/// All of it happens or nothing.
+/// Atomic: all checks hold and all changes are applied, or nothing is changed.
 struct table_transaction
 {
-    std::string id; ///< a repeated id has no second effect
+    std::string id; ///< idempotency key: a repeated id has no second effect
     std::vector<share_check> checks;
     std::vector<share_put> puts;
     std::vector<std::string> deletes;
 };
 
-/// A transaction and what it does to the books of the incarnation that submits it. Shares that are
-/// given must leave the book before the transaction is sent; shares that are gained enter it once
-/// the transaction is known to be committed. If it is known to be impossible, the given ones return
-/// to the book.
+/// A transaction and its effect on the ledgers of the incarnation that submits it. Given shares
+/// must be removed from the ledger before the transaction is sent. Gained shares are added once the
+/// transaction is known to be committed. If the transaction can't be committed any more, the given
+/// shares are added to the ledger again.
 struct share_transaction
 {
     table_transaction transaction;
@@ -89,8 +90,8 @@
 
 enum class transaction_state : std::uint8_t {
     Committed,
-    Impossible, ///< a row that it checks has changed, it can't be committed any more
-    Undecided, ///< it may still be committed: send the same transaction again
+    Impossible, ///< a checked row has changed, so the transaction can't be committed any more
+    Undecided, ///< the transaction may still be committed: send it again with the same id
 };
 
 [[nodiscard]] std::string leaseKey(incarnation_id incarnation);
@@ -104,77 +105,81 @@
 /// @complexity logarithmic in the rows
 [[nodiscard]] const pool_row *findPool(const table_view &view, const resource_id &resource);
 
-/// @brief Orders the instances that hold home shares of a workspace. A burst that is too small to
-/// give every instance eight tokens is kept by fewer, spread over the zones; the others borrow.
-/// @complexity linear in the peers, times logarithm
+/// @brief Selects and orders the instances that hold home shares of a workspace. If the burst is
+/// too small for eight tokens per instance, fewer instances hold shares, spread over the zones, and
+/// the others borrow from them.
+/// @complexity O(n log n) in the number of peers
 [[nodiscard]] std::vector<incarnation_id>
 shareHolders(const resource_id &resource, token_amount burst, const std::vector<peer_ref> &live);
 
-/// @brief The fair part of @p total for @p self among @p holders; the parts add up to the total.
+/// @brief Divides @p total equally among @p holders. The results of all holders add up to the
+/// total.
+/// @return the shares of @p self; 0 if it is not a holder
 /// @complexity linear in the holders
 [[nodiscard]] share_count fairShare(share_count total, const std::vector<incarnation_id> &holders,
                                     incarnation_id self);
 
-/// @brief Decides how many shares to take from the pool (positive) or to return (negative).
-/// @param home recorded in the own row
-/// @return 0 while the difference is below a tenth of the fair part, so that a change of one
-/// instance among many does not make all of them write
+/// @brief Computes how many shares to take from the pool (positive) or to return to it (negative).
+/// @param home home shares that the own lease row records
+/// @return 0 while the difference is below a tenth of the fair share, so that one instance that
+/// joins or leaves among many does not make all others write
 /// @complexity constant
 [[nodiscard]] share_count rebalanceDelta(share_count home, share_count fair, const pool_row &pool);
 
-/// @brief Creates the pool of a resource, full of shares and tokens.
+/// @brief Creates the pool of a resource with all shares and the full burst of tokens.
 [[nodiscard]] table_transaction createPool(const std::string &id, const resource_id &resource,
                                            share_count total, token_amount burst);
 
-/// @brief Changes the total, for example a group's connections. The pool takes the difference.
-/// @return nothing if there is no such pool or nothing to change
+/// @brief Changes the total, for example the number of a group's connections. The free shares of
+/// the pool change by the difference.
+/// @return std::nullopt if the pool does not exist or has this total already
 [[nodiscard]] std::optional<table_transaction> resizePool(const std::string &id,
                                                           const table_view &view,
                                                           const resource_id &resource,
                                                           share_count total);
 
-/// @brief Records a new incarnation and takes home shares, as far as the pool has them.
-/// @param row without homes
-/// @complexity linear in the resources, times logarithm
+/// @brief Records a new incarnation and takes home shares, at most the free shares of each pool.
+/// @param row lease row without home shares
+/// @complexity O(n log n) in the number of resources
 [[nodiscard]] share_transaction joinPool(const std::string &id, const table_view &view,
                                          lease_row row,
                                          const std::map<resource_id, share_count> &wanted);
 
-/// @brief Takes shares from the pool and returns others.
-/// @param wanted shares to take, as far as the pool has them
-/// @param given shares and tokens that have left the book already
-/// @return nothing if the own row is missing or nothing would change
-/// @complexity linear in the resources, times logarithm
+/// @brief Takes shares from some pools and returns shares to others.
+/// @param wanted shares to take, limited to the free shares of each pool
+/// @param given shares and tokens to return, removed from the ledger before this call
+/// @return std::nullopt if the own row is missing or nothing would change
+/// @complexity O(n log n) in the number of resources
 [[nodiscard]] std::optional<share_transaction>
 moveShares(const std::string &id, const table_view &view, incarnation_id self,
            const std::map<resource_id, share_count> &wanted,
            const std::map<resource_id, share_transfer> &given);
 
-/// @brief Returns shares at the end of an incarnation. The row is deleted with the last share;
-/// lent shares are returned by a second call once their loans have ended.
-/// @complexity linear in the resources, times logarithm
+/// @brief Returns shares when an incarnation shuts down. The lease row is deleted with its last
+/// share. Lent shares are returned by another call after their loans have ended.
+/// @complexity O(n log n) in the number of resources
 [[nodiscard]] std::optional<share_transaction>
 leavePool(const std::string &id, const table_view &view, incarnation_id self,
           const std::map<resource_id, share_transfer> &given);
 
-/// @brief Replaces the witnesses in the own row.
-/// @return nothing if the own row is missing
+/// @brief Replaces the witnesses in the own lease row.
+/// @return std::nullopt if the own row is missing
 [[nodiscard]] std::optional<table_transaction>
 changeWitnesses(const std::string &id, const table_view &view, incarnation_id self,
                 const std::vector<incarnation_id> &witnesses);
 
 /// @brief Returns the home shares of a dead incarnation to the pool, without tokens. Call it only
-/// for what reclaimable() lists.
-/// @return nothing if the row is gone or its witnesses have not voted by majority
-/// @complexity linear in the dead incarnation's resources, times logarithm
+/// for incarnations that reclaimable() lists.
+/// @return std::nullopt if the row does not exist or no majority of its witnesses has voted
+/// @complexity O(n log n) in the number of the incarnation's resources
 [[nodiscard]] std::optional<table_transaction> reclaimLease(const std::string &id,
                                                             const table_view &view,
                                                             incarnation_id dead,
                                                             const std::set<incarnation_id> &votes);
 
-/// @brief Finds out what became of a transaction whose answer was lost.
+/// @brief Determines the outcome of a transaction whose response was lost.
 /// @param view rows read after the transaction was sent
-/// @complexity linear in the transaction, times logarithm
+/// @complexity logarithmic in the rows for each row of the transaction
 [[nodiscard]] transaction_state judge(const table_transaction &transaction, const table_view &view);
 
 } // namespace fuchsiagw::core
--- a/src/core/demand_estimate.cpp
+++ b/src/core/demand_estimate.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Exponentially decaying counts of arrivals.
+/// @brief Exponentially decaying averages of arrivals.
 
 #include <fuchsiagw/core/demand_estimate.hpp>
 
@@ -22,9 +22,10 @@
 
 demand_estimate decayed(const demand_estimate &demand, time_point now)
 {
-    const double elapsed = secondsSince(demand.at, now);
+    const double elapsed = secondsSince(demand.updatedAt, now);
     return { demand.fast * std::exp(-elapsed / fastWindowSeconds),
-             demand.slow * std::exp(-elapsed / slowWindowSeconds), std::max(demand.at, now) };
+             demand.slow * std::exp(-elapsed / slowWindowSeconds),
+             std::max(demand.updatedAt, now) };
 }
 
 void recordArrival(demand_estimate &demand, time_point now)
@@ -36,23 +37,23 @@
 
 double rateLowerBound(const demand_estimate &demand, time_point now)
 {
-    const double seen = decayed(demand, now).fast * fastWindowSeconds;
-    return std::max(0.0, seen - 2 * std::sqrt(seen)) / fastWindowSeconds;
+    const double arrivals = decayed(demand, now).fast * fastWindowSeconds;
+    return std::max(0.0, arrivals - 2 * std::sqrt(arrivals)) / fastWindowSeconds;
 }
 
 double rateUpperBound(const demand_estimate &demand, time_point now)
 {
-    const double seen = decayed(demand, now).fast * fastWindowSeconds;
-    const double byCount = (seen + 2 * std::sqrt(seen) + 2) / fastWindowSeconds;
-    // At a higher rate, a silence of this length would have a probability below 5 %.
-    const double bySilence = 3 / std::max(secondsSince(demand.at, now), 1e-6);
+    const double arrivals = decayed(demand, now).fast * fastWindowSeconds;
+    const double byCount = (arrivals + 2 * std::sqrt(arrivals) + 2) / fastWindowSeconds;
+    // At a higher rate, the probability of no arrival for this long would be below 5 %.
+    const double bySilence = 3 / std::max(secondsSince(demand.updatedAt, now), 1e-6);
     return std::min(byCount, bySilence);
 }
 
 double steadyRateLowerBound(const demand_estimate &demand, time_point now)
 {
-    const double seen = decayed(demand, now).slow * slowWindowSeconds;
-    return std::max(0.0, seen - std::sqrt(seen)) / slowWindowSeconds;
+    const double arrivals = decayed(demand, now).slow * slowWindowSeconds;
+    return std::max(0.0, arrivals - std::sqrt(arrivals)) / slowWindowSeconds;
 }
 
 } // namespace fuchsiagw::core
--- a/src/core/incarnation_lease.cpp
+++ b/src/core/incarnation_lease.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Promises, votes and the choice of witnesses.
+/// @brief Promises, votes and the selection of witnesses.
 
 #include <fuchsiagw/core/incarnation_lease.hpp>
 
@@ -13,7 +13,7 @@
 
 constexpr std::size_t fullWitnessCount = 3;
 
-/// The latest time at which a majority of @p witnesses still promises.
+/// @return the time until which a majority of @p witnesses has promised the lease
 time_point majorityUntil(const lease_holder &holder, const std::vector<incarnation_id> &witnesses)
 {
     if (witnesses.empty())
@@ -29,7 +29,8 @@
     return ends[witnesses.size() / 2];
 }
 
-void forgetOthers(lease_holder &holder)
+/// Removes the state of witnesses that neither set names and adds state for new ones.
+void pruneWitnesses(lease_holder &holder)
 {
     const auto isNamed = [&holder](incarnation_id each) {
         return std::count(holder.current.begin(), holder.current.end(), each) > 0
@@ -57,7 +58,7 @@
 {
     struct candidate
     {
-        bool isFar = false;
+        bool isInOtherZone = false;
         std::uint64_t order = 0;
         incarnation_id incarnation = 0;
     };
@@ -67,7 +68,8 @@
             && !excluded.contains(peer.incarnation))
             candidates.push_back({ peer.zone != self.zone, random(), peer.incarnation });
     std::sort(candidates.begin(), candidates.end(), [](const auto &left, const auto &right) {
-        return left.isFar == right.isFar ? left.order < right.order : right.isFar;
+        return left.isInOtherZone == right.isInOtherZone ? left.order < right.order
+                                                         : right.isInOtherZone;
     });
     const std::size_t count = candidates.size() >= fullWitnessCount
                                       ? fullWitnessCount
@@ -83,23 +85,23 @@
     holder.current = witnesses;
     holder.next.clear();
     holder.isSubmitted = false;
-    forgetOthers(holder);
+    pruneWitnesses(holder);
 }
 
 void prepareWitnessChange(lease_holder &holder, const std::vector<incarnation_id> &next)
 {
     assert(!holder.isSubmitted);
     holder.next = next;
-    forgetOthers(holder);
+    pruneWitnesses(holder);
 }
 
 bool isChangeReady(const lease_holder &holder, time_point now)
 {
     if (holder.next.empty() || holder.isSubmitted)
         return false;
-    const time_point later = majorityUntil(holder, holder.next);
-    return later > now
-           && (later >= majorityUntil(holder, holder.current)
+    const time_point nextDeadline = majorityUntil(holder, holder.next);
+    return nextDeadline > now
+           && (nextDeadline >= majorityUntil(holder, holder.current)
                || std::any_of(holder.current.begin(), holder.current.end(),
                               [&](incarnation_id each) {
                                   return holder.witnesses.at(each).promisedUntil <= now;
@@ -119,7 +121,7 @@
         holder.current = holder.next;
     holder.next.clear();
     holder.isSubmitted = false;
-    forgetOthers(holder);
+    pruneWitnesses(holder);
 }
 
 std::vector<incarnation_id> dueWitnesses(lease_holder &holder, const lease_times &times,
@@ -127,10 +129,10 @@
 {
     std::vector<incarnation_id> due;
     for (auto &[id, state] : holder.witnesses) {
-        if (state.hasVoted || now < state.nextAsk)
+        if (state.hasVoted || now < state.nextRequestAt)
             continue;
         due.push_back(id);
-        state.nextAsk = now + times.retryAfter;
+        state.nextRequestAt = now + times.promiseRetryInterval;
         state.silentSince = std::min(state.silentSince, now);
     }
     return due;
@@ -155,7 +157,7 @@
         state.hasVoted = true;
         return false;
     }
-    state.nextAsk = std::max(state.nextAsk, sentAt + times.askEvery);
+    state.nextRequestAt = std::max(state.nextRequestAt, sentAt + times.promiseRenewInterval);
     const time_point until = sentAt + duration(promise.promisedMicros);
     if (until <= state.promisedUntil)
         return false;
@@ -221,24 +223,25 @@
 std::vector<vote_poll> dueVotePolls(lease_witness &witness, const lease_times &times,
                                     time_point now)
 {
-    std::vector<vote_poll> questions;
+    std::vector<vote_poll> polls;
     for (auto &[holder, lease] : witness.watched) {
         const auto rank = std::find(lease.witnesses.begin(), lease.witnesses.end(), witness.self)
                           - lease.witnesses.begin();
         const bool isNamed = rank < std::ssize(lease.witnesses);
-        const time_point from = lease.promisedUntil + times.voteGrace + rank * times.voteRetry;
+        const time_point from =
+                lease.promisedUntil + times.voteGracePeriod + rank * times.voteRetryInterval;
         if (!isNamed || lease.isReclaimed || lease.majoritySince != noDeadline || now < from
-            || now < lease.nextVoteAsk || !isVoteAllowed(witness, lease, times, now))
+            || now < lease.nextVoteRequestAt || !isVoteAllowed(witness, lease, times, now))
             continue;
-        lease.nextVoteAsk = now + times.voteRetry;
+        lease.nextVoteRequestAt = now + times.voteRetryInterval;
         static_cast<void>(voteExpired(witness, holder, times, now));
-        vote_poll question{ holder, {} };
+        vote_poll poll{ holder, {} };
         for (const incarnation_id each : lease.witnesses)
             if (!lease.votes.contains(each))
-                question.witnesses.push_back(each);
-        questions.push_back(std::move(question));
+                poll.witnesses.push_back(each);
+        polls.push_back(std::move(poll));
     }
-    return questions;
+    return polls;
 }
 
 void onVote(lease_witness &witness, const expiry_vote &vote, time_point now)
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -12,21 +12,21 @@
 
 using changes = std::vector<membership_change>;
 
-bool wasHeardLately(const known_instance &known, const membership_times &times, time_point now)
+bool wasHeardRecently(const known_instance &known, const membership_times &times, time_point now)
 {
-    return known.heardAt != time_point::min() && now < known.heardAt + times.keepHeard;
+    return known.heardAt != time_point::min() && now < known.heardAt + times.heardValidity;
 }
 
 peer_state stateOf(const known_instance &known, const membership_times &times, time_point now)
 {
-    const bool isFresh = wasHeardLately(known, times, now);
-    if (known.said == sender_state::Gone || (!known.isListed && !isFresh))
+    const bool isHeardRecently = wasHeardRecently(known, times, now);
+    if (known.announcedState == sender_state::Gone || (!known.isListed && !isHeardRecently))
         return peer_state::Gone;
     if (known.isSuspected)
         return peer_state::Suspected;
-    const bool isLeaving = known.said == sender_state::Leaving;
+    const bool isLeaving = known.announcedState == sender_state::Leaving;
     // A restarted instance may be listed as its predecessor was.
-    if (isLeaving || (!isFresh && known.isListedLeaving))
+    if (isLeaving || (!isHeardRecently && known.isListedLeaving))
         return peer_state::Leaving;
     return peer_state::Live;
 }
@@ -61,8 +61,8 @@
     if (known.isSuspected)
         return;
     known.isSuspected = true;
-    known.probePause = times.firstProbe;
-    known.nextProbe = now + times.firstProbe;
+    known.probeInterval = times.initialProbeInterval;
+    known.nextProbeAt = now + times.initialProbeInterval;
 }
 
 /// Forgets everything that was known of the last incarnation.
@@ -73,25 +73,25 @@
     if (incarnation != 0)
         state.byIncarnation[incarnation] = known.instance;
     known.heardAt = time_point::min();
-    known.said = sender_state::Live;
+    known.announcedState = sender_state::Live;
     known.isSuspected = false;
-    known.candidate = 0;
-    known.nextProbe = time_point::min();
-    known.probePause = duration(0);
+    known.successorCandidate = 0;
+    known.nextProbeAt = time_point::min();
+    known.probeInterval = duration(0);
 }
 
 /// Tells whether a message of another incarnation than the known one shall be believed.
-bool isSuccessor(known_instance &known, const heard_sender &sender, const membership_times &times,
+bool isSuccessor(known_instance &known, const message_sender &sender, const membership_times &times,
                  time_point now)
 {
     if (sender.state == sender_state::Gone)
         return false;
-    const bool isKnownSilent = known.incarnation == 0 || known.said == sender_state::Gone
+    const bool isKnownSilent = known.incarnation == 0 || known.announcedState == sender_state::Gone
                                || known.heardAt == time_point::min()
-                               || now >= known.heardAt + times.replaceAfter;
-    if (isKnownSilent || known.candidate == sender.incarnation)
+                               || now >= known.heardAt + times.incarnationTimeout;
+    if (isKnownSilent || known.successorCandidate == sender.incarnation)
         return true;
-    known.candidate = sender.incarnation;
+    known.successorCandidate = sender.incarnation;
     return false;
 }
 
@@ -117,7 +117,7 @@
         }
         known.isListed = true;
         known.isListedLeaving = entry.state == instance_state::Leaving;
-        if (!wasHeardLately(known, state.times, now)) {
+        if (!wasHeardRecently(known, state.times, now)) {
             known.zone = entry.zone;
             known.address = entry.address;
         }
@@ -133,14 +133,14 @@
     return result;
 }
 
-std::vector<membership_change> onHeard(membership &state, const heard_sender &sender,
+std::vector<membership_change> onHeard(membership &state, const message_sender &sender,
                                        time_point now)
 {
     changes result;
     if (sender.instance == state.self || sender.incarnation == 0)
         return result;
     if (sender.instance.empty())
-        return onHeardAgain(state, sender.incarnation, sender.state, now);
+        return onHeardByIncarnation(state, sender.incarnation, sender.state, now);
     // Incarnations are random, so two instances with the same one are a fault of one of them.
     const auto owner = state.byIncarnation.find(sender.incarnation);
     if (owner != state.byIncarnation.end() && owner->second != sender.instance)
@@ -160,30 +160,32 @@
         if (predecessor != 0)
             result.push_back({ membership_event::Restarted, known.instance, sender.incarnation,
                                predecessor });
-    } else if (known.said == sender_state::Gone) {
+    } else if (known.announcedState == sender_state::Gone) {
         return result; // sent before its farewell
     }
     known.zone = sender.zone;
     known.address = sender.address;
     known.heardAt = now;
     // An instance never takes back that it is leaving; a late message may say otherwise.
-    known.said = std::max(known.said, sender.state);
-    if (known.said == sender_state::Gone)
-        known.farewellUntil = now + state.times.farewellLasts;
+    known.announcedState = std::max(known.announcedState, sender.state);
+    if (known.announcedState == sender_state::Gone)
+        known.departureDeadline = now + state.times.departureTimeout;
     known.isSuspected = false;
-    known.candidate = 0;
+    known.successorCandidate = 0;
     update(state, known, now, result);
     return result;
 }
 
-std::vector<membership_change> onHeardAgain(membership &state, incarnation_id incarnation,
-                                            sender_state said, time_point now)
+std::vector<membership_change> onHeardByIncarnation(membership &state, incarnation_id incarnation,
+                                                    sender_state announcedState, time_point now)
 {
     const known_instance *known = findIncarnation(state, incarnation);
     if (known == nullptr)
         return {};
     assert(!known->instance.empty());
-    return onHeard(state, { incarnation, known->instance, known->zone, known->address, said }, now);
+    return onHeard(state,
+                   { incarnation, known->instance, known->zone, known->address, announcedState },
+                   now);
 }
 
 std::vector<membership_change> onNoAnswer(membership &state, const instance_id &instance,
@@ -214,15 +216,16 @@
     for (auto each = state.instances.begin(); each != state.instances.end();) {
         known_instance &known = each->second;
         const time_point silentSince = std::max(known.heardAt, known.expectedSince);
-        if (known.isExpected && now >= silentSince + state.times.suspectAfter)
+        if (known.isExpected && now >= silentSince + state.times.suspicionTimeout)
             suspect(known, state.times, now);
-        if (known.said == sender_state::Gone && known.isListed && now >= known.farewellUntil) {
-            known.said = sender_state::Live;
+        if (known.announcedState == sender_state::Gone && known.isListed
+            && now >= known.departureDeadline) {
+            known.announcedState = sender_state::Live;
             suspect(known, state.times, now);
         }
         update(state, known, now, result);
         const bool isForgotten = known.state == peer_state::Gone && !known.isListed
-                                 && now - known.goneSince >= state.times.forgetAfter;
+                                 && now - known.goneSince >= state.times.goneRetention;
         if (isForgotten) {
             state.byIncarnation.erase(known.incarnation);
             each = state.instances.erase(each);
@@ -233,19 +236,19 @@
     return result;
 }
 
-std::vector<instance_id> dueProbes(membership &state, std::size_t most, time_point now)
+std::vector<instance_id> dueProbes(membership &state, std::size_t maxCount, time_point now)
 {
     std::vector<instance_id> result;
     for (auto &[instance, known] : state.instances) {
         const bool isUnknown = known.state == peer_state::Live && known.incarnation == 0
                                && known.zone == state.zone;
-        if ((!isUnknown && known.state != peer_state::Suspected) || now < known.nextProbe)
+        if ((!isUnknown && known.state != peer_state::Suspected) || now < known.nextProbeAt)
             continue;
-        if (result.size() >= most)
+        if (result.size() >= maxCount)
             break;
-        known.probePause =
-                std::clamp(2 * known.probePause, state.times.firstProbe, state.times.longestProbe);
-        known.nextProbe = now + known.probePause;
+        known.probeInterval = std::clamp(2 * known.probeInterval, state.times.initialProbeInterval,
+                                         state.times.maxProbeInterval);
+        known.nextProbeAt = now + known.probeInterval;
         result.push_back(instance);
     }
     return result;
--- a/src/core/rendezvous.cpp
+++ b/src/core/rendezvous.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Rendezvous hashing: which instance owns a key, and which ones come next.
+/// @brief Hash function and ranking of rendezvous hashing.
 
 #include <fuchsiagw/core/rendezvous.hpp>
 
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Separates the parts of a hashed text; names are plain text and never contain it.
+/// Separates the parts of a hash input. Names never contain it, so two different lists of parts
+/// never have the same hash input.
 constexpr char partSeparator = '\0';
 
 } // namespace
@@ -20,7 +21,8 @@
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char each : text)
         hash = (hash ^ static_cast<unsigned char>(each)) * 0x100000001b3ULL;
-    // FNV-1a alone leaves the high bits of similar names alike, which would make the order uneven.
+    // FNV-1a alone yields similar high bits for similar names, which would distribute keys
+    // unevenly.
     hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9ULL;
     hash = (hash ^ (hash >> 27)) * 0x94d049bb133111ebULL;
     return hash ^ (hash >> 31);
--- a/src/core/share_ledger.cpp
+++ b/src/core/share_ledger.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Accounts of shares and the bucket that follows them.
+/// @brief Accounting of shares and loans.
 
 #include <fuchsiagw/core/share_ledger.hpp>
 
@@ -10,32 +10,33 @@
 
 namespace {
 
-/// Recomputes what depends on the loans and the lease, and gives the bucket its new shape.
-void settle(share_ledger &book, time_point now)
+/// Recomputes the values derived from the loans and the lease, and sets the bucket's rate and
+/// capacity.
+void recomputeUsable(share_ledger &ledger, time_point now)
 {
-    const bool homeUsable = now < book.homeUntil;
-    book.lent = 0;
-    book.nextChange = homeUsable ? book.homeUntil : noDeadline;
-    for (const auto &[id, loan] : book.out) {
-        book.lent += loan.shares;
-        book.nextChange = std::min(book.nextChange, loan.endsAt);
+    const bool isHomeUsable = now < ledger.homeUntil;
+    ledger.lent = 0;
+    ledger.nextChangeAt = isHomeUsable ? ledger.homeUntil : noDeadline;
+    for (const auto &[id, loan] : ledger.out) {
+        ledger.lent += loan.shares;
+        ledger.nextChangeAt = std::min(ledger.nextChangeAt, loan.endsAt);
     }
     share_count borrowed = 0;
-    for (const auto &[id, loan] : book.in) {
+    for (const auto &[id, loan] : ledger.in) {
         borrowed += loan.shares;
-        book.nextChange = std::min(book.nextChange, loan.endsAt);
+        ledger.nextChangeAt = std::min(ledger.nextChangeAt, loan.endsAt);
     }
-    assert(book.lent >= 0 && book.lent <= book.home);
-    book.usable = (homeUsable ? book.home - book.lent : 0) + borrowed;
-    assert(book.usable >= 0 && book.usable <= book.home - book.lent + borrowed);
-    // A total that was lowered is exceeded until the holders have returned their part.
-    const share_count counted = std::min(book.usable, book.total);
-    reshape(book.bucket, partOf(book.rate, counted, book.total),
-            partOf(book.burst, counted, book.total), now);
+    assert(ledger.lent >= 0 && ledger.lent <= ledger.home);
+    ledger.usable = (isHomeUsable ? ledger.home - ledger.lent : 0) + borrowed;
+    assert(ledger.usable >= 0 && ledger.usable <= ledger.home - ledger.lent + borrowed);
+    // After a decrease of the total, holders keep surplus shares until they have returned them.
+    const share_count cappedShares = std::min(ledger.usable, ledger.total);
+    reshape(ledger.bucket, partOf(ledger.rate, cappedShares, ledger.total),
+            partOf(ledger.burst, cappedShares, ledger.total), now);
 }
 
 template <typename loans>
-void dropEnded(loans &all, time_point now)
+void eraseExpired(loans &all, time_point now)
 {
     std::erase_if(all, [now](const auto &entry) { return entry.second.endsAt <= now; });
 }
@@ -51,170 +52,171 @@
 std::int64_t partOf(std::int64_t whole, share_count shares, share_count total)
 {
     assert(shares >= 0 && shares <= total && total > 0);
-    // Split so that no product exceeds 64 bits; the result is still exact.
+    // Divides first so that no product exceeds 64 bits; the result is still exact.
     return whole / total * shares + whole % total * shares / total;
 }
 
-void advance(share_ledger &book, time_point now)
+void advance(share_ledger &ledger, time_point now)
 {
-    while (book.nextChange <= now) {
-        const time_point at = std::max(book.nextChange, book.advancedTo);
-        refill(book.bucket, at);
-        dropEnded(book.out, at);
-        dropEnded(book.in, at);
-        settle(book, at);
-        book.advancedTo = at;
+    while (ledger.nextChangeAt <= now) {
+        const time_point at = std::max(ledger.nextChangeAt, ledger.advancedAt);
+        refill(ledger.bucket, at);
+        eraseExpired(ledger.out, at);
+        eraseExpired(ledger.in, at);
+        recomputeUsable(ledger, at);
+        ledger.advancedAt = at;
     }
-    refill(book.bucket, now);
-    book.advancedTo = std::max(book.advancedTo, now);
+    refill(ledger.bucket, now);
+    ledger.advancedAt = std::max(ledger.advancedAt, now);
 }
 
-void setLimit(share_ledger &book, std::int64_t rate, token_amount burst, share_count total,
+void setLimit(share_ledger &ledger, std::int64_t rate, token_amount burst, share_count total,
               time_point now)
 {
     assert(total > 0);
-    advance(book, now);
-    book.rate = rate;
-    book.burst = burst;
-    book.total = total;
-    settle(book, book.advancedTo);
+    advance(ledger, now);
+    ledger.rate = rate;
+    ledger.burst = burst;
+    ledger.total = total;
+    recomputeUsable(ledger, ledger.advancedAt);
 }
 
-void setHomeUntil(share_ledger &book, time_point until, time_point now)
+void setHomeUntil(share_ledger &ledger, time_point until, time_point now)
 {
-    // Applies a lapse that lies in the past first: its tokens are lost even if the lease is back.
-    advance(book, now);
-    book.homeUntil = until;
-    settle(book, book.advancedTo);
+    // An expiry before now is applied first: no tokens accrue between it and a renewal of the
+    // lease.
+    advance(ledger, now);
+    ledger.homeUntil = until;
+    recomputeUsable(ledger, ledger.advancedAt);
 }
 
-void addHome(share_ledger &book, share_count shares, token_amount tokens, time_point now)
+void addHome(share_ledger &ledger, share_count shares, token_amount tokens, time_point now)
 {
     assert(shares >= 0 && tokens >= 0);
-    advance(book, now);
-    book.home += shares;
-    settle(book, book.advancedTo);
-    put(book.bucket, std::min(tokens, partOf(book.burst, std::min(shares, book.total), book.total)),
-        now);
+    advance(ledger, now);
+    ledger.home += shares;
+    recomputeUsable(ledger, ledger.advancedAt);
+    put(ledger.bucket,
+        std::min(tokens, partOf(ledger.burst, std::min(shares, ledger.total), ledger.total)), now);
 }
 
-share_transfer removeHome(share_ledger &book, share_count shares, time_point now)
+share_transfer removeHome(share_ledger &ledger, share_count shares, time_point now)
 {
-    advance(book, now);
+    advance(ledger, now);
     share_transfer removed;
-    removed.shares = std::clamp<share_count>(shares, 0, book.home - book.lent);
-    const bool homeUsable = book.advancedTo < book.homeUntil;
-    if (homeUsable && book.usable > 0)
-        removed.tokens =
-                takeUpTo(book.bucket, partOf(book.bucket.level, removed.shares, book.usable), now);
-    book.home -= removed.shares;
-    settle(book, book.advancedTo);
+    removed.shares = std::clamp<share_count>(shares, 0, ledger.home - ledger.lent);
+    const bool isHomeUsable = ledger.advancedAt < ledger.homeUntil;
+    if (isHomeUsable && ledger.usable > 0)
+        removed.tokens = takeUpTo(ledger.bucket,
+                                  partOf(ledger.bucket.level, removed.shares, ledger.usable), now);
+    ledger.home -= removed.shares;
+    recomputeUsable(ledger, ledger.advancedAt);
     return removed;
 }
 
-share_count usableShares(share_ledger &book, time_point now)
+share_count usableShares(share_ledger &ledger, time_point now)
 {
-    advance(book, now);
-    return book.usable;
+    advance(ledger, now);
+    return ledger.usable;
 }
 
-share_count lendableShares(share_ledger &book, time_point now)
+share_count lendableShares(share_ledger &ledger, time_point now)
 {
-    advance(book, now);
-    return book.advancedTo < book.homeUntil ? book.home - book.lent : 0;
+    advance(ledger, now);
+    return ledger.advancedAt < ledger.homeUntil ? ledger.home - ledger.lent : 0;
 }
 
-bool takeToken(share_ledger &book, time_point now)
+bool takeToken(share_ledger &ledger, time_point now)
 {
-    advance(book, now);
-    return take(book.bucket, oneToken, book.advancedTo);
+    advance(ledger, now);
+    return take(ledger.bucket, oneToken, ledger.advancedAt);
 }
 
-std::optional<loan_terms> grantLoan(share_ledger &book, const resource_id &resource,
+std::optional<loan_terms> grantLoan(share_ledger &ledger, const resource_id &resource,
                                     incarnation_id lender, incarnation_id borrower, loan_kind kind,
                                     share_count shares, token_amount tokens,
                                     const loan_times &times, time_point now)
 {
-    const share_count lendable = lendableShares(book, now);
-    if (book.advancedTo >= book.homeUntil)
+    const share_count lendable = lendableShares(ledger, now);
+    if (ledger.advancedAt >= ledger.homeUntil)
         return std::nullopt;
     shares = std::clamp<share_count>(shares, 0, lendable);
-    auto entry = std::find_if(book.out.begin(), book.out.end(), [&](const auto &each) {
+    auto entry = std::find_if(ledger.out.begin(), ledger.out.end(), [&](const auto &each) {
         return each.second.borrower == borrower && each.second.kind == kind;
     });
-    if (entry == book.out.end()) {
+    if (entry == ledger.out.end()) {
         if (shares == 0)
             return std::nullopt;
-        entry = book.out.emplace(loan_id{ lender, book.nextLoan++ }, granted_loan{}).first;
+        entry = ledger.out.emplace(loan_id{ lender, ledger.nextLoan++ }, granted_loan{}).first;
         entry->second.borrower = borrower;
         entry->second.kind = kind;
     }
     granted_loan &loan = entry->second;
-    // Tokens need room in the shares that move with them: a loan that is only extended may hold
-    // as many already as it has room for.
-    const token_amount room = partOf(book.burst, std::min(shares, book.total), book.total);
-    const token_amount moved = takeUpTo(book.bucket, std::min(tokens, room), book.advancedTo);
+    // Only the additional shares make room for tokens: the borrower may already hold as many tokens
+    // as the shares lent before have room for.
+    const token_amount room = partOf(ledger.burst, std::min(shares, ledger.total), ledger.total);
+    const token_amount moved = takeUpTo(ledger.bucket, std::min(tokens, room), ledger.advancedAt);
     loan.shares += shares;
     ++loan.serial;
     const duration length = kind == loan_kind::Rate ? times.length : times.tokenLoanDuration;
-    loan.endsAt = std::max(loan.endsAt, book.advancedTo + length + times.driftMargin);
-    settle(book, book.advancedTo);
+    loan.endsAt = std::max(loan.endsAt, ledger.advancedAt + length + times.driftMargin);
+    recomputeUsable(ledger, ledger.advancedAt);
     return loan_terms{
         entry->first, resource, kind, loan.serial, loan.shares, moved, length.count()
     };
 }
 
-bool receiveLoan(share_ledger &book, const loan_terms &terms, time_point sentAt, time_point now)
+bool receiveLoan(share_ledger &ledger, const loan_terms &terms, time_point sentAt, time_point now)
 {
-    advance(book, now);
+    advance(ledger, now);
     const time_point endsAt = sentAt + duration(terms.remainingMicros);
-    if (sentAt > now || endsAt <= book.advancedTo || terms.shares <= 0)
+    if (sentAt > now || endsAt <= ledger.advancedAt || terms.shares <= 0)
         return false;
-    const auto known = book.in.find(terms.id);
-    if (known != book.in.end() && known->second.serial >= terms.serial)
+    const auto known = ledger.in.find(terms.id);
+    if (known != ledger.in.end() && known->second.serial >= terms.serial)
         return false;
-    received_loan &loan = book.in[terms.id];
-    const bool isMark = loan.shares == 0;
+    received_loan &loan = ledger.in[terms.id];
+    const bool isTombstone = loan.shares == 0;
     const share_count more = std::max<share_count>(terms.shares - loan.shares, 0);
     loan.shares = terms.shares;
     loan.kind = terms.kind;
     loan.serial = terms.serial;
-    // The end of a mark says how long to remember it, not how long the shares may be used.
-    loan.endsAt = isMark ? endsAt : std::max(loan.endsAt, endsAt);
-    settle(book, book.advancedTo);
-    const token_amount room = partOf(book.burst, std::min(more, book.total), book.total);
-    put(book.bucket, std::min(terms.tokens, room), book.advancedTo);
+    // The end of a tombstone bounds how long it is kept, not how long shares may be used.
+    loan.endsAt = isTombstone ? endsAt : std::max(loan.endsAt, endsAt);
+    recomputeUsable(ledger, ledger.advancedAt);
+    const token_amount room = partOf(ledger.burst, std::min(more, ledger.total), ledger.total);
+    put(ledger.bucket, std::min(terms.tokens, room), ledger.advancedAt);
     return true;
 }
 
-std::optional<loan_return> returnLoan(share_ledger &book, const resource_id &resource,
+std::optional<loan_return> returnLoan(share_ledger &ledger, const resource_id &resource,
                                       const loan_id &id, duration longest, time_point now)
 {
-    advance(book, now);
-    const auto entry = book.in.find(id);
-    if (entry == book.in.end() || entry->second.shares == 0)
+    advance(ledger, now);
+    const auto entry = ledger.in.find(id);
+    if (entry == ledger.in.end() || entry->second.shares == 0)
         return std::nullopt;
     const token_amount tokens = takeUpTo(
-            book.bucket, partOf(book.bucket.level, entry->second.shares, book.usable), now);
+            ledger.bucket, partOf(ledger.bucket.level, entry->second.shares, ledger.usable), now);
     entry->second.shares = 0;
-    // A grant that answers an earlier request ends at the latest after one loan length from now.
-    entry->second.endsAt = book.advancedTo + longest;
-    settle(book, book.advancedTo);
+    // A grant that answers an earlier request ends at most one loan duration from now.
+    entry->second.endsAt = ledger.advancedAt + longest;
+    recomputeUsable(ledger, ledger.advancedAt);
     return loan_return{ id, resource, entry->second.serial, tokens };
 }
 
-bool acceptReturn(share_ledger &book, const loan_return &message, time_point now)
+bool acceptReturn(share_ledger &ledger, const loan_return &message, time_point now)
 {
-    advance(book, now);
-    const auto entry = book.out.find(message.id);
-    if (entry == book.out.end() || entry->second.serial != message.serial)
+    advance(ledger, now);
+    const auto entry = ledger.out.find(message.id);
+    if (entry == ledger.out.end() || entry->second.serial != message.serial)
         return false;
     const token_amount room =
-            partOf(book.burst, std::min(entry->second.shares, book.total), book.total);
-    book.out.erase(entry);
-    settle(book, book.advancedTo);
-    // Without the lease the home shares make no room, so nothing is added.
-    put(book.bucket, std::min(message.tokens, room), book.advancedTo);
+            partOf(ledger.burst, std::min(entry->second.shares, ledger.total), ledger.total);
+    ledger.out.erase(entry);
+    recomputeUsable(ledger, ledger.advancedAt);
+    // Without a valid lease, home shares add no capacity and put() discards the tokens.
+    put(ledger.bucket, std::min(message.tokens, room), ledger.advancedAt);
     return true;
 }
 
--- a/src/core/share_pool.cpp
+++ b/src/core/share_pool.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Content of the transactions on lease and pool rows.
+/// @brief Builds the transactions on lease and pool rows.
 
 #include <fuchsiagw/core/share_pool.hpp>
 
@@ -10,36 +10,39 @@
 
 namespace {
 
-/// Each zone has a holder of at least this part of the burst if possible, so that a zone that is
-/// cut off can serve. Smaller holders would be full, and lose their refill, most of the time.
+/// If the burst allows it, each zone has a holder with at least this many tokens, so that a zone
+/// without connection to the others can still serve. A holder with a smaller capacity would be full
+/// most of the time and discard its refill.
 constexpr token_amount minTokensPerZone = 4 * oneToken;
 
-/// More holders than this allows would each run empty at small random peaks.
+/// With less capacity per holder, small random peaks would empty a holder's bucket.
 constexpr token_amount minTokensPerHolder = 8 * oneToken;
 
-/// Differences below one in so many of the fair part are left alone.
-constexpr share_count moveHysteresis = 10;
+/// A difference below the fair share divided by this number causes no transfer.
+constexpr share_count rebalanceThresholdDivisor = 10;
 
-/// FNV-1a, so that all instances compute the same order whatever their standard library.
-std::uint64_t hashOf(std::string_view text, std::uint64_t hash = 0xcbf29ce484222325ULL)
+/// FNV-1a. std::hash differs between standard libraries, but all instances must compute the same
+/// order.
+std::uint64_t orderHash(std::string_view text, std::uint64_t hash = 0xcbf29ce484222325ULL)
 {
     for (const char each : text)
         hash = (hash ^ static_cast<unsigned char>(each)) * 0x100000001b3ULL;
-    // The last characters must reach the high bits, which decide the order.
+    // Mixes the last characters into the high bits, which determine the order.
     hash ^= hash >> 33U;
     hash *= 0xff51afd7ed558ccdULL;
     return hash ^ (hash >> 33U);
 }
 
-/// A transaction in the making: each row is checked once and put once.
-struct draft
+/// Collects the changes of a transaction. Each row is checked once and put once.
+struct transaction_builder
 {
     const table_view &view;
     std::map<std::string, share_put> puts;
     std::vector<share_check> checks;
     std::vector<std::string> deletes;
 
-    /// Copies a row into the draft at its first use.
+    /// Copies the row into the transaction on first use.
+    /// @return the row to change, nullptr if it does not exist or has another type
     template <typename row_type>
     row_type *edit(const std::string &key)
     {
@@ -65,7 +68,7 @@
     }
 };
 
-share_transfer takeFrom(pool_row &pool, share_count wanted)
+share_transfer takeFromPool(pool_row &pool, share_count wanted)
 {
     share_transfer taken;
     taken.shares = std::clamp<share_count>(wanted, 0, std::max<share_count>(pool.free, 0));
@@ -86,14 +89,16 @@
         lease.homes.erase(resource);
 }
 
-void giveBack(draft &rows, lease_row &lease, const std::map<resource_id, share_transfer> &given)
+void returnToPool(transaction_builder &builder, lease_row &lease,
+                  const std::map<resource_id, share_transfer> &given)
 {
     for (const auto &[resource, removed] : given) {
         if (removed.shares == 0)
             continue;
         changeHome(lease, resource, -removed.shares);
-        // A resource that was withdrawn has no pool any more; its shares end here.
-        if (auto *pool = rows.edit<pool_row>(poolKey(resource))) {
+        // The pool of a resource that was removed from the configuration no longer exists, so its
+        // shares are dropped.
+        if (auto *pool = builder.edit<pool_row>(poolKey(resource))) {
             pool->free += removed.shares;
             pool->tokens += removed.tokens;
         }
@@ -135,9 +140,9 @@
     };
     std::vector<candidate> candidates;
     candidates.reserve(live.size());
-    const std::uint64_t seed = hashOf(toString(resource));
+    const std::uint64_t seed = orderHash(toString(resource));
     for (const peer_ref &peer : live)
-        candidates.push_back({ 0, hashOf(peer.instance.value, seed), &peer });
+        candidates.push_back({ 0, orderHash(peer.instance.value, seed), &peer });
     const auto before = [](const candidate &left, const candidate &right) {
         if (left.round != right.round)
             return left.round < right.round;
@@ -164,21 +169,21 @@
 share_count fairShare(share_count total, const std::vector<incarnation_id> &holders,
                       incarnation_id self)
 {
-    const auto place = std::find(holders.begin(), holders.end(), self);
-    if (place == holders.end())
+    const auto position = std::find(holders.begin(), holders.end(), self);
+    if (position == holders.end())
         return 0;
     const share_count count = std::ssize(holders);
-    const share_count rank = place - holders.begin();
+    const share_count rank = position - holders.begin();
     return total / count + (rank < total % count ? 1 : 0);
 }
 
 share_count rebalanceDelta(share_count home, share_count fair, const pool_row &pool)
 {
     const share_count difference = fair - home;
-    const bool isSmall = std::abs(difference) * moveHysteresis < fair;
+    const bool isSmall = std::abs(difference) * rebalanceThresholdDivisor < fair;
     if (difference > 0)
         return isSmall ? 0 : std::min(difference, std::max<share_count>(pool.free, 0));
-    // A pool in debt needs every surplus share back.
+    // A pool with negative free shares needs every surplus share, however small the difference.
     return isSmall && pool.free >= 0 ? 0 : difference;
 }
 
@@ -192,13 +197,13 @@
 std::optional<table_transaction> resizePool(const std::string &id, const table_view &view,
                                             const resource_id &resource, share_count total)
 {
-    draft rows{ view, {}, {}, {} };
-    auto *pool = rows.edit<pool_row>(poolKey(resource));
+    transaction_builder builder{ view, {}, {}, {} };
+    auto *pool = builder.edit<pool_row>(poolKey(resource));
     if (pool == nullptr || pool->total == total)
         return std::nullopt;
     pool->free += total - pool->total;
     pool->total = total;
-    return rows.finish(id);
+    return builder.finish(id);
 }
 
 share_transaction joinPool(const std::string &id, const table_view &view, lease_row row,
@@ -206,19 +211,20 @@
 {
     assert(row.homes.empty());
     share_transaction move;
-    draft rows{ view, {}, {}, {} };
+    transaction_builder builder{ view, {}, {}, {} };
     for (const auto &[resource, shares] : wanted) {
         const pool_row *known = findPool(view, resource);
         if (known == nullptr || known->free <= 0 || shares <= 0)
             continue;
-        const share_transfer taken = takeFrom(*rows.edit<pool_row>(poolKey(resource)), shares);
+        const share_transfer taken =
+                takeFromPool(*builder.edit<pool_row>(poolKey(resource)), shares);
         move.gained[resource] = taken;
         changeHome(row, resource, taken.shares);
     }
     const std::string key = leaseKey(row.incarnation);
-    rows.checks.push_back({ key, 0 });
-    rows.puts.emplace(key, share_put{ key, std::move(row) });
-    move.transaction = rows.finish(id);
+    builder.checks.push_back({ key, 0 });
+    builder.puts.emplace(key, share_put{ key, std::move(row) });
+    move.transaction = builder.finish(id);
     return move;
 }
 
@@ -228,23 +234,24 @@
                                             const std::map<resource_id, share_transfer> &given)
 {
     share_transaction move;
-    draft rows{ view, {}, {}, {} };
-    auto *lease = rows.edit<lease_row>(leaseKey(self));
+    transaction_builder builder{ view, {}, {}, {} };
+    auto *lease = builder.edit<lease_row>(leaseKey(self));
     if (lease == nullptr)
         return std::nullopt;
-    giveBack(rows, *lease, given);
+    returnToPool(builder, *lease, given);
     move.given = given;
     for (const auto &[resource, shares] : wanted) {
         const pool_row *known = findPool(view, resource);
         if (known == nullptr || known->free <= 0 || shares <= 0)
             continue;
-        const share_transfer taken = takeFrom(*rows.edit<pool_row>(poolKey(resource)), shares);
+        const share_transfer taken =
+                takeFromPool(*builder.edit<pool_row>(poolKey(resource)), shares);
         move.gained[resource] = taken;
         changeHome(*lease, resource, taken.shares);
     }
-    if (rows.puts.size() == 1)
+    if (builder.puts.size() == 1)
         return std::nullopt;
-    move.transaction = rows.finish(id);
+    move.transaction = builder.finish(id);
     return move;
 }
 
@@ -253,18 +260,18 @@
                                            const std::map<resource_id, share_transfer> &given)
 {
     share_transaction move;
-    draft rows{ view, {}, {}, {} };
+    transaction_builder builder{ view, {}, {}, {} };
     const std::string key = leaseKey(self);
-    auto *lease = rows.edit<lease_row>(key);
+    auto *lease = builder.edit<lease_row>(key);
     if (lease == nullptr)
         return std::nullopt;
-    giveBack(rows, *lease, given);
+    returnToPool(builder, *lease, given);
     move.given = given;
     if (lease->homes.empty()) {
-        rows.puts.erase(key);
-        rows.deletes.push_back(key);
+        builder.puts.erase(key);
+        builder.deletes.push_back(key);
     }
-    move.transaction = rows.finish(id);
+    move.transaction = builder.finish(id);
     return move;
 }
 
@@ -272,29 +279,29 @@
                                                  incarnation_id self,
                                                  const std::vector<incarnation_id> &witnesses)
 {
-    draft rows{ view, {}, {}, {} };
-    auto *lease = rows.edit<lease_row>(leaseKey(self));
+    transaction_builder builder{ view, {}, {}, {} };
+    auto *lease = builder.edit<lease_row>(leaseKey(self));
     if (lease == nullptr)
         return std::nullopt;
     lease->witnesses = witnesses;
-    return rows.finish(id);
+    return builder.finish(id);
 }
 
 std::optional<table_transaction> reclaimLease(const std::string &id, const table_view &view,
                                               incarnation_id dead,
                                               const std::set<incarnation_id> &votes)
 {
-    draft rows{ view, {}, {}, {} };
+    transaction_builder builder{ view, {}, {}, {} };
     const std::string key = leaseKey(dead);
-    const auto *lease = rows.edit<lease_row>(key);
+    const auto *lease = builder.edit<lease_row>(key);
     if (lease == nullptr || !isMajority(lease->witnesses, votes))
         return std::nullopt;
     for (const auto &[resource, shares] : lease->homes)
-        if (auto *pool = rows.edit<pool_row>(poolKey(resource)))
+        if (auto *pool = builder.edit<pool_row>(poolKey(resource)))
             pool->free += shares;
-    rows.puts.erase(key);
-    rows.deletes.push_back(key);
-    return rows.finish(id);
+    builder.puts.erase(key);
+    builder.deletes.push_back(key);
+    return builder.finish(id);
 }
 
 transaction_state judge(const table_transaction &transaction, const table_view &view)
@@ -306,7 +313,8 @@
                           entry->second.row))
             return transaction_state::Committed;
     }
-    // Rows that only this incarnation writes show a commit even if others have changed the rest.
+    // Only this incarnation deletes these rows, so a missing row shows the commit even if other
+    // instances have changed the remaining rows since.
     for (const std::string &key : transaction.deletes)
         if (!view.contains(key))
             return transaction_state::Committed;
--- a/src/core/share_table.cpp
+++ b/src/core/share_table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The text form of lease and pool rows.
+/// @brief Serialization and parsing of lease and pool rows.
 
 #include <fuchsiagw/core/share_table.hpp>
 
@@ -15,15 +15,15 @@
 constexpr std::string_view leaseFormat = "fuchsiagw-lease 1";
 constexpr std::string_view poolFormat = "fuchsiagw-pool 1";
 
-/// Printable characters without spaces, so that a text is one word of a line.
+/// Tells whether the text is one word of a line: printable ASCII characters without spaces.
 bool isWord(std::string_view text)
 {
-    return !text.empty() && text.size() <= maxRowText
+    return !text.empty() && text.size() <= maxRowTextLength
            && std::all_of(text.begin(), text.end(),
                           [](char each) { return each > ' ' && each < '\x7f'; });
 }
 
-std::string nameOf(const resource_id &resource)
+std::string formatResource(const resource_id &resource)
 {
     return std::string(resourceKindNames.at(static_cast<std::size_t>(resource.kind))) + ' '
            + resource.name;
@@ -44,7 +44,7 @@
     for (const auto &[resource, shares] : row.homes) {
         if (!isName(resource.name))
             return std::nullopt;
-        text += "\nhome " + nameOf(resource) + ' ' + std::to_string(shares);
+        text += "\nhome " + formatResource(resource) + ' ' + std::to_string(shares);
     }
     text += "\nby " + row.writtenBy + '\n';
     return text;
@@ -55,7 +55,7 @@
     if (!isName(row.resource.name) || !isWord(row.writtenBy))
         return std::nullopt;
     std::string text(poolFormat);
-    text += "\nresource " + nameOf(row.resource);
+    text += "\nresource " + formatResource(row.resource);
     text += "\ntotal " + std::to_string(row.total);
     text += "\nfree " + std::to_string(row.free);
     text += "\ntokens " + std::to_string(row.tokens);
@@ -63,29 +63,29 @@
     return text;
 }
 
-/// Reads words separated by single spaces and lines that end with a newline. The first deviation
-/// makes every later read fail.
+/// Reads words separated by single spaces, and lines that end with a newline. After the first
+/// mismatch every later read fails.
 struct row_reader
 {
     std::string_view rest;
-    bool isGood = true;
+    bool isValid = true;
 
-    /// Takes @p text if it comes next.
+    /// Consumes @p text if the rest starts with it.
     bool skip(std::string_view text)
     {
-        if (!isGood || !rest.starts_with(text))
+        if (!isValid || !rest.starts_with(text))
             return false;
         rest.remove_prefix(text.size());
         return true;
     }
 
-    void expect(std::string_view text) { isGood = skip(text) && isGood; }
+    void expect(std::string_view text) { isValid = skip(text) && isValid; }
 
     std::string word()
     {
         const std::string_view text = rest.substr(0, rest.find_first_of(" \n"));
-        isGood = isGood && isWord(text);
-        if (!isGood)
+        isValid = isValid && isWord(text);
+        if (!isValid)
             return {};
         rest.remove_prefix(text.size());
         return std::string(text);
@@ -94,7 +94,7 @@
     std::string name()
     {
         std::string text = word();
-        isGood = isGood && isName(text);
+        isValid = isValid && isName(text);
         return text;
     }
 
@@ -104,8 +104,8 @@
         const std::string text = word();
         number value = 0;
         const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
-        // Only the form that toValue() writes; no leading zeros.
-        isGood = isGood && parsed.ec == std::errc{} && std::to_string(value) == text;
+        // Accepts only the form that toValue() writes, without leading zeros.
+        isValid = isValid && parsed.ec == std::errc{} && std::to_string(value) == text;
         return value;
     }
 
@@ -113,10 +113,10 @@
     {
         const std::string kind = word();
         const auto known = std::find(resourceKindNames.begin(), resourceKindNames.end(), kind);
-        isGood = isGood && known != resourceKindNames.end();
+        isValid = isValid && known != resourceKindNames.end();
         expect(" ");
         std::string text = name();
-        if (!isGood)
+        if (!isValid)
             return {};
         return { static_cast<resource_kind>(known - resourceKindNames.begin()), std::move(text) };
     }
@@ -134,19 +134,19 @@
     reader.expect("\nwitnesses");
     while (reader.skip(" ")) {
         row.witnesses.push_back(reader.integer<incarnation_id>());
-        reader.isGood = reader.isGood && row.witnesses.size() <= maxRowWitnesses;
+        reader.isValid = reader.isValid && row.witnesses.size() <= maxRowWitnesses;
     }
     while (reader.skip("\nhome ")) {
         const resource_id resource = reader.resource();
         reader.expect(" ");
         const auto shares = reader.integer<share_count>();
-        reader.isGood = reader.isGood && shares > 0 && row.homes.size() < maxRowHomes
-                        && row.homes.emplace(resource, shares).second;
+        reader.isValid = reader.isValid && shares > 0 && row.homes.size() < maxRowHomes
+                         && row.homes.emplace(resource, shares).second;
     }
     reader.expect("\nby ");
     row.writtenBy = reader.word();
     reader.expect("\n");
-    if (!reader.isGood || !reader.rest.empty())
+    if (!reader.isValid || !reader.rest.empty())
         return std::nullopt;
     return row;
 }
@@ -165,7 +165,7 @@
     reader.expect("\nby ");
     row.writtenBy = reader.word();
     reader.expect("\n");
-    if (!reader.isGood || !reader.rest.empty() || row.total <= 0 || row.free > row.total
+    if (!reader.isValid || !reader.rest.empty() || row.total <= 0 || row.free > row.total
         || row.tokens < 0)
         return std::nullopt;
     return row;
--- a/src/core/token_bucket.cpp
+++ b/src/core/token_bucket.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Arithmetic of the token bucket.
+/// @brief Fixed-point arithmetic of the token bucket.
 
 #include <fuchsiagw/core/token_bucket.hpp>
 
--- a/tests/unit-incarnation-lease.cpp
+++ b/tests/unit-incarnation-lease.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of promises, votes and the replacement of witnesses.
+/// @brief Tests of promises, votes and the replacement of witnesses of an incarnation lease.
 
 #include <fuchsiagw/core/incarnation_lease.hpp>
 
@@ -38,8 +38,9 @@
     }
 };
 
-// Guards against promises that count from their arrival, and against a minority that suffices.
-TEST(incarnation_lease, majorityCountsFromTheRequests)
+// Guards against a lease that is measured from the arrival of a promise, which is later than the
+// witness assumes, and against a lease that a minority of witnesses has promised.
+TEST(incarnation_lease, leaseIsMeasuredFromTheRequestsOfAMajority)
 {
     promise(1, 1'000, 1'500);
     CHECK_TRUE(homeUntil(holder) == time_point{});
@@ -49,7 +50,8 @@
     CHECK_TRUE(homeUntil(holder) == at(8'000));
 }
 
-// Guards against a vote while the holder still counts on the promise, and a promise after the vote.
+// Guards against a vote while the holder still relies on the promise, and against a promise after
+// the vote.
 TEST(incarnation_lease, votesOnlyAfterThePromiseAndNeverPromisesAgain)
 {
     promise(1, 10'000, 10'001);
@@ -59,7 +61,7 @@
                            .promisedMicros);
 }
 
-// Guards against a restarted witness that votes although its forgotten promise still runs.
+// Guards against a vote during a promise that the witness made before a restart and has lost.
 TEST(incarnation_lease, restartedWitnessWaitsForTheLongestPromise)
 {
     witnesses[1].startedAt = at(20'000);
@@ -67,7 +69,8 @@
     CHECK_TRUE(voteExpired(witnesses[1], 10, times, at(26'030)));
 }
 
-// Guards against a change of witnesses whose answer is lost: old and new set must both promise.
+// Guards against a lease that relies on one set of witnesses while the table may name the other:
+// the response to a change was lost and its outcome is unknown.
 TEST(incarnation_lease, submittedChangeNeedsBothSets)
 {
     promise(1, 1'000, 1'001);
@@ -86,15 +89,16 @@
     CHECK_TRUE(homeUntil(holder) == at(8'000));
 }
 
-// Guards against a reclaim before the dead holder's longest loan has ended, or without a majority.
+// Guards against shares that are reclaimed without a majority of votes, or while a borrower still
+// uses a loan of the dead holder.
 TEST(incarnation_lease, reclaimWaitsForMajorityAndLoans)
 {
     for (const std::size_t each : { 1, 2, 3 })
         promise(each, 1'000, 1'001);
     CHECK_TRUE(dueVotePolls(witnesses[1], times, at(9'000)).empty());
-    const auto questions = dueVotePolls(witnesses[1], times, at(9'002));
-    LONGS_EQUAL(1, questions.size());
-    LONGS_EQUAL(2, questions.front().witnesses.size());
+    const auto polls = dueVotePolls(witnesses[1], times, at(9'002));
+    LONGS_EQUAL(1, polls.size());
+    LONGS_EQUAL(2, polls.front().witnesses.size());
     CHECK_TRUE(reclaimable(witnesses[1], std::chrono::seconds(4), at(99'000)).empty());
     onVote(witnesses[1], { 10, 4 }, at(9'010));
     CHECK_TRUE(reclaimable(witnesses[1], std::chrono::seconds(4), at(99'000)).empty());
@@ -107,9 +111,9 @@
                            .promisedMicros);
 }
 
-// Guards against witnesses on the own instance, against far ones before near ones, and against two
-// witnesses, where the loss of either stops the holder.
-TEST(incarnation_lease, choosesNearPeersAndAnOddNumber)
+// Guards against witnesses on the own instance, against witnesses in other zones where the own zone
+// has peers, and against a set of two, where the failure of either ends the lease.
+TEST(incarnation_lease, choosesPeersOfOwnZoneAndAnOddNumber)
 {
     random_engine random(5);
     const peer_ref self{ 10, instance_id{ "i10" }, zone_name{ "a" } };
@@ -124,7 +128,7 @@
     LONGS_EQUAL(4, chosen.back());
 }
 
-// Guards against a dead witness that is never replaced.
+// Guards against witnesses that are never replaced although they do not answer or have voted.
 TEST(incarnation_lease, listsSilentAndVotingWitnesses)
 {
     LONGS_EQUAL(3, dueWitnesses(holder, times, at(1'000)).size());
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Every fault, and every pair of faults, at every step of leases, loans and the pool.
+/// @brief Every fault, and every pair of faults, at every protocol_step of leases, loans and the
+/// pool.
 
 #include <fuchsiagw/testing/limits_world.hpp>
 
@@ -21,18 +22,18 @@
 
 constexpr std::uint64_t firstSeed = 5'000;
 
-/// What happens 5 s after the start so that the step is reached.
-enum class prelude { None, Kill, Replace };
+/// What happens 5 s after the start so that the protocol_step is reached.
+enum class setup_action { None, Kill, Replace };
 
-struct step
+struct protocol_step
 {
     std::string_view name;
-    prelude before;
+    setup_action setup;
     bool (*isReached)(const world_node &node); ///< the fault hits this node
 };
 
 template <typename predicate>
-bool anyOut(const world_node &node, predicate isWanted)
+bool anyGrantedLoan(const world_node &node, predicate isWanted)
 {
     for (const auto &[resource, entry] : node.desk.limits)
         for (const auto &[id, loan] : entry.book.out)
@@ -42,7 +43,7 @@
 }
 
 template <typename predicate>
-bool anyIn(const world_node &node, predicate isWanted)
+bool anyReceivedLoan(const world_node &node, predicate isWanted)
 {
     for (const auto &[resource, entry] : node.desk.limits)
         for (const auto &[id, loan] : entry.book.in)
@@ -63,55 +64,58 @@
 using core::received_loan;
 using core::watched_lease;
 
-const std::array<step, 13> steps{ {
-        { "join_sent", prelude::None,
+const std::array<protocol_step, 13> steps{ {
+        { "join_sent", setup_action::None,
           [](const world_node &node) { return !node.hasJoined && node.call != nullptr; } },
-        { "joined", prelude::None, [](const world_node &node) { return node.hasJoined; } },
-        { "rate_granted", prelude::None,
+        { "joined", setup_action::None, [](const world_node &node) { return node.hasJoined; } },
+        { "rate_granted", setup_action::None,
           [](const world_node &node) {
-              return anyOut(node,
-                            [](const granted_loan &loan) { return loan.kind == loan_kind::Rate; });
+              return anyGrantedLoan(
+                      node, [](const granted_loan &loan) { return loan.kind == loan_kind::Rate; });
           } },
-        { "tokens_granted", prelude::None,
+        { "tokens_granted", setup_action::None,
           [](const world_node &node) {
-              return anyOut(node, [](const granted_loan &loan) {
+              return anyGrantedLoan(node, [](const granted_loan &loan) {
                   return loan.kind == loan_kind::Tokens;
               });
           } },
-        { "loan_in_use", prelude::None,
+        { "loan_in_use", setup_action::None,
           [](const world_node &node) {
-              return anyIn(node, [](const received_loan &loan) { return loan.shares > 0; });
+              return anyReceivedLoan(node,
+                                     [](const received_loan &loan) { return loan.shares > 0; });
           } },
-        { "loan_extended", prelude::None,
+        { "loan_extended", setup_action::None,
           [](const world_node &node) {
-              return anyOut(node, [](const granted_loan &loan) { return loan.serial >= 2; });
+              return anyGrantedLoan(node,
+                                    [](const granted_loan &loan) { return loan.serial >= 2; });
           } },
-        { "loan_returned", prelude::None,
+        { "loan_returned", setup_action::None,
           [](const world_node &node) {
-              return anyIn(node, [](const received_loan &loan) { return loan.shares == 0; });
+              return anyReceivedLoan(node,
+                                     [](const received_loan &loan) { return loan.shares == 0; });
           } },
-        { "voted", prelude::Kill,
+        { "voted", setup_action::Kill,
           [](const world_node &node) {
               return anyWatched(node, [](const watched_lease &lease) { return lease.hasVoted; });
           } },
-        { "majority_voted", prelude::Kill,
+        { "majority_voted", setup_action::Kill,
           [](const world_node &node) {
               return anyWatched(node, [](const watched_lease &lease) {
                   return lease.majoritySince != core::noDeadline;
               });
           } },
-        { "reclaimed", prelude::Kill,
+        { "reclaimed", setup_action::Kill,
           [](const world_node &node) {
               return anyWatched(node, [](const watched_lease &lease) { return lease.isReclaimed; });
           } },
-        { "witnesses_submitted", prelude::Kill,
+        { "witnesses_submitted", setup_action::Kill,
           [](const world_node &node) { return node.lease.isSubmitted; } },
-        { "move_sent", prelude::Replace,
+        { "move_sent", setup_action::Replace,
           [](const world_node &node) {
               return node.hasJoined && !node.isLeaving && node.call != nullptr
                      && !node.call->transaction.puts.empty();
           } },
-        { "leave_sent", prelude::Replace,
+        { "leave_sent", setup_action::Replace,
           [](const world_node &node) { return node.isLeaving && node.call != nullptr; } },
 } };
 
@@ -122,7 +126,7 @@
 };
 
 /// Changes the quality of all links for 5 s.
-void disturb(limits_world &world, double world_settings::*quality, double value)
+void degradeLinks(limits_world &world, double world_settings::*quality, double value)
 {
     world.settings.*quality = value;
     after(world, seconds(5), [&world, quality] { world.settings.*quality = 0; });
@@ -142,11 +146,11 @@
         { "platform_down", [](limits_world &w, std::size_t) { stopPlatform(w, seconds(10)); } },
         { "answers_lost", [](limits_world &w, std::size_t) { loseAnswers(w, seconds(5)); } },
         { "messages_lost",
-          [](limits_world &w, std::size_t) { disturb(w, &world_settings::lost, 0.5); } },
+          [](limits_world &w, std::size_t) { degradeLinks(w, &world_settings::lost, 0.5); } },
         { "messages_doubled",
-          [](limits_world &w, std::size_t) { disturb(w, &world_settings::doubled, 1); } },
+          [](limits_world &w, std::size_t) { degradeLinks(w, &world_settings::doubled, 1); } },
         { "messages_late",
-          [](limits_world &w, std::size_t) { disturb(w, &world_settings::late, 0.5); } },
+          [](limits_world &w, std::size_t) { degradeLinks(w, &world_settings::late, 0.5); } },
 } };
 
 world_settings settingsOf(std::uint64_t seed)
@@ -162,8 +166,8 @@
     return settings;
 }
 
-/// Runs until a node is at the step; the node gets the faults.
-std::optional<std::size_t> reach(limits_world &world, const step &wanted)
+/// Runs until a node is at the protocol_step; the node gets the faults.
+std::optional<std::size_t> runUntilReached(limits_world &world, const protocol_step &wanted)
 {
     for (int i = 0; i < 4'000; ++i) {
         runFor(world, milliseconds(5));
@@ -174,24 +178,24 @@
     return std::nullopt;
 }
 
-struct matrix_count
+struct cell_counts
 {
     int run = 0;
     int passed = 0;
 };
 
-void runCell(matrix_count &count, std::uint64_t seed, const step &at, const fault &first,
+void runCell(cell_counts &count, std::uint64_t seed, const protocol_step &at, const fault &first,
              const fault *second)
 {
     const auto world = makeWorld(settingsOf(seed));
-    if (at.before != prelude::None)
+    if (at.setup != setup_action::None)
         after(*world, seconds(5), [&world, &at] {
-            if (at.before == prelude::Kill)
+            if (at.setup == setup_action::Kill)
                 killNode(*world, 1);
             else
                 replaceNode(*world, 1);
         });
-    const auto node = reach(*world, at);
+    const auto node = runUntilReached(*world, at);
     if (node) {
         first.inject(*world, *node);
         if (second != nullptr) {
@@ -207,7 +211,7 @@
         std::printf("seed %llu: %s, %s and %s: %s, %llu violations\n",
                     static_cast<unsigned long long>(seed), at.name.data(), first.name.data(),
                     second == nullptr ? "no other" : second->name.data(),
-                    node ? "reached" : "step not reached",
+                    node ? "reached" : "protocol_step not reached",
                     static_cast<unsigned long long>(violations(*world)));
 }
 
@@ -219,8 +223,8 @@
     settings.doubled = 0.2;
     // Short promises and long loans: a dead lender's loans outlive its lease.
     settings.leases.promise = seconds(2);
-    settings.leases.askEvery = milliseconds(500);
-    settings.leases.voteGrace = milliseconds(0);
+    settings.leases.promiseRenewInterval = milliseconds(500);
+    settings.leases.voteGracePeriod = milliseconds(0);
     settings.loans.times.length = seconds(8);
     const auto world = makeWorld(settings);
     runFor(*world, seconds(6));
@@ -235,14 +239,14 @@
 
 TEST_GROUP(limits_matrix){};
 
-// Guards against any single fault or pair of faults, at any step, that lets two instances use one
-// share, grants more than the exact bucket, or loses or creates shares in the table.
+// Guards against any single fault or pair of faults, at any protocol_step, that lets two instances
+// use one share, grants more than the exact bucket, or loses or creates shares in the table.
 TEST(limits_matrix, everyFaultAndPairAtEveryStep)
 {
-    matrix_count singles;
-    matrix_count pairs;
+    cell_counts singles;
+    cell_counts pairs;
     std::uint64_t seed = firstSeed;
-    for (const step &at : steps)
+    for (const protocol_step &at : steps)
         for (const fault &first : faults) {
             runCell(singles, seed++, at, first, nullptr);
             for (const fault &second : faults)
--- a/tests/unit-membership.cpp
+++ b/tests/unit-membership.cpp
@@ -17,8 +17,8 @@
     return { { name }, instance_kind::Entry, { "z" }, "127.0.0.1:1", state };
 }
 
-heard_sender sender(const std::string &name, incarnation_id incarnation,
-                    sender_state state = sender_state::Live)
+message_sender sender(const std::string &name, incarnation_id incarnation,
+                      sender_state state = sender_state::Live)
 {
     return { incarnation, { name }, { "z" }, "127.0.0.1:2", state };
 }
@@ -39,7 +39,7 @@
     {
         onInstanceList(state, { entries }, now);
     }
-    void hear(const heard_sender &from)
+    void hear(const message_sender &from)
     {
         onHeard(state, from, now);
     }
@@ -79,7 +79,7 @@
     hear(sender("a", 7));
     list({});
     check("a", peer_state::Live, 7);
-    wait(state.times.keepHeard - duration(1));
+    wait(state.times.heardValidity - duration(1));
     check("a", peer_state::Live, 7);
     wait(duration(1));
     check("a", peer_state::Gone, 7);
@@ -96,7 +96,7 @@
     hear(sender("a", 1));
     hear(sender("b", 2));
     setExpected(state, { { "a" } }, now);
-    wait(state.times.suspectAfter - duration(1));
+    wait(state.times.suspicionTimeout - duration(1));
     check("a", peer_state::Live, 1);
     wait(duration(1));
     check("a", peer_state::Suspected, 1);
@@ -143,9 +143,9 @@
 {
     list({ entry("a") });
     hear(sender("a", 1));
-    onHeardAgain(state, 2, sender_state::Gone, now);
+    onHeardByIncarnation(state, 2, sender_state::Gone, now);
     check("a", peer_state::Live, 1);
-    onHeardAgain(state, 1, sender_state::Leaving, now);
+    onHeardByIncarnation(state, 1, sender_state::Leaving, now);
     check("a", peer_state::Leaving, 1);
     hear(sender("a", 1));
     check("a", peer_state::Leaving, 1);
@@ -154,7 +154,7 @@
     list({ entry("a") });
     check("a", peer_state::Gone, 1);
     // Still listed: it may have been started anew.
-    wait(state.times.farewellLasts);
+    wait(state.times.departureTimeout);
     check("a", peer_state::Suspected, 1);
     hear(sender("a", 2));
     check("a", peer_state::Live, 2);
--- a/tests/unit-rendezvous.cpp
+++ b/tests/unit-rendezvous.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of rendezvous hashing.
+/// @brief Tests of rendezvous hashing: stability, independence of order and balance.
 
 #include <fuchsiagw/core/rendezvous.hpp>
 
@@ -25,14 +25,16 @@
 
 TEST_GROUP(rendezvous){};
 
-// Guards against a hash that changes between releases: instances of both would disagree on owners.
+// Guards against a hash that changes between releases, so that instances of different releases
+// select different owners.
 TEST(rendezvous, hashIsStable)
 {
     CHECK_TRUE(stableHash("") == 0xf52a15e9a9b5e89bULL);
     CHECK_TRUE(stableHash("fuchsiagw") == stableHash(std::string("fuchsiagw")));
 }
 
-// Guards against owners that depend on the order of the list, which differs between instances.
+// Guards against owners that depend on the order of the list of instances, which differs between
+// instances.
 TEST(rendezvous, ignoresOrderAndDuplicates)
 {
     std::vector<instance_id> instances = makeInstances(9);
@@ -44,7 +46,8 @@
     CHECK_TRUE(rankInstances(key, instances) == ranked);
 }
 
-// Guards against needless changes of owners when an instance leaves, and against uneven shares.
+// Guards against changes of the owners of other keys when an instance leaves, and against an uneven
+// distribution of keys.
 TEST(rendezvous, movesOnlyTheKeysOfTheLeavingInstance)
 {
     const std::vector<instance_id> instances = makeInstances(9);
@@ -61,5 +64,5 @@
         CHECK_TRUE(without.front() == (hasLeft ? ranked[1] : ranked[0]));
     }
     for (const auto &[instance, count] : owned)
-        CHECK_TRUE(count > 850 && count < 1150); // 1000 each; the bound is five standard deviations
+        CHECK_TRUE(count > 850 && count < 1150); // mean 1000, bounds five standard deviations away
 }
--- a/tests/unit-share-ledger.cpp
+++ b/tests/unit-share-ledger.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the accounts of shares and loans.
+/// @brief Tests of the ledger of shares and loans.
 
 #include <fuchsiagw/core/share_ledger.hpp>
 
@@ -17,13 +17,13 @@
     return time_point(std::chrono::milliseconds(millis));
 }
 
-share_ledger bookWith(share_count home, token_amount tokens)
+share_ledger makeLedger(share_count home, token_amount tokens)
 {
-    share_ledger book;
-    setLimit(book, 100 * oneToken, 100 * oneToken, workspaceShares, at(0));
-    setHomeUntil(book, at(60'000), at(0));
-    addHome(book, home, tokens, at(0));
-    return book;
+    share_ledger ledger;
+    setLimit(ledger, 100 * oneToken, 100 * oneToken, workspaceShares, at(0));
+    setHomeUntil(ledger, at(60'000), at(0));
+    addHome(ledger, home, tokens, at(0));
+    return ledger;
 }
 
 } // namespace
@@ -32,8 +32,8 @@
 {
     resource_id resource{ resource_kind::Workspace, "libros" };
     loan_times times;
-    share_ledger lender = bookWith(600'000, 60 * oneToken);
-    share_ledger borrower = bookWith(0, 0);
+    share_ledger lender = makeLedger(600'000, 60 * oneToken);
+    share_ledger borrower = makeLedger(0, 0);
 
     loan_terms lend(share_count shares, std::int64_t millis)
     {
@@ -44,8 +44,9 @@
     }
 };
 
-// Guards against shares that lender and borrower count at the same time.
-TEST(share_ledger, giverSubtractsFirstAndBorrowerEndsFirst)
+// Guards against shares that lender and borrower use at the same time, at the start or the end of a
+// loan.
+TEST(share_ledger, lenderSubtractsFirstAndBorrowerEndsFirst)
 {
     const loan_terms terms = lend(100'000, 5);
     LONGS_EQUAL(500'000, usableShares(lender, at(5)));
@@ -58,20 +59,22 @@
     LONGS_EQUAL(600'000, usableShares(lender, at(4'025)));
 }
 
-// Guards against a loan that is counted twice because its message came twice or late.
+// Guards against a loan that is counted twice because its grant arrives twice, or is used after its
+// end because the grant arrives late.
 TEST(share_ledger, ignoresDuplicatesAndLateGrants)
 {
     const loan_terms terms = lend(100'000, 5);
     CHECK_FALSE(receiveLoan(borrower, terms, at(0), at(4'000)));
     LONGS_EQUAL(0, usableShares(borrower, at(4'000)));
-    share_ledger other = bookWith(0, 0);
+    share_ledger other = makeLedger(0, 0);
     CHECK_TRUE(receiveLoan(other, terms, at(0), at(10)));
     CHECK_FALSE(receiveLoan(other, terms, at(0), at(11)));
     LONGS_EQUAL(100'000, usableShares(other, at(11)));
     CHECK_TRUE(takeUpTo(other.bucket, 100 * oneToken, at(11)) < 11 * oneToken);
 }
 
-// Guards against a return that frees shares at the lender while a later grant revives the loan.
+// Guards against shares used twice when a return and an extension of the same loan cross: the
+// lender would free the shares while the borrower applies the extension.
 TEST(share_ledger, returnThatCrossesAnExtensionIsIgnored)
 {
     CHECK_TRUE(receiveLoan(borrower, lend(100'000, 5), at(0), at(10)));
@@ -85,8 +88,9 @@
     LONGS_EQUAL(100'000, usableShares(borrower, at(6'998)));
 }
 
-// Guards against a returned loan that a late grant revives for as long as its mark is kept.
-TEST(share_ledger, revivedLoanEndsWithItsGrant)
+// Guards against an extension that arrives after the return of the loan and makes it usable until
+// the tombstone ends instead of until the extension ends.
+TEST(share_ledger, lateExtensionEndsWithItsGrant)
 {
     CHECK_TRUE(receiveLoan(borrower, lend(100'000, 5), at(0), at(10)));
     const loan_terms extension = lend(0, 500);
@@ -96,7 +100,8 @@
     LONGS_EQUAL(0, usableShares(borrower, at(4'495)));
 }
 
-// Guards against shares that stay idle although they came back, or come back twice.
+// Guards against returned shares that the lender does not use, or that it adds twice because the
+// return arrives twice.
 TEST(share_ledger, earlyReturnIsCountedOnce)
 {
     const loan_terms terms = lend(100'000, 5);
@@ -108,8 +113,9 @@
     CHECK_FALSE(receiveLoan(borrower, terms, at(0), at(40)));
 }
 
-// Guards against a paused holder that on waking uses, or has earned tokens from, a lapsed lease.
-TEST(share_ledger, lapsedLeaseStopsHomeSharesAtItsDeadline)
+// Guards against a process that resumes after a pause beyond its lease and then uses its home
+// shares, or tokens that accrued after the lease had expired.
+TEST(share_ledger, expiredLeaseStopsHomeSharesAtItsDeadline)
 {
     setHomeUntil(lender, at(1'000), at(0));
     LONGS_EQUAL(600'000, usableShares(lender, at(999)));
@@ -121,8 +127,9 @@
     CHECK_FALSE(takeToken(lender, at(50'001)));
 }
 
-// Guards against home shares that are returned to the pool while they are lent.
-TEST(share_ledger, lentSharesCannotLeaveHome)
+// Guards against home shares that are returned to the pool, and taken by another instance, while a
+// borrower still uses them.
+TEST(share_ledger, lentSharesAreNotRemoved)
 {
     static_cast<void>(lend(400'000, 5));
     const share_transfer removed = removeHome(lender, 600'000, at(6));
@@ -132,13 +139,14 @@
     LONGS_EQUAL(400'000, usableShares(lender, at(4'025)));
 }
 
-// Guards against a burst of 5 that nine instances can't use because no share holds one token.
-TEST(share_ledger, tokensMoveUntilATinyBurstIsUsable)
+// Guards against a burst of 5 that nine instances can't use because no instance's capacity holds a
+// whole token.
+TEST(share_ledger, borrowedTokensMakeATinyBurstUsable)
 {
-    share_ledger poor = bookWith(111'111, 0);
-    setLimit(poor, 5 * oneToken, 5 * oneToken, workspaceShares, at(0));
+    share_ledger smallHolder = makeLedger(111'111, 0);
+    setLimit(smallHolder, 5 * oneToken, 5 * oneToken, workspaceShares, at(0));
     setLimit(lender, 5 * oneToken, 5 * oneToken, workspaceShares, at(0));
-    CHECK_FALSE(takeToken(poor, at(3'000)));
-    CHECK_TRUE(receiveLoan(poor, lend(200'000, 3'000), at(2'999), at(3'001)));
-    CHECK_TRUE(takeToken(poor, at(3'001)));
+    CHECK_FALSE(takeToken(smallHolder, at(3'000)));
+    CHECK_TRUE(receiveLoan(smallHolder, lend(200'000, 3'000), at(2'999), at(3'001)));
+    CHECK_TRUE(takeToken(smallHolder, at(3'001)));
 }
--- a/tests/unit-share-pool.cpp
+++ b/tests/unit-share-pool.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the transactions on lease and pool rows.
+/// @brief Tests of the transactions on lease and pool rows and of the division of shares.
 
 #include <fuchsiagw/core/share_pool.hpp>
 
@@ -21,7 +21,7 @@
         return "t" + std::to_string(nextId++);
     }
 
-    /// Applies a transaction as the platform does.
+    /// Applies a transaction as the platform does: only if all checked versions match.
     bool apply(const table_transaction &transaction)
     {
         for (const share_check &check : transaction.checks) {
@@ -43,10 +43,10 @@
                 all += lease->homes.contains(resource) ? lease->homes.at(resource) : 0;
         return all;
     }
-    share_transaction join(incarnation_id who, share_count shares, share_count links)
+    share_transaction join(incarnation_id who, share_count shares, share_count connectionShares)
     {
         return joinPool(id(), table, { who, instance_id{ "i" }, {}, { 7, 8, 9 }, {}, {} },
-                        { { workspace, shares }, { connections, links } });
+                        { { workspace, shares }, { connections, connectionShares } });
     }
     void setup() override
     {
@@ -55,7 +55,8 @@
     }
 };
 
-// Guards against shares that appear or vanish when instances join, move shares, leave and die.
+// Guards against shares that are created or lost when instances join, move shares, shut down or are
+// reclaimed after a crash.
 TEST(share_pool, sumIsAlwaysTheTotal)
 {
     CHECK_TRUE(apply(join(1, 400'000, 8).transaction));
@@ -81,9 +82,9 @@
     LONGS_EQUAL(16, findPool(table, connections)->free);
 }
 
-// Guards against two instances that take the same free shares, and against a lost answer that is
-// taken for a failure.
-TEST(share_pool, racesAndLostAnswersAreDecidedByTheRows)
+// Guards against two instances that take the same free shares at the same time, and against a
+// committed transaction that is treated as failed because its response was lost.
+TEST(share_pool, rowsDetermineOutcomeOfRacesAndLostResponses)
 {
     const share_transaction first = join(1, 600'000, 0);
     const share_transaction second = join(2, 600'000, 0);
@@ -96,8 +97,9 @@
     CHECK_TRUE(judge(first.transaction, table) == transaction_state::Committed);
 }
 
-// Guards against connections that are taken twice while holders still have to return some.
-TEST(share_pool, decreaseLeavesADebtThatHoldersReturn)
+// Guards against connections that are handed out after a decrease of the total while holders still
+// have to return some.
+TEST(share_pool, decreaseMakesFreeNegativeUntilHoldersReturnShares)
 {
     CHECK_TRUE(apply(join(1, 0, 16).transaction));
     const auto resize = resizePool(id(), table, connections, 10);
@@ -109,9 +111,9 @@
     LONGS_EQUAL(-6, rebalanceDelta(16, 10, *findPool(table, connections)));
 }
 
-// Guards against fair parts that do not add up, against holders with a burst too small to use and
-// against holders in one zone only.
-TEST(share_pool, holdersAreSpreadAndPartsAddUp)
+// Guards against fair shares that do not add up to the total, against holders whose part of the
+// burst is too small to use, and against holders in a single zone.
+TEST(share_pool, holdersAreSpreadOverZonesAndFairSharesAddUp)
 {
     std::vector<peer_ref> live;
     for (incarnation_id i = 1; i <= 9; ++i)
--- a/tests/unit-token-bucket.cpp
+++ b/tests/unit-token-bucket.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the fixed-point token bucket.
+/// @brief Tests of the fixed-point token bucket: rounding, overflow and changes of the rate.
 
 #include <fuchsiagw/core/random.hpp>
 #include <fuchsiagw/core/token_bucket.hpp>
@@ -21,7 +21,8 @@
 
 TEST_GROUP(token_bucket){};
 
-// Guards against rounding that loses slow refills or grants a token early.
+// Guards against rounding in the refill arithmetic that drops the fractions of a slow rate, or that
+// yields a token before it has accrued.
 TEST(token_bucket, slowRefillIsExactToTheMicrosecond)
 {
     token_bucket bucket;
@@ -33,8 +34,8 @@
     CHECK_TRUE(take(bucket, oneToken, due));
 }
 
-// Guards against a reshape that applies the new rate to the time before it.
-TEST(token_bucket, reshapeCountsThePastAtTheOldRate)
+// Guards against a change of the rate that is applied to the time before the change.
+TEST(token_bucket, changedRateDoesNotApplyToEarlierTime)
 {
     token_bucket bucket;
     reshape(bucket, oneToken, 100 * oneToken, at(0));
@@ -44,7 +45,8 @@
     LONGS_EQUAL(oneToken, bucket.level);
 }
 
-// Guards against overflow after a long sleep and against a clock that goes back.
+// Guards against integer overflow when a suspended process resumes after a long time, and against
+// a clock that goes back.
 TEST(token_bucket, survivesExtremeTimes)
 {
     token_bucket bucket;
@@ -57,7 +59,8 @@
     LONGS_EQUAL(0, bucket.level);
 }
 
-// Guards against a bucket that under random changes grants more than its rates have earned.
+// Guards against a bucket that grants more tokens than accrued while rate and capacity change at
+// random.
 TEST(token_bucket, neverGrantsMoreThanEarned)
 {
     random_engine random(7);
