--- a/include/fuchsiagw/core/membership.hpp
+++ b/include/fuchsiagw/core/membership.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// @brief What an instance believes about the other entry instances.
+/// @brief Membership: the state of the other entry instances as this instance knows it.
 ///
-/// There are two sources: the platform's list, which lags, and what the instances say themselves.
-/// What an instance said lately prevails over the list. Silence counts only for instances that are
-/// expected to speak, which are the neighbours in the tree, and for those that did not answer.
+/// There are two sources: the platform's list of instances, which lags, and the messages of the
+/// instances themselves. The state in a recent message takes precedence over the list. An instance
+/// is suspected only if it sends nothing although it is expected to send regularly, as neighbours
+/// in the tree are, or if it did not answer a request.
 
 #pragma once
 
@@ -22,20 +23,20 @@
 
 namespace fuchsiagw::core {
 
-/// What an instance says about itself.
+/// State that an instance announces in its messages.
 enum class sender_state : std::uint8_t {
     Live,
-    Leaving, ///< gets no new work
-    Gone, ///< last message before the process ends
+    Leaving, ///< accepts no new work
+    Gone, ///< sent in the last message before the process ends
 };
 
 inline constexpr std::array<std::string_view, 3> senderStateNames{ "live", "leaving", "gone" };
 
-/// What is believed about an instance.
+/// State of an instance as this instance knows it.
 enum class peer_state : std::uint8_t {
     Live,
-    Suspected, ///< silent; not used until it is heard again
-    Leaving, ///< gets no new work
+    Suspected, ///< sends or answers nothing; not used until its next message
+    Leaving, ///< accepts no new work
     Gone,
 };
 
@@ -47,63 +48,68 @@
     return peerStateNames.at(static_cast<std::size_t>(state));
 }
 
+/// Timeouts and intervals of the membership.
 struct membership_times
 {
-    /// Neighbours speak each second; two lost messages and the delay between zones are normal.
+    /// Neighbours send a message each second. Two lost messages and the latency between zones must
+    /// not lead to a suspicion.
     duration suspicionTimeout = std::chrono::milliseconds(2'500);
-    /// The list can't remove an instance that was heard within this time.
+    /// Time after a message during which the list can't remove the sender.
     duration heardValidity = std::chrono::seconds(10);
-    /// A message of another incarnation may be a late one of a dead predecessor. It is believed if
-    /// the known incarnation was not heard for this time, or at the second message.
+    /// A message of another incarnation may be a delayed one of a dead predecessor. The sender
+    /// replaces the known incarnation if that one has sent nothing for this time, or with its
+    /// second message.
     duration incarnationTimeout = std::chrono::seconds(1);
-    duration initialProbeInterval = std::chrono::seconds(1); ///< doubles with each probe
+    duration initialProbeInterval = std::chrono::seconds(1); ///< doubled with each probe
     duration maxProbeInterval = std::chrono::seconds(16);
-    /// An instance that said goodbye but is still listed may have been started anew unheard.
+    /// Time for which an announced Gone is final. An instance that is listed beyond it may have
+    /// restarted without a message that reached this instance, and is probed.
     duration departureTimeout = std::chrono::seconds(30);
-    duration goneRetention = std::chrono::minutes(1); ///< an instance that is gone and unlisted
+    duration goneRetention =
+            std::chrono::minutes(1); ///< of an instance that is gone and not listed
 };
 
-/// The sender of a message, as the message says.
+/// Sender of a message, as the message describes it.
 struct message_sender
 {
     incarnation_id incarnation = 0;
     instance_id instance;
     zone_name zone;
-    std::string address; ///< peer address, IP number and port
+    std::string address; ///< address for peers: IP address and port
     sender_state state = sender_state::Live;
 };
 
-/// Invariant: `state` follows from the other members and the time of the last event.
+/// Invariant: `state` is determined by the other members and the time of the last event.
 struct known_instance
 {
     instance_id instance;
     zone_name zone;
     std::string address;
-    incarnation_id incarnation = 0; ///< 0: listed, but never heard
+    incarnation_id incarnation = 0; ///< 0: listed, but no message received
     peer_state state = peer_state::Live;
 
     bool isListed = false;
     bool isListedLeaving = false;
-    time_point heardAt = time_point::min(); ///< of this incarnation
-    sender_state announcedState = sender_state::Live; ///< by this incarnation
-    time_point departureDeadline = time_point::min(); ///< if it said that it is gone
-    bool isExpected = false; ///< it should speak regularly
+    time_point heardAt = time_point::min(); ///< time of this incarnation's last message
+    sender_state announcedState = sender_state::Live; ///< in this incarnation's messages
+    time_point departureDeadline = time_point::min(); ///< if announcedState is Gone
+    bool isExpected = false; ///< the instance should send messages regularly
     time_point expectedSince = time_point::min();
     bool isSuspected = false;
-    incarnation_id successorCandidate = 0; ///< another incarnation, heard once since heardAt
+    incarnation_id successorCandidate = 0; ///< another incarnation; sent one message since heardAt
     time_point nextProbeAt = time_point::min();
     duration probeInterval{ 0 };
     time_point goneSince = noDeadline;
 };
 
-/// Invariant: the own instance is not in `instances`.
+/// State of all other instances. Invariant: the own instance is not in `instances`.
 struct membership
 {
     instance_id self;
     zone_name zone;
     membership_times times;
     std::map<instance_id, known_instance> instances;
-    std::map<incarnation_id, instance_id> byIncarnation; ///< of those in `instances`
+    std::map<incarnation_id, instance_id> byIncarnation; ///< index of `instances`
 };
 
 enum class membership_event : std::uint8_t {
@@ -111,7 +117,7 @@
     BecameSuspected,
     BecameLeaving,
     BecameGone,
-    Restarted, ///< `predecessor` is dead; comes before the event of the new state, if that changed
+    Restarted, ///< `predecessor` is dead; precedes the event of the new state, if that changed
 };
 
 struct membership_change
@@ -119,49 +125,53 @@
     membership_event event = membership_event::BecameLive;
     instance_id instance;
     incarnation_id incarnation = 0;
-    incarnation_id predecessor = 0; ///< for Restarted
+    incarnation_id predecessor = 0; ///< set for Restarted only
 };
 
-/// @brief Takes in a copy of the platform's list. Upstreams in it are ignored.
-/// @return what changed
+/// @brief Applies a copy of the platform's list. Upstreams in the list are ignored.
+/// @return the changes of state
 /// @complexity O(n log n) in the size of the list
 std::vector<membership_change> onInstanceList(membership &state, const instance_list &list,
                                               time_point now);
 
-/// @brief Takes in that a message came, whose MAC and sequence number were right.
-/// A sender without an instance name is found by its incarnation; see onHeardByIncarnation().
-/// @return what changed; nothing if the message is a late one of a dead incarnation
+/// @brief Records a message whose MAC and sequence number were valid. A sender without an instance
+/// name is identified by its incarnation, see onHeardByIncarnation().
+/// @return the changes of state; empty if the message is a delayed one of a dead incarnation
 /// @complexity logarithmic in the number of instances
 std::vector<membership_change> onHeard(membership &state, const message_sender &sender,
                                        time_point now);
 
-/// @brief Takes in that a message came which does not name its sender; the header's incarnation
-/// does. Nothing happens if findIncarnation() does not know it: the sender should be probed.
+/// @brief Records a message that identifies its sender only by the incarnation in its header. If
+/// findIncarnation() does not find that incarnation, nothing changes and the sender should be
+/// probed.
+/// @return the changes of state
 /// @complexity logarithmic in the number of instances
 std::vector<membership_change> onHeardByIncarnation(membership &state, incarnation_id incarnation,
                                                     sender_state announcedState, time_point now);
 
-/// @brief Takes in that an instance did not answer a question or can't be reached.
+/// @brief Records that an instance did not answer a request or can't be reached.
+/// @return the changes of state
 /// @complexity logarithmic in the number of instances
 std::vector<membership_change> onNoAnswer(membership &state, const instance_id &instance,
                                           time_point now);
 
-/// @brief Sets which instances should speak regularly: the neighbours in the tree.
+/// @brief Sets the instances that should send messages regularly: the neighbours in the tree.
 /// @complexity O(n log n) in the number of instances
 void setExpected(membership &state, const std::set<instance_id> &expected, time_point now);
 
-/// @brief Applies the time. Call it several times a second.
+/// @brief Applies timeouts. Call it several times a second.
+/// @return the changes of state
 /// @complexity linear in the number of instances
 std::vector<membership_change> tickMembership(membership &state, time_point now);
 
-/// @brief Lists instances to ask for a sign of life and notes that they are asked: suspected ones,
-/// and those of the own zone whose incarnation is not known.
+/// @brief Lists the instances to probe and records that they are probed now: suspected instances,
+/// and those of the own zone whose incarnation is unknown.
 /// @param maxCount largest number of instances
 /// @complexity linear in the number of instances
 [[nodiscard]] std::vector<instance_id> dueProbes(membership &state, std::size_t maxCount,
                                                  time_point now);
 
-/// @return the instance, nullptr if it is not known
+/// @return the instance, nullptr if it is unknown
 [[nodiscard]] const known_instance *findInstance(const membership &state,
                                                  const instance_id &instance);
 
@@ -169,7 +179,7 @@
 [[nodiscard]] const known_instance *findIncarnation(const membership &state,
                                                     incarnation_id incarnation);
 
-/// @brief Lists instances by state, ordered by id.
+/// @return the instances in one of the given states, ordered by id
 /// @complexity linear in the number of instances
 [[nodiscard]] std::vector<const known_instance *> instancesIn(const membership &state,
                                                               std::initializer_list<peer_state> of);
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Changes of belief about the other instances.
+/// @brief State changes of the other instances.
 
 #include <fuchsiagw/core/membership.hpp>
 
@@ -25,7 +25,7 @@
     if (known.isSuspected)
         return peer_state::Suspected;
     const bool isLeaving = known.announcedState == sender_state::Leaving;
-    // A restarted instance may be listed as its predecessor was.
+    // The list may still show the state of the instance before its restart.
     if (isLeaving || (!isHeardRecently && known.isListedLeaving))
         return peer_state::Leaving;
     return peer_state::Live;
@@ -65,7 +65,7 @@
     known.nextProbeAt = now + times.initialProbeInterval;
 }
 
-/// Forgets everything that was known of the last incarnation.
+/// Resets all state of the previous incarnation.
 void replaceIncarnation(membership &state, known_instance &known, incarnation_id incarnation)
 {
     state.byIncarnation.erase(known.incarnation);
@@ -80,7 +80,7 @@
     known.probeInterval = duration(0);
 }
 
-/// Tells whether a message of another incarnation than the known one shall be believed.
+/// Tells whether the sender, another incarnation than the known one, replaces it.
 bool isSuccessor(known_instance &known, const message_sender &sender, const membership_times &times,
                  time_point now)
 {
@@ -110,9 +110,10 @@
         known_instance &known = where->second;
         if (isNew) {
             known.instance = entry.instance;
-            known.state = peer_state::Gone; // so that it becomes live with an event
+            known.state = peer_state::Gone; // makes update() report the change to live
         } else if (!known.isListed && known.state == peer_state::Gone) {
-            // Listed anew after it was gone: another start, of which nothing was heard yet.
+            // Listed again after it was gone: the instance has restarted, and no message of the new
+            // incarnation has arrived yet.
             replaceIncarnation(state, known, 0);
         }
         known.isListed = true;
@@ -141,7 +142,7 @@
         return result;
     if (sender.instance.empty())
         return onHeardByIncarnation(state, sender.incarnation, sender.state, now);
-    // Incarnations are random, so two instances with the same one are a fault of one of them.
+    // Incarnations are random, so two instances with the same one indicate a faulty sender.
     const auto owner = state.byIncarnation.find(sender.incarnation);
     if (owner != state.byIncarnation.end() && owner->second != sender.instance)
         return result;
@@ -149,7 +150,7 @@
     known_instance &known = where->second;
     if (isNew) {
         known.instance = sender.instance;
-        known.state = peer_state::Gone; // so that it becomes live with an event
+        known.state = peer_state::Gone; // makes update() report the change to live
         known.goneSince = now;
     }
     if (known.incarnation != sender.incarnation) {
@@ -161,12 +162,13 @@
             result.push_back({ membership_event::Restarted, known.instance, sender.incarnation,
                                predecessor });
     } else if (known.announcedState == sender_state::Gone) {
-        return result; // sent before its farewell
+        return result; // delayed: sent before the sender announced Gone
     }
     known.zone = sender.zone;
     known.address = sender.address;
     known.heardAt = now;
-    // An instance never takes back that it is leaving; a late message may say otherwise.
+    // An instance never returns from Leaving to Live, but a delayed message may still announce
+    // Live.
     known.announcedState = std::max(known.announcedState, sender.state);
     if (known.announcedState == sender_state::Gone)
         known.departureDeadline = now + state.times.departureTimeout;
--- a/tests/unit-limits-differential.cpp
+++ b/tests/unit-limits-differential.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Random histories of nine instances against one exact token bucket (M7).
+/// @brief Compares random histories of nine instances with one exact token bucket.
 
 #include <fuchsiagw/testing/limits_world.hpp>
 
@@ -32,7 +32,7 @@
     return settings;
 }
 
-/// Draws one fault. Several of them are in force at the same time.
+/// Injects a random fault. The faults of several calls may overlap in time.
 void injectFault(limits_world &world, core::random_engine &random)
 {
     const std::size_t node = core::drawBelow(random, world.nodes.size());
@@ -66,8 +66,8 @@
 
 TEST_GROUP(limits_differential){};
 
-// Guards against any grant that one bucket over all instances could not have given, and against
-// any moment in which more shares are usable than there are.
+// Guards against a grant that a single token bucket for all instances would not have allowed, and
+// against times at which the usable shares of all instances exceed the total.
 TEST(limits_differential, randomHistoriesNeverExceedTheExactBucket)
 {
     workspace_result all;
@@ -99,8 +99,9 @@
                 static_cast<unsigned long long>(checks));
 }
 
-// Guards against a drift margin that is too small for clocks that run at different speeds.
-TEST(limits_differential, driftingClocksNeverShareAShare)
+// Guards against a drift margin that is too small for clocks that run at different speeds, so that
+// lender and borrower use the same share.
+TEST(limits_differential, driftingClocksNeverUseTheSameShare)
 {
     for (std::uint64_t seed = 101; seed <= 110; ++seed) {
         world_settings settings = settingsOf(seed);
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Every fault, and every pair of faults, at every protocol_step of leases, loans and the
-/// pool.
+/// @brief Injects every fault, and every pair of faults, at every step of the protocols of leases,
+/// loans and the share pool.
 
 #include <fuchsiagw/testing/limits_world.hpp>
 
@@ -22,14 +22,14 @@
 
 constexpr std::uint64_t firstSeed = 5'000;
 
-/// What happens 5 s after the start so that the protocol_step is reached.
+/// Action 5 s after the start without which the step would not be reached.
 enum class setup_action { None, Kill, Replace };
 
 struct protocol_step
 {
     std::string_view name;
     setup_action setup;
-    bool (*isReached)(const world_node &node); ///< the fault hits this node
+    bool (*isReached)(const world_node &node); ///< a fault is injected into this node
 };
 
 template <typename predicate>
@@ -125,7 +125,7 @@
     void (*inject)(limits_world &world, std::size_t node);
 };
 
-/// Changes the quality of all links for 5 s.
+/// Sets a fault rate of all links for 5 s.
 void degradeLinks(limits_world &world, double world_settings::*quality, double value)
 {
     world.settings.*quality = value;
@@ -161,12 +161,13 @@
     settings.zones = 2;
     settings.workspaces = { { "uneven", 40, 20, 38, { 6, 1, 0, 0, 1 } }, { "tiny", 5, 5, 4, {} } };
     settings.connections = 8;
-    // Half the usual pace keeps the matrix inside the time limit under the sanitizers.
+    // Half the default tick rate keeps the matrix within the time limit under sanitizers.
     settings.tickEvery = milliseconds(20);
     return settings;
 }
 
-/// Runs until a node is at the protocol_step; the node gets the faults.
+/// Runs the world until a node reaches the step.
+/// @return the node, into which the faults are injected; std::nullopt if none reaches the step
 std::optional<std::size_t> runUntilReached(limits_world &world, const protocol_step &wanted)
 {
     for (int i = 0; i < 4'000; ++i) {
@@ -184,18 +185,18 @@
     int passed = 0;
 };
 
-void runCell(cell_counts &count, std::uint64_t seed, const protocol_step &at, const fault &first,
-             const fault *second)
+void runCell(cell_counts &count, std::uint64_t seed, const protocol_step &atStep,
+             const fault &first, const fault *second)
 {
     const auto world = makeWorld(settingsOf(seed));
-    if (at.setup != setup_action::None)
-        after(*world, seconds(5), [&world, &at] {
-            if (at.setup == setup_action::Kill)
+    if (atStep.setup != setup_action::None)
+        after(*world, seconds(5), [&world, &atStep] {
+            if (atStep.setup == setup_action::Kill)
                 killNode(*world, 1);
             else
                 replaceNode(*world, 1);
         });
-    const auto node = runUntilReached(*world, at);
+    const auto node = runUntilReached(*world, atStep);
     if (node) {
         first.inject(*world, *node);
         if (second != nullptr) {
@@ -209,19 +210,21 @@
     count.passed += hasPassed ? 1 : 0;
     if (!hasPassed)
         std::printf("seed %llu: %s, %s and %s: %s, %llu violations\n",
-                    static_cast<unsigned long long>(seed), at.name.data(), first.name.data(),
+                    static_cast<unsigned long long>(seed), atStep.name.data(), first.name.data(),
                     second == nullptr ? "no other" : second->name.data(),
-                    node ? "reached" : "protocol_step not reached",
+                    node ? "reached" : "step not reached",
                     static_cast<unsigned long long>(violations(*world)));
 }
 
-/// A history that brings each deliberate fault to light: long pauses, deaths and bad links.
+/// Runs a history with long pauses, crashes and bad links, in which the checkers can detect each
+/// mutation of the protocols.
+/// @return the number of violations
 std::uint64_t violationsUnder(mutation mutated, std::uint64_t seed)
 {
     world_settings settings = settingsOf(seed);
     settings.fault = mutated;
     settings.doubled = 0.2;
-    // Short promises and long loans: a dead lender's loans outlive its lease.
+    // With short promises and long loans, the loans of a dead lender outlast its lease.
     settings.leases.promise = seconds(2);
     settings.leases.promiseRenewInterval = milliseconds(500);
     settings.leases.voteGracePeriod = milliseconds(0);
@@ -230,7 +233,7 @@
     runFor(*world, seconds(6));
     pauseNode(*world, 1, seconds(20));
     runFor(*world, seconds(6));
-    killNode(*world, 3); // holds shares of "uneven" and has lent most of them
+    killNode(*world, 3); // holds home shares of "uneven" and has lent most of them
     runFor(*world, seconds(24));
     return violations(*world);
 }
@@ -239,18 +242,18 @@
 
 TEST_GROUP(limits_matrix){};
 
-// Guards against any single fault or pair of faults, at any protocol_step, that lets two instances
-// use one share, grants more than the exact bucket, or loses or creates shares in the table.
+// Guards against a fault or a pair of faults at any step that lets two instances use the same
+// share, grants more than one exact token bucket would, or creates or loses shares in the table.
 TEST(limits_matrix, everyFaultAndPairAtEveryStep)
 {
     cell_counts singles;
     cell_counts pairs;
     std::uint64_t seed = firstSeed;
-    for (const protocol_step &at : steps)
+    for (const protocol_step &atStep : steps)
         for (const fault &first : faults) {
-            runCell(singles, seed++, at, first, nullptr);
+            runCell(singles, seed++, atStep, first, nullptr);
             for (const fault &second : faults)
-                runCell(pairs, seed++, at, first, &second);
+                runCell(pairs, seed++, atStep, first, &second);
         }
     std::printf("cells: %d single faults run, %d passed, %d failed; %d pairs run, %d passed, "
                 "%d failed; seeds %llu to %llu\n",
@@ -261,7 +264,8 @@
     LONGS_EQUAL(pairs.run, pairs.passed);
 }
 
-// Guards against checkers that would not notice a violation.
+// Guards against checkers that do not detect a violation: each mutation breaks one rule of the
+// protocols, and some seed must show it.
 TEST(limits_matrix, checkersCatchDeliberateFaults)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed)
--- a/tests/unit-membership.cpp
+++ b/tests/unit-membership.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of what an instance believes about the others.
+/// @brief Tests of the membership: list, messages, restarts, suspicions and probes.
 
 #include <fuchsiagw/core/membership.hpp>
 
@@ -57,8 +57,9 @@
     }
 };
 
-// Guards against using upstreams, oneself or instances that the list says are leaving.
-TEST(membership, listNamesTheOthers)
+// Guards against the use of upstreams, of the own instance, or of instances that the list marks as
+// leaving.
+TEST(membership, listContainsOnlyOtherInstances)
 {
     instance_entry upstream = entry("member");
     upstream.kind = instance_kind::Upstream;
@@ -72,8 +73,8 @@
     CHECK_TRUE(findInstance(state, { "a" }) == nullptr);
 }
 
-// Guards against a list that lags: it must not remove an instance that speaks.
-TEST(membership, listDoesNotRemoveWhoWasHeard)
+// Guards against a lagging list that removes an instance which still sends messages.
+TEST(membership, listDoesNotRemoveRecentSenders)
 {
     list({ entry("a") });
     hear(sender("a", 7));
@@ -89,7 +90,8 @@
     check("unlisted", peer_state::Live, 8);
 }
 
-// Guards against suspecting instances that have no reason to speak, and against trusting silence.
+// Guards against suspicion of instances that have no reason to send, and against expected instances
+// that stay live although they send nothing.
 TEST(membership, onlyExpectedSilenceCounts)
 {
     list({ entry("a"), entry("b") });
@@ -111,7 +113,8 @@
     check("b", peer_state::Gone, 2);
 }
 
-// Guards against a dead predecessor that is taken for its successor, either way round.
+// Guards against a dead incarnation that replaces its successor because of a delayed message, and
+// against a successor that is ignored.
 TEST(membership, restartReplacesThePredecessor)
 {
     hear(sender("a", 1));
@@ -122,7 +125,7 @@
     check("a", peer_state::Live, 2);
     CHECK_TRUE(findIncarnation(state, 1) == nullptr);
     CHECK_TRUE(findIncarnation(state, 2) != nullptr);
-    // A late message of the predecessor.
+    // A delayed message of the predecessor.
     now += 100ms;
     hear(sender("a", 1));
     check("a", peer_state::Live, 2);
@@ -131,15 +134,16 @@
     hear(sender("a", 1, sender_state::Gone));
     hear(sender("a", 1));
     check("a", peer_state::Live, 2);
-    // A fast restart is believed at its second message.
+    // After a fast restart, the second message replaces the incarnation.
     hear(sender("a", 3));
     check("a", peer_state::Live, 2);
     hear(sender("a", 3));
     check("a", peer_state::Live, 3);
 }
 
-// Guards against work for an instance that has said it stops, whatever comes late.
-TEST(membership, farewellIsFinalForItsIncarnation)
+// Guards against work sent to an instance after it announced its end, because of delayed messages
+// or a lagging list.
+TEST(membership, announcedGoneIsFinalForItsIncarnation)
 {
     list({ entry("a") });
     hear(sender("a", 1));
@@ -153,15 +157,15 @@
     hear(sender("a", 1));
     list({ entry("a") });
     check("a", peer_state::Gone, 1);
-    // Still listed: it may have been started anew.
+    // Still listed: the instance may have restarted.
     wait(state.times.departureTimeout);
     check("a", peer_state::Suspected, 1);
     hear(sender("a", 2));
     check("a", peer_state::Live, 2);
 }
 
-// Guards against a restarted instance that is held for leaving because the list lags.
-TEST(membership, ownWordPrevailsOverTheList)
+// Guards against a restarted instance that stays leaving because the list lags.
+TEST(membership, announcedStateOverridesTheList)
 {
     list({ entry("a", instance_state::Leaving) });
     hear(sender("a", 2));
@@ -172,9 +176,9 @@
     check("a", peer_state::Live, 0);
 }
 
-// Guards against a partition after which instances stay suspected for ever, and against probes
-// that come too often.
-TEST(membership, probesFindWhoIsBack)
+// Guards against instances that stay suspected forever after a network partition, and against
+// probes that are sent too often.
+TEST(membership, probesBackOffAndContinue)
 {
     list({ entry("a"), entry("b"), entry("c") });
     hear(sender("a", 1));
@@ -193,7 +197,7 @@
     CHECK_TRUE(probes <= 600 / 16 + 5);
 }
 
-// Guards against beliefs that contradict each other after any order of events.
+// Guards against contradictory state after an arbitrary order of events.
 TEST(membership, randomEventsKeepTheInvariants)
 {
     std::mt19937_64 random(5);
