--- a/include/fuchsiagw/core/incarnation_lease.hpp
+++ b/include/fuchsiagw/core/incarnation_lease.hpp
@@ -8,7 +8,7 @@
 /// A holder measures each promise from when it sent the request, a witness from when it answered,
 /// so the holder's deadline is always the earlier one. Any majority of promises and any majority of
 /// votes have a witness in common, and a witness votes only after its own promise has expired and
-/// makes no promise after its vote. So no lease is valid once a majority has voted.
+/// makes no promise after its vote. So the lease is invalid once a majority has voted.
 
 #pragma once
 
@@ -114,8 +114,7 @@
 {
     incarnation_id self = 0;
     std::vector<incarnation_id> current; ///< witnesses that the table's row names
-    std::vector<incarnation_id>
-            next; ///< witnesses that shall replace the current ones; empty if no change is prepared
+    std::vector<incarnation_id> next; ///< replaces `current`; empty if no change is prepared
     bool isSubmitted = false; ///< the change was submitted; the row may name either set
     std::map<incarnation_id, witness_state> witnesses; ///< state of the witnesses of both sets
 };
@@ -124,8 +123,8 @@
 struct watched_lease
 {
     time_point promisedUntil{};
-    bool hasVoted = false; ///< never cleared: a promise after a vote would let the holder use
-                           ///< reclaimed shares
+    /// Never cleared: a promise after a vote would let the holder use reclaimed shares.
+    bool hasVoted = false;
     std::vector<incarnation_id> witnesses;
     std::set<incarnation_id> votes; ///< votes known to this witness, including its own
     time_point majoritySince = noDeadline;
--- a/include/fuchsiagw/core/membership.hpp
+++ b/include/fuchsiagw/core/membership.hpp
@@ -65,8 +65,8 @@
     /// Time for which an announced Gone is final. An instance that is listed beyond it may have
     /// restarted without a message that reached this instance, and is probed.
     duration departureTimeout = std::chrono::seconds(30);
-    duration goneRetention =
-            std::chrono::minutes(1); ///< of an instance that is gone and not listed
+    /// Time after which an instance that is gone and not listed is removed.
+    duration goneRetention = std::chrono::minutes(1);
 };
 
 /// Sender of a message, as the message describes it.
@@ -92,7 +92,8 @@
     bool isListedLeaving = false;
     time_point heardAt = time_point::min(); ///< time of this incarnation's last message
     sender_state announcedState = sender_state::Live; ///< in this incarnation's messages
-    time_point departureDeadline = time_point::min(); ///< if announcedState is Gone
+    time_point departureDeadline =
+            time_point::min(); ///< end of departureTimeout, if Gone was announced
     bool isExpected = false; ///< the instance should send messages regularly
     time_point expectedSince = time_point::min();
     bool isSuspected = false;
--- a/include/fuchsiagw/core/share_ledger.hpp
+++ b/include/fuchsiagw/core/share_ledger.hpp
@@ -128,7 +128,7 @@
     loan_kind kind = loan_kind::Rate;
     share_count shares = 0;
     std::uint32_t serial = 0;
-    time_point endsAt{}; ///< the lender may use the shares again; includes the drift margin
+    time_point endsAt{}; ///< when the lender may use the shares again; includes the drift margin
 };
 
 /// Loan as the borrower records it.
@@ -181,7 +181,7 @@
 /// @complexity constant if no loan and no lease ended, else linear in the loans
 void advance(share_ledger &ledger, time_point now);
 
-/// @brief Applies changed limits from the configuration.
+/// @brief Sets rate, burst and total of the limit after a change of the configuration.
 /// @complexity constant, but see advance()
 void setLimit(share_ledger &ledger, std::int64_t rate, token_amount burst, share_count total,
               time_point now);
