--- a/include/fuchsiagw/core/membership.hpp
+++ b/include/fuchsiagw/core/membership.hpp
@@ -92,8 +92,8 @@
     bool isListedLeaving = false;
     time_point heardAt = time_point::min(); ///< time of this incarnation's last message
     sender_state announcedState = sender_state::Live; ///< in this incarnation's messages
-    time_point departureDeadline =
-            time_point::min(); ///< end of departureTimeout, if Gone was announced
+    /// End of departureTimeout, if Gone was announced.
+    time_point departureDeadline = time_point::min();
     bool isExpected = false; ///< the instance should send messages regularly
     time_point expectedSince = time_point::min();
     bool isSuspected = false;
