--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Every fault, and every pair of faults, at every step of leases, loans and the pool.
+/// @brief Injects every fault, and every pair of faults, at every step of the protocols of leases,
+/// loans and the share pool.
 
 #include <fuchsiagw/testing/limits_world.hpp>
 
@@ -21,18 +22,18 @@
 
 constexpr std::uint64_t firstSeed = 5'000;
 
-/// What happens 5 s after the start so that the step is reached.
-enum class prelude { None, Kill, Replace };
+/// Action 5 s after the start without which the step would not be reached.
+enum class setup_action { None, Kill, Replace };
 
-struct step
+struct protocol_step
 {
     std::string_view name;
-    prelude before;
-    bool (*isReached)(const world_node &node); ///< the fault hits this node
+    setup_action setup;
+    bool (*isReached)(const world_node &node); ///< a fault is injected into this node
 };
 
 template <typename predicate>
-bool anyOut(const world_node &node, predicate isWanted)
+bool anyGrantedLoan(const world_node &node, predicate isWanted)
 {
     for (const auto &[resource, entry] : node.desk.limits)
         for (const auto &[id, loan] : entry.book.out)
@@ -42,7 +43,7 @@
 }
 
 template <typename predicate>
-bool anyIn(const world_node &node, predicate isWanted)
+bool anyReceivedLoan(const world_node &node, predicate isWanted)
 {
     for (const auto &[resource, entry] : node.desk.limits)
         for (const auto &[id, loan] : entry.book.in)
@@ -63,55 +64,58 @@
 using core::received_loan;
 using core::watched_lease;
 
-const std::array<step, 13> steps{ {
-        { "join_sent", prelude::None,
+const std::array<protocol_step, 13> steps{ {
+        { "join_sent", setup_action::None,
           [](const world_node &node) { return !node.hasJoined && node.call != nullptr; } },
-        { "joined", prelude::None, [](const world_node &node) { return node.hasJoined; } },
-        { "rate_granted", prelude::None,
+        { "joined", setup_action::None, [](const world_node &node) { return node.hasJoined; } },
+        { "rate_granted", setup_action::None,
           [](const world_node &node) {
-              return anyOut(node,
-                            [](const granted_loan &loan) { return loan.kind == loan_kind::Rate; });
+              return anyGrantedLoan(
+                      node, [](const granted_loan &loan) { return loan.kind == loan_kind::Rate; });
           } },
-        { "tokens_granted", prelude::None,
+        { "tokens_granted", setup_action::None,
           [](const world_node &node) {
-              return anyOut(node, [](const granted_loan &loan) {
+              return anyGrantedLoan(node, [](const granted_loan &loan) {
                   return loan.kind == loan_kind::Tokens;
               });
           } },
-        { "loan_in_use", prelude::None,
+        { "loan_in_use", setup_action::None,
           [](const world_node &node) {
-              return anyIn(node, [](const received_loan &loan) { return loan.shares > 0; });
+              return anyReceivedLoan(node,
+                                     [](const received_loan &loan) { return loan.shares > 0; });
           } },
-        { "loan_extended", prelude::None,
+        { "loan_extended", setup_action::None,
           [](const world_node &node) {
-              return anyOut(node, [](const granted_loan &loan) { return loan.serial >= 2; });
+              return anyGrantedLoan(node,
+                                    [](const granted_loan &loan) { return loan.serial >= 2; });
           } },
-        { "loan_returned", prelude::None,
+        { "loan_returned", setup_action::None,
           [](const world_node &node) {
-              return anyIn(node, [](const received_loan &loan) { return loan.shares == 0; });
+              return anyReceivedLoan(node,
+                                     [](const received_loan &loan) { return loan.shares == 0; });
           } },
-        { "voted", prelude::Kill,
+        { "voted", setup_action::Kill,
           [](const world_node &node) {
               return anyWatched(node, [](const watched_lease &lease) { return lease.hasVoted; });
           } },
-        { "majority_voted", prelude::Kill,
+        { "majority_voted", setup_action::Kill,
           [](const world_node &node) {
               return anyWatched(node, [](const watched_lease &lease) {
                   return lease.majoritySince != core::noDeadline;
               });
           } },
-        { "reclaimed", prelude::Kill,
+        { "reclaimed", setup_action::Kill,
           [](const world_node &node) {
               return anyWatched(node, [](const watched_lease &lease) { return lease.isReclaimed; });
           } },
-        { "witnesses_submitted", prelude::Kill,
+        { "witnesses_submitted", setup_action::Kill,
           [](const world_node &node) { return node.lease.isSubmitted; } },
-        { "move_sent", prelude::Replace,
+        { "move_sent", setup_action::Replace,
           [](const world_node &node) {
               return node.hasJoined && !node.isLeaving && node.call != nullptr
                      && !node.call->transaction.puts.empty();
           } },
-        { "leave_sent", prelude::Replace,
+        { "leave_sent", setup_action::Replace,
           [](const world_node &node) { return node.isLeaving && node.call != nullptr; } },
 } };
 
@@ -121,8 +125,8 @@
     void (*inject)(limits_world &world, std::size_t node);
 };
 
-/// Changes the quality of all links for 5 s.
-void disturb(limits_world &world, double world_settings::*quality, double value)
+/// Sets a fault rate of all links for 5 s.
+void degradeLinks(limits_world &world, double world_settings::*quality, double value)
 {
     world.settings.*quality = value;
     after(world, seconds(5), [&world, quality] { world.settings.*quality = 0; });
@@ -142,11 +146,11 @@
         { "platform_down", [](limits_world &w, std::size_t) { stopPlatform(w, seconds(10)); } },
         { "answers_lost", [](limits_world &w, std::size_t) { loseAnswers(w, seconds(5)); } },
         { "messages_lost",
-          [](limits_world &w, std::size_t) { disturb(w, &world_settings::lost, 0.5); } },
+          [](limits_world &w, std::size_t) { degradeLinks(w, &world_settings::lost, 0.5); } },
         { "messages_doubled",
-          [](limits_world &w, std::size_t) { disturb(w, &world_settings::doubled, 1); } },
+          [](limits_world &w, std::size_t) { degradeLinks(w, &world_settings::doubled, 1); } },
         { "messages_late",
-          [](limits_world &w, std::size_t) { disturb(w, &world_settings::late, 0.5); } },
+          [](limits_world &w, std::size_t) { degradeLinks(w, &world_settings::late, 0.5); } },
 } };
 
 world_settings settingsOf(std::uint64_t seed)
@@ -157,13 +161,14 @@
     settings.zones = 2;
     settings.workspaces = { { "uneven", 40, 20, 38, { 6, 1, 0, 0, 1 } }, { "tiny", 5, 5, 4, {} } };
     settings.connections = 8;
-    // Half the usual pace keeps the matrix inside the time limit under the sanitizers.
+    // Half the default tick rate keeps the matrix within the time limit under sanitizers.
     settings.tickEvery = milliseconds(20);
     return settings;
 }
 
-/// Runs until a node is at the step; the node gets the faults.
-std::optional<std::size_t> reach(limits_world &world, const step &wanted)
+/// Runs the world until a node reaches the step.
+/// @return the node, into which the faults are injected; std::nullopt if none reaches the step
+std::optional<std::size_t> runUntilReached(limits_world &world, const protocol_step &wanted)
 {
     for (int i = 0; i < 4'000; ++i) {
         runFor(world, milliseconds(5));
@@ -174,24 +179,24 @@
     return std::nullopt;
 }
 
-struct matrix_count
+struct cell_counts
 {
     int run = 0;
     int passed = 0;
 };
 
-void runCell(matrix_count &count, std::uint64_t seed, const step &at, const fault &first,
-             const fault *second)
+void runCell(cell_counts &count, std::uint64_t seed, const protocol_step &atStep,
+             const fault &first, const fault *second)
 {
     const auto world = makeWorld(settingsOf(seed));
-    if (at.before != prelude::None)
-        after(*world, seconds(5), [&world, &at] {
-            if (at.before == prelude::Kill)
+    if (atStep.setup != setup_action::None)
+        after(*world, seconds(5), [&world, &atStep] {
+            if (atStep.setup == setup_action::Kill)
                 killNode(*world, 1);
             else
                 replaceNode(*world, 1);
         });
-    const auto node = reach(*world, at);
+    const auto node = runUntilReached(*world, atStep);
     if (node) {
         first.inject(*world, *node);
         if (second != nullptr) {
@@ -205,28 +210,30 @@
     count.passed += hasPassed ? 1 : 0;
     if (!hasPassed)
         std::printf("seed %llu: %s, %s and %s: %s, %llu violations\n",
-                    static_cast<unsigned long long>(seed), at.name.data(), first.name.data(),
+                    static_cast<unsigned long long>(seed), atStep.name.data(), first.name.data(),
                     second == nullptr ? "no other" : second->name.data(),
                     node ? "reached" : "step not reached",
                     static_cast<unsigned long long>(violations(*world)));
 }
 
-/// A history that brings each deliberate fault to light: long pauses, deaths and bad links.
+/// Runs a history with long pauses, crashes and bad links, in which the checkers can detect each
+/// mutation of the protocols.
+/// @return the number of violations
 std::uint64_t violationsUnder(mutation mutated, std::uint64_t seed)
 {
     world_settings settings = settingsOf(seed);
     settings.fault = mutated;
     settings.doubled = 0.2;
-    // Short promises and long loans: a dead lender's loans outlive its lease.
+    // With short promises and long loans, the loans of a dead lender outlast its lease.
     settings.leases.promise = seconds(2);
-    settings.leases.askEvery = milliseconds(500);
-    settings.leases.voteGrace = milliseconds(0);
+    settings.leases.promiseRenewInterval = milliseconds(500);
+    settings.leases.voteGracePeriod = milliseconds(0);
     settings.loans.times.length = seconds(8);
     const auto world = makeWorld(settings);
     runFor(*world, seconds(6));
     pauseNode(*world, 1, seconds(20));
     runFor(*world, seconds(6));
-    killNode(*world, 3); // holds shares of "uneven" and has lent most of them
+    killNode(*world, 3); // holds home shares of "uneven" and has lent most of them
     runFor(*world, seconds(24));
     return violations(*world);
 }
@@ -235,18 +242,18 @@
 
 TEST_GROUP(limits_matrix){};
 
-// Guards against any single fault or pair of faults, at any step, that lets two instances use one
-// share, grants more than the exact bucket, or loses or creates shares in the table.
+// Guards against a fault or a pair of faults at any step that lets two instances use the same
+// share, grants more than one exact token bucket would, or creates or loses shares in the table.
 TEST(limits_matrix, everyFaultAndPairAtEveryStep)
 {
-    matrix_count singles;
-    matrix_count pairs;
+    cell_counts singles;
+    cell_counts pairs;
     std::uint64_t seed = firstSeed;
-    for (const step &at : steps)
+    for (const protocol_step &atStep : steps)
         for (const fault &first : faults) {
-            runCell(singles, seed++, at, first, nullptr);
+            runCell(singles, seed++, atStep, first, nullptr);
             for (const fault &second : faults)
-                runCell(pairs, seed++, at, first, &second);
+                runCell(pairs, seed++, atStep, first, &second);
         }
     std::printf("cells: %d single faults run, %d passed, %d failed; %d pairs run, %d passed, "
                 "%d failed; seeds %llu to %llu\n",
@@ -257,7 +264,8 @@
     LONGS_EQUAL(pairs.run, pairs.passed);
 }
 
-// Guards against checkers that would not notice a violation.
+// Guards against checkers that do not detect a violation: each mutation breaks one rule of the
+// protocols, and some seed must show it.
 TEST(limits_matrix, checkersCatchDeliberateFaults)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed)
