--- a/include/fuchsiagw/daemon/session_gateway.hpp
+++ b/include/fuchsiagw/daemon/session_gateway.hpp
@@ -7,7 +7,7 @@
 #include <fuchsiagw/daemon/relay_server.hpp>
 #include <fuchsiagw/daemon/session_log.hpp>
 #include <fuchsiagw/daemon/session_settings.hpp>
-#include <fuchsiagw/daemon/store_desk.hpp>
+#include <fuchsiagw/daemon/store_client.hpp>
 #include <fuchsiagw/net/line_connection.hpp>
 #include <fuchsiagw/net/udp_link.hpp>
 #include <fuchsiagw/proxy/engine.hpp>
@@ -84,7 +84,7 @@
     session_settings values_;
     session_log &log_;
     proxy::engine engine_;
-    store_desk store_;
+    store_client store_;
     net::udp_link datagrams_;
     relay_server relay_;
     boost::asio::ip::tcp::acceptor acceptor_;
--- a/include/fuchsiagw/daemon/store_desk.hpp
+++ b/include/fuchsiagw/daemon/store_client.hpp
@@ -62,11 +62,11 @@
 };
 
 /// Lives on one context's thread.
-class store_desk
+class store_client
 {
 public:
-    store_desk(boost::asio::io_context &context, const session_settings &values,
-               store_events events);
+    store_client(boost::asio::io_context &context, const session_settings &values,
+                 store_events events);
 
     void start();
     void stop() { stopped_ = true; }
--- a/src/daemon/store_desk.cpp
+++ b/src/daemon/store_client.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Loops over the platform's store, each with its own pace after failures.
 
-#include <fuchsiagw/daemon/store_desk.hpp>
+#include <fuchsiagw/daemon/store_client.hpp>
 
 #include <fuchsiagw/net/clock.hpp>
 #include <fuchsiagw/wire/automation_json.hpp>
@@ -68,8 +68,8 @@
 
 } // namespace
 
-store_desk::store_desk(boost::asio::io_context &context, const session_settings &values,
-                       store_events events)
+store_client::store_client(boost::asio::io_context &context, const session_settings &values,
+                           store_events events)
     : context_(context)
     , values_(values)
     , events_(std::move(events))
@@ -77,20 +77,20 @@
     , random_(std::random_device{}())
 { }
 
-void store_desk::start()
+void store_client::start()
 {
     readManifest();
     readMembers();
     readInstances();
 }
 
-void store_desk::countCall(store_purpose purpose)
+void store_client::countCall(store_purpose purpose)
 {
     ++counters_.calls.at(static_cast<std::size_t>(purpose));
 }
 
-void store_desk::call(store_purpose purpose, const net::http_request &request, milliseconds limit,
-                      answer_handler done)
+void store_client::call(store_purpose purpose, const net::http_request &request, milliseconds limit,
+                        answer_handler done)
 {
     countCall(purpose);
     client_.call(values_.storeAddress, request, net::currentTime() + limit,
@@ -106,7 +106,7 @@
                  });
 }
 
-void store_desk::noteOutcome(bool reached)
+void store_client::noteOutcome(bool reached)
 {
     if (!reached)
         ++counters_.failures;
@@ -116,7 +116,7 @@
     events_.note(reached ? "store_regained" : "store_lost", {});
 }
 
-void store_desk::after(milliseconds pause, std::function<void()> next)
+void store_client::after(milliseconds pause, std::function<void()> next)
 {
     const auto timer = std::make_shared<boost::asio::steady_timer>(context_, pause);
     timer->async_wait(
@@ -126,14 +126,14 @@
             });
 }
 
-milliseconds store_desk::backoff(int failures)
+milliseconds store_client::backoff(int failures)
 {
     const milliseconds whole = firstBackoff * (1 << std::min(failures, maxBackoffDoublings));
     const auto half = static_cast<std::uint64_t>(whole.count() / 2);
     return whole / 2 + milliseconds(static_cast<std::int64_t>(core::drawBelow(random_, half + 1)));
 }
 
-void store_desk::takeManifest(const std::vector<adapter::store_row> &rows)
+void store_client::takeManifest(const std::vector<adapter::store_row> &rows)
 {
     for (const adapter::store_row &row : rows) {
         if (!adapter::isManifestRow(row) || row.deleted)
@@ -146,13 +146,13 @@
     }
 }
 
-void store_desk::refreshManifest()
+void store_client::refreshManifest()
 {
     if (net::currentBootTime() - lastManifestRead_ >= leastManifestInterval)
         readManifest();
 }
 
-void store_desk::readManifest()
+void store_client::readManifest()
 {
     lastManifestRead_ = net::currentBootTime();
     ++manifestLoop_;
@@ -175,7 +175,7 @@
          });
 }
 
-void store_desk::followManifest()
+void store_client::followManifest()
 {
     const milliseconds wait = watching_ ? watchWait : followWait;
     call(store_purpose::Manifest,
@@ -200,21 +200,21 @@
          });
 }
 
-void store_desk::refreshMembers()
+void store_client::refreshMembers()
 {
     if (net::currentBootTime() - lastMemberRead_ >= leastMemberInterval)
         readMembers();
 }
 
-void store_desk::readMembers()
+void store_client::readMembers()
 {
     lastMemberRead_ = net::currentBootTime();
     ++memberLoop_;
     readMembers({}, {});
 }
 
-void store_desk::readMembers(const std::string &from,
-                             std::map<std::string, proxy::listed_member> &&list)
+void store_client::readMembers(const std::string &from,
+                               std::map<std::string, proxy::listed_member> &&list)
 {
     call(store_purpose::Members, adapter::readRows(adapter::memberTable(), from), callLimit,
          [this, loop = memberLoop_, list = std::move(list)](int status,
@@ -245,7 +245,7 @@
          });
 }
 
-void store_desk::followMembers()
+void store_client::followMembers()
 {
     call(store_purpose::Members,
          adapter::followRows(adapter::memberTable(), membersSeen_, followWait),
@@ -273,7 +273,7 @@
          });
 }
 
-void store_desk::takeMembers(const std::vector<adapter::store_row> &rows)
+void store_client::takeMembers(const std::vector<adapter::store_row> &rows)
 {
     for (const adapter::store_row &row : rows) {
         const auto entry = row.deleted ? std::nullopt : adapter::decodeMember(row);
@@ -285,7 +285,7 @@
     reportMembers();
 }
 
-void store_desk::reportMembers()
+void store_client::reportMembers()
 {
     std::vector<proxy::listed_member> list;
     for (const auto &[id, each] : members_)
@@ -293,7 +293,7 @@
     events_.members(list);
 }
 
-void store_desk::claim(std::int64_t part, std::uint64_t incarnation)
+void store_client::claim(std::int64_t part, std::uint64_t incarnation)
 {
     if (std::exchange(claiming_, true))
         return;
@@ -314,14 +314,14 @@
          });
 }
 
-void store_desk::readInstances()
+void store_client::readInstances()
 {
     ++instanceLoop_;
     readInstances({}, {});
 }
 
-void store_desk::readInstances(const std::string &from,
-                               std::map<std::string, listed_instance> &&list)
+void store_client::readInstances(const std::string &from,
+                                 std::map<std::string, listed_instance> &&list)
 {
     call(store_purpose::Instances, adapter::readRows(wire::instanceTable, from), callLimit,
          [this, loop = instanceLoop_, list = std::move(list)](int status,
@@ -352,7 +352,7 @@
          });
 }
 
-void store_desk::followInstances(std::uint64_t loop)
+void store_client::followInstances(std::uint64_t loop)
 {
     if (loop != instanceLoop_)
         return;
@@ -378,7 +378,7 @@
          });
 }
 
-void store_desk::takeInstances(const std::vector<adapter::store_row> &rows)
+void store_client::takeInstances(const std::vector<adapter::store_row> &rows)
 {
     for (const adapter::store_row &row : rows) {
         if (const auto each = decodeInstance(row))
@@ -389,7 +389,7 @@
     reportInstances();
 }
 
-void store_desk::reportInstances()
+void store_client::reportInstances()
 {
     std::vector<listed_instance> list;
     for (const auto &[node, each] : instances_)
@@ -397,7 +397,7 @@
     events_.instances(list);
 }
 
-void store_desk::drawToken(const std::string &service)
+void store_client::drawToken(const std::string &service)
 {
     if (promotionsAllowed_) {
         readPromotion(service);
@@ -419,7 +419,7 @@
          });
 }
 
-void store_desk::readPromotion(const std::string &service)
+void store_client::readPromotion(const std::string &service)
 {
     call(store_purpose::Promotion, adapter::readRow(promotionTable, service), callLimit,
          [this, service](int status, const std::string &body) {
@@ -431,14 +431,14 @@
          });
 }
 
-void store_desk::takeSwitch(const adapter::store_rows &rows)
+void store_client::takeSwitch(const adapter::store_rows &rows)
 {
     const adapter::store_row *row = findRow(rows, wire::automationTable, wire::promotionSwitch);
     switchVersion_ = row == nullptr ? 0 : row->version;
     promotionsAllowed_ = row == nullptr || wire::readSwitch(row->value).allowed;
 }
 
-void store_desk::claimPromotion(const std::string &service, const adapter::store_rows &rows)
+void store_client::claimPromotion(const std::string &service, const adapter::store_rows &rows)
 {
     std::uint64_t version = 0;
     if (const adapter::store_row *row = findRow(rows, promotionTable, service)) {
@@ -478,7 +478,7 @@
 }
 
 /// Another daemon was faster, or the operator has changed the switch since it was last read.
-void store_desk::onClaimConflict(const std::string &service, const adapter::store_rows &present)
+void store_client::onClaimConflict(const std::string &service, const adapter::store_rows &present)
 {
     const std::uint64_t known = switchVersion_;
     takeSwitch(present);
@@ -490,7 +490,8 @@
         events_.token(service, 0);
 }
 
-void store_desk::promote(const std::string &service, const std::string &member, std::uint64_t token)
+void store_client::promote(const std::string &service, const std::string &member,
+                           std::uint64_t token)
 {
     countCall(store_purpose::Promotion);
     client_.call(values_.promotionAddress,
--- a/tests/unit-store-desk.cpp
+++ b/tests/unit-store-desk.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Tests of the calls to the platform's store against its stand-in.
 
-#include <fuchsiagw/daemon/store_desk.hpp>
+#include <fuchsiagw/daemon/store_client.hpp>
 
 #include <platform/standin/table_store.hpp>
 
@@ -27,7 +27,7 @@
 {
     boost::asio::io_context context;
     testing::table_store store;
-    std::optional<daemon::store_desk> desk;
+    std::optional<daemon::store_client> desk;
     std::optional<daemon::listed_instance> own;
     bool claims = true;
 
@@ -73,11 +73,11 @@
 
 } // namespace
 
-TEST_GROUP(store_desk){};
+TEST_GROUP(store_client){};
 
 // Guards against a daemon that never uses its part of the limits because the answer to its claim
 // was lost, although the claim is in the store.
-TEST(store_desk, claimWhoseAnswerWasLostIsSeenInTheList)
+TEST(store_client, claimWhoseAnswerWasLostIsSeenInTheList)
 {
     claiming_desk world(3);
     world.store.faults.answersLost = 100;
@@ -86,7 +86,7 @@
 }
 
 // Guards against a claim that replaces a row which was written after the list was read.
-TEST(store_desk, claimReplacesNothingThatItHasNotSeen)
+TEST(store_client, claimReplacesNothingThatItHasNotSeen)
 {
     claiming_desk world(1);
     world.claims = false;
