--- a/include/fuchsiagw/daemon/decision_meter.hpp
+++ b/include/fuchsiagw/daemon/decision_meter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Counts what the decisions do: promotions, failover gaps, connections, refusals.
+/// @brief Metrics of the decision thread: promotions, failover gaps, connections, refusals.
 
 #pragma once
 
@@ -12,11 +12,12 @@
 
 namespace fuchsiagw::daemon {
 
-/// @brief Tells whether a refusal was for lack of capacity, of a member or of knowledge, although
-/// the workspace had a token of its rate or was never asked for one.
+/// @return whether the error means a refusal for lack of capacity, of an available member or of
+/// current configuration, although the workspace was within its rate limit or the limit was not
+/// checked
 [[nodiscard]] bool isWrongfulRefusal(core::error_kind error);
 
-/// Part of the decisions; lives on their thread.
+/// Not thread-safe; runs on the decision thread. Only published() is read by another thread.
 class decision_meter
 {
 public:
@@ -24,7 +25,7 @@
         : gateway_(gateway)
     { }
 
-    /// @brief Takes in an action before it is carried out.
+    /// @brief Updates the metrics for an action; must be called before the action is performed.
     void onAction(const core::gateway_action &action, bool isPlatformReachable,
                   core::time_point now);
 
@@ -34,24 +35,24 @@
         counts_.count(counter::PlatformFailures, isAnswered ? 0 : 1);
     }
 
-    /// @brief Notices writes that wait for a new primary, and publishes each second.
+    /// @brief Detects writes that wait for a new primary, and publishes the metrics once a second.
     void tick(const cluster &instances, core::time_point now);
 
-    /// @return what was counted, for the one thread that reads it
+    /// @return the published copies of the metrics, for a single reader thread
     [[nodiscard]] snapshot_buffer<metrics> &published() { return published_; }
 
     [[nodiscard]] const metrics &counts() const { return counts_; }
 
 private:
-    /// A change of primary that this instance watches.
-    /// Invariant: `changedAt` and `waitingAt` are set only while `lostAt` is.
+    /// A change of primary in a group that this instance watches.
+    /// Invariant: successorSeenAt and writeWaitingSince are set only while primaryLostAt is set.
     struct failover_gap
     {
-        core::member_id primary; ///< newest one; empty: none known yet
-        core::time_point lostAt = core::noDeadline; ///< last answer of the lost primary
-        core::time_point changedAt = core::noDeadline; ///< when its successor was seen
-        core::time_point waitingAt = core::noDeadline; ///< when a write was first seen waiting
-        core::term_number term = 0; ///< of the successor
+        core::member_id primary; ///< last known primary; empty: unknown
+        core::time_point primaryLostAt = core::noDeadline; ///< last answer of that primary
+        core::time_point successorSeenAt = core::noDeadline; ///< first seen
+        core::time_point writeWaitingSince = core::noDeadline; ///< first seen
+        core::term_number term = 0; ///< term of the successor
     };
 
     void onNotice(const core::group_id &group, const core::owner_notice &notice,
@@ -66,8 +67,8 @@
     const core::gateway &gateway_;
     metrics counts_;
     snapshot_buffer<metrics> published_;
-    std::map<core::group_id, failover_gap> gaps_;
-    core::time_point nextPublish_{};
+    std::map<core::group_id, failover_gap> failoverGaps_;
+    core::time_point nextPublishAt_{};
 };
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/latency_histograms.hpp
+++ b/include/fuchsiagw/daemon/latency_histograms.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Times to an answer by kind of statement.
+/// @brief Statement latencies by kind of statement.
 
 #pragma once
 
@@ -15,26 +15,25 @@
 
 namespace fuchsiagw::daemon {
 
-/// Bins grow by powers from 0.1 ms to 10 s.
+/// Logarithmic bins from 0.1 ms to 10 s.
 class latency_histograms
 {
 public:
-    void record(proxy::statement_kind kind, core::duration lapse);
-    /// @return lines in the text format of Prometheus
+    void record(proxy::statement_kind kind, core::duration elapsed);
+    /// @return the series in the Prometheus text format
     [[nodiscard]] std::string text() const;
 
 private:
     using axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
     static constexpr unsigned binCount = 25;
-    static constexpr double leastSeconds = 1e-4;
-    static constexpr double mostSeconds = 10;
+    static constexpr double minSeconds = 1e-4;
+    static constexpr double maxSeconds = 10;
     using histogram = decltype(boost::histogram::make_histogram(axis(1, 1, 2)));
 
     struct series
     {
-        histogram bins =
-                boost::histogram::make_histogram(axis(binCount, leastSeconds, mostSeconds));
-        double sum = 0; ///< seconds
+        histogram bins = boost::histogram::make_histogram(axis(binCount, minSeconds, maxSeconds));
+        double sumSeconds = 0;
     };
     std::array<series, proxy::statementKindNames.size()> series_;
 };
--- a/include/fuchsiagw/daemon/log_sink.hpp
+++ b/include/fuchsiagw/daemon/log_sink.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Takes log lines from every duty and writes them with log4cxx on a thread of its own.
+/// @brief Asynchronous log: accepts lines from all threads and writes them on its own thread with
+/// log4cxx.
 
 #pragma once
 
@@ -15,33 +16,35 @@
 
 struct log_settings
 {
-    std::string path; ///< file; empty: standard error
-    bool standardOutput = false; ///< without a path: standard output
-    log_level level = log_level::Info; ///< lines below it are dropped
-    std::size_t maxFileBytes = 16'000'000; ///< the file is then rolled; instances are diskless
-    int oldFiles = 2; ///< rolled files that are kept
-    std::size_t ringLines = 8192; ///< of each thread; at most 60000
+    std::string path; ///< log file; empty: standard error
+    bool standardOutput = false; ///< if the path is empty: write to standard output
+    log_level level = log_level::Info; ///< minimum level
+    std::size_t maxFileBytes =
+            16'000'000; ///< at this size the file is rolled; bounded because instances are diskless
+    int maxRolledFiles = 2; ///< older files that are kept
+    std::size_t ringLines = 8192; ///< capacity of each thread's ring; at most 60000
 };
 
-/// Duties never wait for the log: each thread has a ring, and when it is full, the line is counted
-/// and dropped. At most 64 threads can write to one sink.
+/// Writers never block: each thread has its own ring buffer, and a line that finds the ring full is
+/// dropped and counted. At most 64 threads can write to one sink.
 class log_sink
 {
 public:
     /// @throw std::exception if the file can't be opened or the thread can't start
     explicit log_sink(const log_settings &settings);
-    /// Writes what the rings hold.
+    /// Writes all queued lines.
     ~log_sink();
     log_sink(const log_sink &) = delete;
     log_sink &operator=(const log_sink &) = delete;
 
     [[nodiscard]] bool accepts(log_level level) const { return level >= level_; }
 
-    /// @brief Hands over a line. Any thread may call it; it never blocks.
-    /// @return false if the thread's ring was full and the line is lost
+    /// @brief Queues a line. Thread-safe; only a thread's first call locks, to register its ring.
+    /// @return false if the line was dropped because the thread's ring is full or there are too
+    /// many threads
     bool write(log_level level, std::string line);
 
-    /// @return lines lost so far
+    /// @return number of dropped lines so far
     [[nodiscard]] std::uint64_t lost() const { return lost_.load(std::memory_order_relaxed); }
 
 private:
--- a/include/fuchsiagw/daemon/metrics.hpp
+++ b/include/fuchsiagw/daemon/metrics.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief Counters, gauges and delays of one duty, and their sum over all duties.
+/// @brief Counters, gauges and delay histograms of one thread, and their sum over all threads.
 ///
-/// Each duty writes its own `metrics` without locks and publishes a copy through a
-/// snapshot_buffer. The admin duty merges the copies and writes them as text, see
-/// metrics_text.hpp. The list is docs/metrics.md.
+/// Each worker thread updates its own `metrics` without locks and publishes copies through a
+/// snapshot_buffer. The admin thread merges the copies and formats them, see metrics_text.hpp.
+/// docs/metrics.md lists all metrics.
 
 #pragma once
 
@@ -80,7 +80,7 @@
     Total, ///< number of delays
 };
 
-/// One row of the list of metrics.
+/// Description of one metric.
 struct metric_row
 {
     std::string_view name;
@@ -89,21 +89,21 @@
     std::string_view meaning;
 };
 
-/// @return the whole list: counters, gauges, delays in the order of their enumerators, then the
-/// metrics with labels
+/// @return all metrics: counters, gauges and delays in the order of their enumerators, then the
+/// replica read share and the metrics with labels
 [[nodiscard]] std::span<const metric_row> metricRows();
 
 [[nodiscard]] const metric_row &rowOf(counter metric);
 [[nodiscard]] const metric_row &rowOf(gauge metric);
 [[nodiscard]] const metric_row &rowOf(delay metric);
 
-/// Bins per factor of ten: neighbouring bounds differ by 26 %.
+/// Adjacent bin bounds differ by 26 %.
 inline constexpr unsigned delayBinsPerDecade = 10;
 inline constexpr double minDelaySeconds = 1e-5;
 inline constexpr double maxDelaySeconds = 1e2;
 inline constexpr unsigned delayBins = 7 * delayBinsPerDecade;
 
-/// How often a delay was seen, on a logarithmic axis in seconds.
+/// Histogram of durations on a logarithmic axis in seconds.
 class delay_histogram
 {
 public:
@@ -127,28 +127,28 @@
     [[nodiscard]] const histogram_type &histogram() const { return bins_; }
     [[nodiscard]] double sumSeconds() const { return sum_; }
     [[nodiscard]] std::uint64_t count() const { return samples_; }
-    /// @brief Upper bound of the bin that holds the quantile; 0 without samples.
-    [[nodiscard]] double quantile(double part) const;
+    /// @return upper bound of the bin that contains the quantile; 0 without samples
+    [[nodiscard]] double quantile(double fraction) const;
 
 private:
     histogram_type bins_;
     double sum_ = 0;
-    std::uint64_t samples_ = 0; ///< equals the sum of the bins with underflow and overflow
+    std::uint64_t samples_ = 0; ///< equals the sum of all bins including underflow and overflow
 };
 
-/// What became of one workspace's requests at this instance.
+/// Outcomes of one workspace's requests at this instance.
 struct workspace_counters
 {
     std::uint64_t requests = 0;
     std::uint64_t served = 0;
-    std::uint64_t refused = 0; ///< with `not_run`
+    std::uint64_t refused = 0; ///< with outcome `not_run`
     std::uint64_t wrongfullyRefused = 0; ///< although within the workspace's rate
 };
 
-/// More workspaces share one series without a name, so that the memory stays bounded.
+/// Bounds the memory: further workspaces are counted in one series with an empty label.
 inline constexpr std::size_t maxWorkspaceSeries = 4096;
 
-/// Written by one thread.
+/// Not thread-safe; updated by one thread.
 struct metrics
 {
     std::array<std::uint64_t, static_cast<std::size_t>(counter::Total)> counters{};
@@ -183,20 +183,21 @@
     [[nodiscard]] workspace_counters &of(const core::workspace_id &workspace);
 };
 
-/// @brief Adds the metrics of another duty. A gauge is set by one duty, so gauges add up as well.
+/// @brief Adds the metrics of another thread. Each gauge is set by one thread only, so gauges can
+/// be added as well.
 /// @complexity linear in the size of @p from
 void merge(metrics &into, const metrics &from);
 
-/// @brief Part of the reads that replicas served among those that may go there; 1 without any.
+/// @return fraction of the reads allowed on replicas that a replica served; 1 without such reads
 [[nodiscard]] double replicaReadShare(const metrics &all);
 
-/// Rate of a growing total over the last seconds.
+/// Rate of a monotonic counter over a sliding window.
 class rate_meter
 {
 public:
     static constexpr core::duration window = std::chrono::seconds(10);
 
-    /// @brief Takes a sample; call it about once a second.
+    /// @brief Adds a sample; to be called about once a second.
     /// @return units per second over the window
     double sample(std::uint64_t total, core::time_point now);
 
--- a/include/fuchsiagw/daemon/metrics_text.hpp
+++ b/include/fuchsiagw/daemon/metrics_text.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The text exposition format in which `GET /metrics` answers.
+/// @brief Prometheus text exposition format of the `GET /metrics` response.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 inline constexpr std::string_view metricsContentType = "text/plain; version=0.0.4; charset=utf-8";
 
-/// @brief Writes every metric; series of workspaces and errors that never occurred are left out.
+/// @brief Formats all metrics; series of workspaces and errors that never occurred are omitted.
 /// @complexity linear in the number of series
 [[nodiscard]] std::string metricsText(const metrics &all);
 
--- a/include/fuchsiagw/daemon/relay_server.hpp
+++ b/include/fuchsiagw/daemon/relay_server.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// @brief Lends this daemon's connections to members to the other daemons.
+/// @brief Relay that lends this daemon's pooled member connections to other daemons.
 ///
-/// A borrower connects and speaks the members' protocol, as if this daemon were the member: it
-/// opens with the member's id and its workspace and gets a connection that was opened for them
-/// before. Lines pass unchanged in both directions. At the end the connection is rolled back if it
-/// has an open transaction, is cleaned, and waits for the next borrower.
+/// A borrower is a connection from another daemon. It uses the members' protocol as if this daemon
+/// were the member: its startup command names the member's id and the workspace, and the relay
+/// assigns it a pooled connection for them. Lines are forwarded unchanged in both directions. When
+/// the borrower disconnects, an open transaction is rolled back, the session state is discarded and
+/// the connection returns to the pool.
 
 #pragma once
 
@@ -34,8 +35,8 @@
     std::uint64_t refused = 0;
 };
 
-/// Lives on one context's thread; reads members and limits from the engine, and changes nothing
-/// there.
+/// Not thread-safe; runs on the thread of its I/O context. Reads members and limits from the engine
+/// and does not modify it.
 class relay_server
 {
 public:
@@ -45,9 +46,9 @@
     relay_server &operator=(const relay_server &) = delete;
 
     [[nodiscard]] std::error_code start(const net::endpoint &local);
-    /// @brief Refuses new borrowers.
+    /// @brief Refuses new borrowers and closes idle connections.
     void stop();
-    /// @return whether a borrower is being served
+    /// @return whether any borrower is connected
     [[nodiscard]] bool isBusy() const { return !borrowers_.empty(); }
     [[nodiscard]] const relay_counters &counters() const { return counters_; }
 
@@ -57,19 +58,21 @@
 
     void accept();
     void onBorrowerLine(proxy::borrower_id id, std::string_view line);
-    void onBorrowerGone(proxy::borrower_id id);
+    void onBorrowerDisconnected(proxy::borrower_id id);
     void onMemberLine(proxy::pooled_id id, std::string_view line);
-    void onMemberGone(proxy::pooled_id id);
-    void borrow(proxy::borrower_id id, const std::string &memberId, const std::string &workspace);
+    void onMemberDisconnected(proxy::pooled_id id);
+    void requestConnection(proxy::borrower_id id, const std::string &memberId,
+                           const std::string &workspace);
     void open(const std::string &memberId, const std::string &workspace);
     void lend(proxy::borrower_id borrowerId, proxy::pooled_id pooledId);
-    void clean(proxy::pooled_id id);
-    void closePooled(proxy::pooled_id id, bool graceful);
-    /// @param code ConnectionLimit: none is free; Misrouted: this daemon does not lend now
+    void resetConnection(proxy::pooled_id id);
+    void closePooled(proxy::pooled_id id, bool isGraceful);
+    /// @param code ConnectionLimit: no connection is free; Misrouted: the startup command is
+    /// invalid, the member or its service is unknown, or the relay is stopping
     void refuse(proxy::borrower_id id, proxy::reply_code code);
     void advance(const std::string &memberId);
     void closeIdle(const std::string &memberId);
-    void planTick();
+    void scheduleTick();
     void tick();
 
     boost::asio::io_context &context_;
@@ -77,8 +80,8 @@
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::steady_timer timer_;
     relay_counters counters_;
-    core::time_point tickAt_{}; ///< of the planned tick
-    bool stopping_ = false;
+    core::time_point nextTickAt_{}; ///< when the scheduled tick is due
+    bool isStopping_ = false;
     std::uint64_t lastId_ = 0;
     std::map<proxy::borrower_id, std::unique_ptr<borrower>> borrowers_;
     std::map<proxy::pooled_id, std::unique_ptr<pooled>> pooled_;
--- a/include/fuchsiagw/daemon/session_gateway.hpp
+++ b/include/fuchsiagw/daemon/session_gateway.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The sockets of callers and members around the session engine.
+/// @brief Connects the session engine to the sockets of callers, members and other daemons.
 
 #pragma once
 
@@ -26,9 +26,9 @@
 
 namespace fuchsiagw::daemon {
 
-/// Runs everything that a statement needs on one thread: callers' sockets, decisions, members'
-/// sockets and datagrams to other daemons. Each event is handed to the engine, and then the actions
-/// that the engine asked for are carried out.
+/// Single-threaded driver of the session engine. Passes events from the sockets of callers and
+/// members, from the store and from other daemons to the engine, then performs the actions that the
+/// engine has queued.
 class session_gateway
 {
 public:
@@ -39,18 +39,20 @@
     session_gateway &operator=(const session_gateway &) = delete;
 
     [[nodiscard]] std::error_code start();
-    /// @brief Starts the planned stop; @p done is called once, when nothing is left or at its end.
+    /// @brief Starts the graceful shutdown.
+    /// @param done is called once, when all sessions and borrowers have ended, or shortly before
+    /// the stop deadline
     void stop(std::function<void()> done);
     void applySettings(const session_settings &values);
 
     [[nodiscard]] bool isReady() const { return proxy::isReady(engine_); }
     [[nodiscard]] std::string metricsText() const;
-    /// @return what was counted so far, in one line for the log
+    /// @return the counters so far, as one log line
     [[nodiscard]] std::string summary() const;
 
 private:
-    struct caller;
-    struct upstream;
+    struct caller_connection;
+    struct upstream_connection;
 
     void startAccepting();
     void accept();
@@ -59,26 +61,26 @@
     void onDatagram(std::string_view bytes);
     void onInstances(const std::vector<listed_instance> &list);
 
-    /// @brief Carries out what the engine asked for, and plans the next call of onTimer().
+    /// @brief Performs the engine's queued actions and schedules its next timer event.
     void perform();
-    void perform(const proxy::send_to_caller &order);
-    void perform(const proxy::close_caller &order);
-    void perform(const proxy::open_link &order);
-    void perform(const proxy::send_to_member &order);
-    void perform(const proxy::close_link &order);
-    void perform(const proxy::refresh_directory &order);
-    void perform(const proxy::refresh_manifest &order);
-    void perform(const proxy::acquire_fencing_token &order);
-    void perform(const proxy::order_promotion &order);
-    void perform(const proxy::send_to_peer &order);
-    void perform(const proxy::claim_part &order);
-    void perform(const proxy::decision_note &order);
-    /// @brief Takes a connection to a daemon that was opened before, or opens one.
-    std::shared_ptr<net::line_connection> connectionTo(const std::string &node,
-                                                       const net::endpoint &peer);
-    void keepSpare(const std::string &node, const net::endpoint &peer);
-    void plan();
-    void checkStopped();
+    void perform(const proxy::send_to_caller &action);
+    void perform(const proxy::close_caller &action);
+    void perform(const proxy::open_link &action);
+    void perform(const proxy::send_to_member &action);
+    void perform(const proxy::close_link &action);
+    void perform(const proxy::refresh_directory &action);
+    void perform(const proxy::refresh_manifest &action);
+    void perform(const proxy::acquire_fencing_token &action);
+    void perform(const proxy::order_promotion &action);
+    void perform(const proxy::send_to_peer &action);
+    void perform(const proxy::claim_part &action);
+    void perform(const proxy::decision_note &action);
+    /// @brief Returns a spare connection to the relay of another daemon, or opens one.
+    std::shared_ptr<net::line_connection> relayConnectionTo(const std::string &node,
+                                                            const net::endpoint &peer);
+    void addSpareConnection(const std::string &node, const net::endpoint &peer);
+    void scheduleTimer();
+    void finishStopIfDrained();
 
     boost::asio::io_context &context_;
     session_settings values_;
@@ -89,16 +91,16 @@
     relay_server relay_;
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::steady_timer timer_;
-    core::time_point planned_ = core::noDeadline; ///< when timer_ fires
-    bool performing_ = false;
-    bool accepting_ = false;
+    core::time_point timerDueAt_ = core::noDeadline; ///< when timer_ expires
+    bool isPerforming_ = false;
+    bool isAccepting_ = false;
     proxy::session_id lastSession_ = 0;
-    std::map<proxy::session_id, std::unique_ptr<caller>> callers_;
-    std::map<proxy::link_id, std::unique_ptr<upstream>> upstreams_;
+    std::map<proxy::session_id, std::unique_ptr<caller_connection>> callers_;
+    std::map<proxy::link_id, std::unique_ptr<upstream_connection>> upstreams_;
     std::map<std::string, net::endpoint> peerAddresses_;
-    /// Connections to daemons that keep members' connections, not used yet.
-    std::map<std::string, std::vector<std::shared_ptr<net::line_connection>>> spares_;
-    std::function<void()> stopped_;
+    /// Unused connections to the relays of other daemons, by node.
+    std::map<std::string, std::vector<std::shared_ptr<net::line_connection>>> spareConnections_;
+    std::function<void()> onStopped_;
     latency_histograms latencies_;
 };
 
--- a/include/fuchsiagw/daemon/session_log.hpp
+++ b/include/fuchsiagw/daemon/session_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Log lines of the session interface, bounded in number.
+/// @brief Rate-limited log of the session interface.
 
 #pragma once
 
@@ -17,18 +17,19 @@
 
 namespace fuchsiagw::daemon {
 
-/// @return the number of the event in docs/events.md
+/// @return the number of the event in docs/session-events.md
 [[nodiscard]] int eventNumber(proxy::note_kind kind);
 
-/// Decisions about single statements are sampled above a rate; what was left out is counted in the
-/// next line of the same kind. Lines that change what the process believes are always written.
+/// Events about single statements are limited by a token bucket per kind; the next line of the same
+/// kind reports how many were skipped. Events that change the state of the process are always
+/// written.
 class session_log
 {
 public:
     explicit session_log(log_sink &sink);
 
     void write(const proxy::decision_note &note, core::time_point now);
-    /// @brief A line of the process itself: start, stop, reload, dependencies.
+    /// @brief Writes an event of the process: start, stop, reload, dependencies. Not rate-limited.
     void write(int number, std::string_view name, std::string_view detail);
 
 private:
@@ -38,7 +39,7 @@
         core::token_bucket bucket;
         std::uint64_t skipped = 0;
     };
-    std::array<limiter, proxy::noteKindNames.size()> limits_;
+    std::array<limiter, proxy::noteKindNames.size()> limiters_;
 };
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/session_process.hpp
+++ b/include/fuchsiagw/daemon/session_process.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The daemon with the session interface: its start, reloads and stop.
+/// @brief Daemon process with the session interface: startup, settings reload and shutdown.
 
 #pragma once
 
@@ -11,8 +11,8 @@
 namespace fuchsiagw::daemon {
 
 /// @brief Runs the session interface until SIGTERM or SIGINT.
-/// @param file of the settings; read again when it changes and on SIGHUP
-/// @complexity blocks for the life of the process
+/// @param file settings file; read again on modification and on SIGHUP
+/// @complexity blocks until the process stops
 [[nodiscard]] exit_code runSessionDaemon(const session_settings &values, const std::string &file,
                                          log_sink &log);
 
--- a/include/fuchsiagw/daemon/session_settings.hpp
+++ b/include/fuchsiagw/daemon/session_settings.hpp
@@ -18,10 +18,10 @@
 {
     std::string instance;
     std::string zone;
-    std::string address; ///< IP number of this instance
+    std::string address; ///< IP address of this instance, for other instances
     net::endpoint callerAddress;
     net::endpoint readyAddress;
-    std::uint16_t peerPort = 0; ///< UDP; the same on all instances
+    std::uint16_t peerPort = 0; ///< UDP and TCP (relay); the same on all instances
     std::uint16_t metricsPort = 0;
     net::endpoint storeAddress;
     net::endpoint promotionAddress;
@@ -32,9 +32,9 @@
     std::chrono::milliseconds configurationLimit{ 0 };
 };
 
-/// @brief Reads and checks a settings file. Entries that it does not know are ignored.
+/// @brief Reads and validates a settings file. Unknown entries are ignored.
 /// @param result is complete only if there are no problems
-/// @return every mistake found
+/// @return all problems found
 /// @complexity linear in the size of the file
 [[nodiscard]] std::vector<settings_problem> readSessionSettings(const std::string &file,
                                                                 session_settings &result);
--- a/include/fuchsiagw/daemon/snapshot_buffer.hpp
+++ b/include/fuchsiagw/daemon/snapshot_buffer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Hands the newest copy of a value from one thread to another without locks.
+/// @brief Lock-free triple buffer that passes the newest copy of a value between two threads.
 
 #pragma once
 
@@ -9,37 +9,38 @@
 
 namespace fuchsiagw::daemon {
 
-/// One thread publishes, one thread reads. Neither waits for the other.
-/// Invariant: writer_, reader_ and exchange_ name three different slots.
+/// Single producer, single consumer; both operations are wait-free.
+/// Invariant: writeSlot_, readSlot_ and sharedSlot_ index three different slots.
 template <typename value>
 class snapshot_buffer
 {
 public:
-    /// @brief Makes @p copy the newest value.
-    /// @complexity that of an assignment
-    void publish(const value &copy)
+    /// @brief Makes @p snapshot the newest value.
+    /// @complexity that of one copy assignment
+    void publish(const value &snapshot)
     {
-        slots_[writer_] = copy;
-        writer_ = exchange_.exchange(static_cast<std::uint8_t>(writer_ | freshMark)) & slotMask;
+        slots_[writeSlot_] = snapshot;
+        writeSlot_ =
+                sharedSlot_.exchange(static_cast<std::uint8_t>(writeSlot_ | unreadFlag)) & slotMask;
     }
 
     /// @return the newest published value, valid until the next call
     /// @complexity constant
     [[nodiscard]] const value &newest()
     {
-        if ((exchange_.load() & freshMark) != 0)
-            reader_ = exchange_.exchange(reader_) & slotMask;
-        return slots_[reader_];
+        if ((sharedSlot_.load() & unreadFlag) != 0)
+            readSlot_ = sharedSlot_.exchange(readSlot_) & slotMask;
+        return slots_[readSlot_];
     }
 
 private:
     static constexpr std::uint8_t slotMask = 3;
-    static constexpr std::uint8_t freshMark = 4; ///< the slot in exchange was not read yet
+    static constexpr std::uint8_t unreadFlag = 4; ///< the shared slot was not read yet
 
     std::array<value, 3> slots_{};
-    std::uint8_t writer_ = 0;
-    std::uint8_t reader_ = 1;
-    std::atomic<std::uint8_t> exchange_{ 2 };
+    std::uint8_t writeSlot_ = 0;
+    std::uint8_t readSlot_ = 1;
+    std::atomic<std::uint8_t> sharedSlot_{ 2 };
 };
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/store_client.hpp
+++ b/include/fuchsiagw/daemon/store_client.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Reads the manifest, the members and the daemons from the platform's store, and makes the
-/// calls that decide who promotes.
+/// @brief Client of the platform's store: follows the manifest and the lists of members and
+/// daemons, and acquires fencing tokens for promotions.
 
 #pragma once
 
@@ -24,36 +24,35 @@
 
 namespace fuchsiagw::daemon {
 
-/// Another daemon and where it is reached.
+/// A daemon's row in the list of instances.
 struct listed_instance
 {
     std::string node;
     wire::instance_row row;
-    std::uint64_t version = 0; ///< of the store's row
+    std::uint64_t version = 0; ///< of the row in the store
 };
 
-struct store_events
+struct store_callbacks
 {
-    std::function<void(std::shared_ptr<const proxy::manifest>)> manifest;
-    std::function<void(const std::vector<proxy::listed_member> &)> members;
-    std::function<void(const std::vector<listed_instance> &)> instances;
-    std::function<void(const std::string &service, std::uint64_t token)> token;
-    /// Another daemon acts alone for this time.
-    std::function<void(const std::string &service, std::chrono::milliseconds)> tokenHeld;
-    /// No token was drawn, as the operator has switched promotions off.
-    std::function<void(const std::string &service)> promotionsOff;
-    std::function<void(const std::string &service, proxy::promote_outcome)> promoted;
-    /// A log line about the store itself.
-    std::function<void(std::string_view what, std::string_view detail)> note;
+    std::function<void(std::shared_ptr<const proxy::manifest>)> onManifest;
+    std::function<void(const std::vector<proxy::listed_member> &)> onMembers;
+    std::function<void(const std::vector<listed_instance> &)> onInstances;
+    std::function<void(const std::string &service, std::uint64_t token)> onTokenAcquired;
+    /// Another daemon holds the promotion lease for the given remaining time.
+    std::function<void(const std::string &service, std::chrono::milliseconds)> onTokenHeldElsewhere;
+    /// No token was acquired because the operator has disabled promotions.
+    std::function<void(const std::string &service)> onPromotionsDisabled;
+    std::function<void(const std::string &service, proxy::promote_outcome)> onPromoteAnswer;
+    /// A log event about the store itself.
+    std::function<void(std::string_view name, std::string_view detail)> onStoreEvent;
 };
 
-/// What a call to the platform is for.
+/// Purpose of a call to the platform.
 enum class store_purpose : std::uint8_t { Manifest, Members, Instances, Promotion };
 
 inline constexpr std::array<std::string_view, 4> storePurposeNames{ "manifest", "members",
                                                                     "instances", "promotion" };
 
-/// Counts of calls, for the metrics.
 struct store_counters
 {
     std::array<std::uint64_t, storePurposeNames.size()> calls{};
@@ -61,82 +60,83 @@
     std::uint64_t bytesReceived = 0;
 };
 
-/// Lives on one context's thread.
+/// Not thread-safe; runs on the thread of its I/O context.
 class store_client
 {
 public:
     store_client(boost::asio::io_context &context, const session_settings &values,
-                 store_events events);
+                 store_callbacks callbacks);
 
     void start();
-    void stop() { stopped_ = true; }
-    /// @brief Reads the list of members anew, unless that was done a moment ago.
+    void stop() { isStopped_ = true; }
+    /// @brief Reads the list of members again, limited to one read per minMemberReadInterval.
     void refreshMembers();
-    /// @brief Reads the manifest anew, unless that was done a moment ago.
+    /// @brief Reads the manifest again, limited to one read per minManifestReadInterval.
     void refreshManifest();
-    /// @brief A daemon that watches asks for a new manifest at short intervals.
-    void setWatching(bool watching) { watching_ = watching; }
-    void drawToken(const std::string &service);
+    /// @brief Makes the long polls for the manifest short, so that a feed that delivers nothing is
+    /// noticed sooner.
+    void setShortPolls(bool isEnabled) { usesShortPolls_ = isEnabled; }
+    void acquireFencingToken(const std::string &service);
     void promote(const std::string &service, const std::string &member, std::uint64_t token);
-    /// @brief Writes the own row, unless it was changed since it was read, and reads the list
-    /// again.
-    /// @param part of every limit, in millionths
+    /// @brief Writes this instance's row if its version is still the one that was read last, then
+    /// reads the list of instances again. Does nothing while an earlier claim is in progress.
+    /// @param part claimed part of every limit, in millionths
     void claim(std::int64_t part, std::uint64_t incarnation);
 
     [[nodiscard]] const store_counters &counters() const { return counters_; }
 
 private:
-    using answer_handler = std::function<void(int status, const std::string &body)>;
+    using response_handler = std::function<void(int status, const std::string &body)>;
 
     void call(store_purpose purpose, const net::http_request &request,
-              std::chrono::milliseconds limit, answer_handler done);
+              std::chrono::milliseconds timeout, response_handler done);
     void countCall(store_purpose purpose);
-    void after(std::chrono::milliseconds pause, std::function<void()> next);
+    void runAfter(std::chrono::milliseconds waitTime, std::function<void()> task);
     std::chrono::milliseconds backoff(int failures);
-    void noteOutcome(bool reached);
+    void updateReachability(bool isReached);
 
     void readManifest();
     void followManifest();
-    void takeManifest(const std::vector<adapter::store_row> &rows);
+    void applyManifestRows(const std::vector<adapter::store_row> &rows);
     void readMembers();
     void readMembers(const std::string &from, std::map<std::string, proxy::listed_member> &&list);
     void followMembers();
-    void takeMembers(const std::vector<adapter::store_row> &rows);
+    void applyMemberRows(const std::vector<adapter::store_row> &rows);
     void reportMembers();
     void readInstances();
     void readInstances(const std::string &from, std::map<std::string, listed_instance> &&list);
-    void followInstances(std::uint64_t loop);
-    void takeInstances(const std::vector<adapter::store_row> &rows);
+    void followInstances(std::uint64_t generation);
+    void applyInstanceRows(const std::vector<adapter::store_row> &rows);
     void reportInstances();
     void readPromotion(const std::string &service);
     void claimPromotion(const std::string &service, const adapter::store_rows &rows);
     void onClaimConflict(const std::string &service, const adapter::store_rows &present);
-    void takeSwitch(const adapter::store_rows &rows);
+    void applyPromotionSwitch(const adapter::store_rows &rows);
 
     boost::asio::io_context &context_;
     session_settings values_;
-    store_events events_;
-    net::http_client client_;
+    store_callbacks callbacks_;
+    net::http_client httpClient_;
     core::random_engine random_;
     store_counters counters_;
-    std::uint64_t manifestSeen_ = 0; ///< version of the store up to which manifests were read
-    std::uint64_t manifestLoop_ = 0; ///< a loop that was started before a newer one ends
+    std::uint64_t manifestFeedVersion_ = 0; ///< store version up to which changes were read
+    std::uint64_t manifestGeneration_ = 0; ///< callbacks of older generations are ignored
     core::time_point lastManifestRead_{};
-    bool watching_ = false;
-    std::uint64_t instancesSeen_ = 0;
-    std::uint64_t instanceLoop_ = 0; ///< a loop that was started before a newer one ends
-    bool claiming_ = false; ///< until the list is read again
+    bool usesShortPolls_ = false;
+    std::uint64_t instanceFeedVersion_ = 0;
+    std::uint64_t instanceGeneration_ = 0; ///< callbacks of older generations are ignored
+    bool isClaiming_ = false; ///< until the next read of the list of instances starts
     int manifestFailures_ = 0;
     int instanceFailures_ = 0;
     int memberFailures_ = 0;
-    bool reachable_ = true;
-    /// The operators' switch as it was last read; each claim compares its version.
+    bool isReachable_ = true;
+    /// Operator's switch for promotions as last read; each token request checks its version.
     bool promotionsAllowed_ = true;
-    std::uint64_t switchVersion_ = 0; ///< 0: it was never set
-    bool stopped_ = false;
+    std::uint64_t switchVersion_ = 0; ///< 0: the row does not exist
+    bool isStopped_ = false;
     core::time_point lastMemberRead_{};
-    std::uint64_t membersSeen_ = 0;
-    std::uint64_t memberLoop_ = 0; ///< a loop that was started before a newer one ends
+    std::uint64_t memberFeedVersion_ = 0;
+    std::uint64_t memberGeneration_ = 0; ///< callbacks of older generations are ignored
     std::map<std::string, proxy::listed_member> members_;
     std::map<std::string, listed_instance> instances_;
 };
--- a/src/daemon/decision_meter.cpp
+++ b/src/daemon/decision_meter.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Counters, gauges and the failover gap of the decisions.
+/// @brief Counters, gauges and failover gaps of the decision thread.
 
 #include <utility>
 
@@ -14,7 +14,7 @@
 
 using core::error_kind;
 
-constexpr core::duration publishEvery = std::chrono::seconds(1);
+constexpr core::duration publishInterval = std::chrono::seconds(1);
 
 bool isWrite(const core::owned_statement &statement)
 {
@@ -87,7 +87,7 @@
         return;
     switch (notice.event) {
     case core::owner_event::MemberFailed:
-        // A member that is far behind has answered; its connection lives on.
+        // A member that is far behind has answered; its connection stays open.
         if (notice.failure != core::member_failure::FarBehind)
             counts_.count(counter::UpstreamConnectionsLost);
         return;
@@ -106,25 +106,26 @@
 void decision_meter::onPrimary(const core::group_owner &owner, const core::owner_notice &notice,
                                core::time_point now)
 {
-    failover_gap &gap = gaps_[owner.group];
-    // Only the owner that watches the members knows when the old one was last heard.
+    failover_gap &gap = failoverGaps_[owner.group];
+    // Only an owner that watches the members knows when the old primary last answered.
     if (!owner.isWatching) {
         gap = { notice.member, core::noDeadline, core::noDeadline, core::noDeadline, 0 };
         return;
     }
-    // A write that has waited since an earlier loss still waits.
-    const bool isFurtherLoss = gap.lostAt != core::noDeadline && gap.waitingAt != core::noDeadline;
+    // If a write has been waiting since an earlier loss, the gap continues.
+    const bool isFurtherLoss =
+            gap.primaryLostAt != core::noDeadline && gap.writeWaitingSince != core::noDeadline;
     if (!gap.primary.empty() && !isFurtherLoss) {
-        const core::member_view *lost = core::findMember(owner.view, gap.primary);
-        const core::time_point heardAt = lost == nullptr ? now : lost->lastHeard;
-        gap.lostAt = std::clamp(heardAt, std::min(owner.failover.resumedAt, now), now);
-        gap.changedAt = core::noDeadline;
-        gap.waitingAt = hasWaitingWrite(owner) ? now : core::noDeadline;
+        const core::member_view *lostPrimary = core::findMember(owner.view, gap.primary);
+        const core::time_point heardAt = lostPrimary == nullptr ? now : lostPrimary->lastHeard;
+        gap.primaryLostAt = std::clamp(heardAt, std::min(owner.failover.resumedAt, now), now);
+        gap.successorSeenAt = core::noDeadline;
+        gap.writeWaitingSince = hasWaitingWrite(owner) ? now : core::noDeadline;
     }
     gap.primary = notice.member;
-    if (notice.member.empty() || gap.lostAt == core::noDeadline)
+    if (notice.member.empty() || gap.primaryLostAt == core::noDeadline)
         return;
-    gap.changedAt = now;
+    gap.successorSeenAt = now;
     gap.term = notice.term;
     if (notice.term == owner.failover.triedTerm)
         counts_.count(counter::Promotions);
@@ -133,36 +134,36 @@
 void decision_meter::onAnswer(const core::group_id &group, const core::statement_answer &answer,
                               core::time_point now)
 {
-    const auto entry = gaps_.find(group);
-    if (entry == gaps_.end() || answer.error || answer.position == core::log_position{})
+    const auto entry = failoverGaps_.find(group);
+    if (entry == failoverGaps_.end() || answer.error || answer.position == core::log_position{})
         return;
     failover_gap &gap = entry->second;
-    if (gap.changedAt == core::noDeadline || answer.position.term < gap.term)
+    if (gap.successorSeenAt == core::noDeadline || answer.position.term < gap.term)
         return;
-    // Time in which no write was there to be acknowledged is not part of the gap.
-    core::duration idle{ 0 };
-    if (gap.waitingAt == core::noDeadline)
-        idle = now - gap.changedAt;
-    else if (gap.waitingAt > gap.changedAt)
-        idle = gap.waitingAt - gap.changedAt;
-    counts_.add(delay::FailoverGap, now - gap.lostAt - idle);
-    gap.lostAt = core::noDeadline;
-    gap.changedAt = core::noDeadline;
-    gap.waitingAt = core::noDeadline;
+    // Time without any waiting write is not part of the gap.
+    core::duration idleTime{ 0 };
+    if (gap.writeWaitingSince == core::noDeadline)
+        idleTime = now - gap.successorSeenAt;
+    else if (gap.writeWaitingSince > gap.successorSeenAt)
+        idleTime = gap.writeWaitingSince - gap.successorSeenAt;
+    counts_.add(delay::FailoverGap, now - gap.primaryLostAt - idleTime);
+    gap.primaryLostAt = core::noDeadline;
+    gap.successorSeenAt = core::noDeadline;
+    gap.writeWaitingSince = core::noDeadline;
 }
 
 void decision_meter::tick(const cluster &instances, core::time_point now)
 {
-    for (auto &[group, gap] : gaps_) {
-        if (gap.lostAt == core::noDeadline || gap.waitingAt != core::noDeadline)
+    for (auto &[group, gap] : failoverGaps_) {
+        if (gap.primaryLostAt == core::noDeadline || gap.writeWaitingSince != core::noDeadline)
             continue;
         const auto owner = gateway_.owners.find(group);
         if (owner != gateway_.owners.end() && hasWaitingWrite(owner->second))
-            gap.waitingAt = now;
+            gap.writeWaitingSince = now;
     }
-    if (now < nextPublish_)
+    if (now < nextPublishAt_)
         return;
-    nextPublish_ = now + publishEvery;
+    nextPublishAt_ = now + publishInterval;
     setGauges(instances, now);
     published_.publish(counts_);
 }
--- a/src/daemon/log_sink.cpp
+++ b/src/daemon/log_sink.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The thread behind the ring of log lines.
+/// @brief Writer thread of the log and the ring buffers that feed it.
 
 #include <fuchsiagw/daemon/log_sink.hpp>
 
@@ -26,7 +26,7 @@
 namespace {
 
 constexpr std::size_t maxRingLines = 60'000;
-constexpr std::size_t maxProducers = 64; ///< threads that write to one sink, dead ones included
+constexpr std::size_t maxProducers = 64; ///< per sink, including threads that have ended
 
 struct log_record
 {
@@ -35,19 +35,19 @@
     std::string line;
 };
 
-/// A queue with many producers would be simpler, but Boost.Lockfree's reads nodes that another
-/// thread may be writing, which is a data race by the rules of the language.
+/// A multi-producer queue would be simpler, but the one of Boost.Lockfree reads nodes that another
+/// thread may be writing, which is a data race by the C++ memory model.
 using line_ring = boost::lockfree::spsc_queue<log_record *>;
 
-/// The rings of this thread, by number of the sink. Numbers are never used again.
-thread_local std::vector<std::pair<std::uint64_t, line_ring *>> ownRings;
+/// Rings of this thread, by sink number. Sink numbers are never reused.
+thread_local std::vector<std::pair<std::uint64_t, line_ring *>> threadRings;
 
 std::string timeText(std::chrono::system_clock::time_point time)
 {
     using std::chrono::microseconds;
-    const auto whole = std::chrono::floor<std::chrono::seconds>(time);
-    const std::time_t seconds = std::chrono::system_clock::to_time_t(whole);
-    const auto fraction = std::chrono::duration_cast<microseconds>(time - whole).count();
+    const auto wholeSeconds = std::chrono::floor<std::chrono::seconds>(time);
+    const std::time_t seconds = std::chrono::system_clock::to_time_t(wholeSeconds);
+    const auto fraction = std::chrono::duration_cast<microseconds>(time - wholeSeconds).count();
     std::tm parts{};
     gmtime_r(&seconds, &parts);
     std::array<char, 32> date{};
@@ -57,7 +57,7 @@
     return std::string(date.data(), size) + rest.data();
 }
 
-/// A logger of its own for each sink, so that sinks of one process do not mix.
+/// Creates a separate logger per sink, so that several sinks of one process don't share appenders.
 log4cxx::LoggerPtr makeLogger(const log_settings &settings)
 {
     static std::atomic<int> sinks{ 0 };
@@ -68,14 +68,14 @@
                 layout, settings.standardOutput ? log4cxx::ConsoleAppender::getSystemOut()
                                                 : log4cxx::ConsoleAppender::getSystemErr());
     } else {
-        // log4cxx reports a file that can't be opened only on standard error.
+        // log4cxx reports a file that can't be opened only on standard error, so it is opened here.
         if (!std::ofstream(settings.path, std::ios::app))
             throw std::system_error(core::error_kind::SettingsInvalid, settings.path);
         const auto file = std::make_shared<log4cxx::rolling::RollingFileAppender>();
         file->setLayout(layout);
         file->setFile(settings.path);
         file->setMaximumFileSize(settings.maxFileBytes);
-        file->setMaxBackupIndex(settings.oldFiles);
+        file->setMaxBackupIndex(settings.maxRolledFiles);
         log4cxx::helpers::Pool pool;
         file->activateOptions(pool);
         appender = file;
@@ -106,15 +106,17 @@
 
 struct log_sink::worker
 {
-    const std::uint64_t number = nextNumber();
+    const std::uint64_t sinkNumber = nextSinkNumber();
     const std::size_t capacity;
-    std::mutex registration; ///< taken once by each thread
-    std::array<std::unique_ptr<line_ring>, maxProducers> rings; ///< the first `producers` are set
-    std::atomic<std::size_t> producers{ 0 };
-    std::atomic<std::uint32_t> written{ 0 }; ///< changes with every line, so that the thread wakes
+    std::mutex registrationMutex; ///< locked once by each thread
+    std::array<std::unique_ptr<line_ring>, maxProducers> rings; ///< the first producerCount are set
+    std::atomic<std::size_t> producerCount{ 0 };
+    std::atomic<std::uint32_t> wakeCount{
+        0
+    }; ///< incremented for each line to wake the writer thread
     std::atomic<bool> stopping{ false };
     std::atomic<std::uint64_t> &lost;
-    std::uint64_t lostReported = 0;
+    std::uint64_t reportedLost = 0;
     log4cxx::LoggerPtr logger;
     std::thread thread;
 
@@ -138,57 +140,58 @@
 
     void wake()
     {
-        written.fetch_add(1);
-        written.notify_one();
+        wakeCount.fetch_add(1);
+        wakeCount.notify_one();
     }
 
-    static std::uint64_t nextNumber()
+    static std::uint64_t nextSinkNumber()
     {
         static std::atomic<std::uint64_t> last{ 0 };
         return ++last;
     }
 
-    /// @return the ring of the calling thread, nullptr if there are too many threads
-    line_ring *ownRing()
+    /// @return the ring of the calling thread; nullptr if maxProducers threads have rings already
+    line_ring *threadRing()
     {
-        for (const auto &[sink, ring] : ownRings) {
-            if (sink == number)
+        for (const auto &[sink, ring] : threadRings) {
+            if (sink == sinkNumber)
                 return ring;
         }
-        const std::lock_guard lock(registration);
-        const std::size_t index = producers.load();
+        const std::lock_guard lock(registrationMutex);
+        const std::size_t index = producerCount.load();
         if (index >= maxProducers)
             return nullptr;
         rings.at(index) = std::make_unique<line_ring>(capacity);
-        producers.store(index + 1);
-        ownRings.emplace_back(number, rings.at(index).get());
-        return ownRings.back().second;
+        producerCount.store(index + 1);
+        threadRings.emplace_back(sinkNumber, rings.at(index).get());
+        return threadRings.back().second;
     }
 
     void run()
     {
         for (;;) {
-            const std::uint32_t before = written.load();
-            const bool isLast = stopping;
+            const std::uint32_t previousWakeCount = wakeCount.load();
+            const bool isStopRequested = stopping;
             const bool isEmpty = writeAll();
             reportLost();
-            if (isLast && isEmpty)
+            if (isStopRequested && isEmpty)
                 return;
             if (isEmpty)
-                written.wait(before);
+                wakeCount.wait(previousWakeCount);
         }
     }
 
-    /// Writes what the rings hold, in the order of time.
-    /// @return whether they were empty
+    /// Writes the queued lines in order of time.
+    /// @return whether all rings were empty
     bool writeAll()
     {
         std::vector<std::unique_ptr<log_record>> records;
         const auto take = [&records](log_record *each) { records.emplace_back(each); };
-        for (std::size_t i = 0; i < producers.load(); ++i) {
-            // Bounded, since a busy thread may push as fast as this one takes.
-            for (std::size_t taken = 0; taken < capacity && rings.at(i)->consume_one(take);)
-                ++taken;
+        for (std::size_t i = 0; i < producerCount.load(); ++i) {
+            // Bounded, because a busy producer may push as fast as this loop pops.
+            for (std::size_t takenCount = 0;
+                 takenCount < capacity && rings.at(i)->consume_one(take);)
+                ++takenCount;
         }
         std::stable_sort(records.begin(), records.end(), [](const auto &left, const auto &right) {
             return left->time < right->time;
@@ -205,7 +208,7 @@
             line += toString(record.level);
             logger->forcedLog(toLog4cxx(record.level), line + " " + record.line);
         } catch (const std::exception &) {
-            // A log that can't be written must not stop the instance.
+            // A failure to write the log must not stop the instance.
             lost.fetch_add(1);
         }
     }
@@ -213,10 +216,10 @@
     void reportLost()
     {
         const std::uint64_t now = lost.load();
-        if (now == lostReported)
+        if (now == reportedLost)
             return;
-        const auto count = field::number(log_key::Lost, now - lostReported);
-        lostReported = now;
+        const auto count = field::number(log_key::Lost, now - reportedLost);
+        reportedLost = now;
         append({ std::chrono::system_clock::now(), rowOf(log_event::LogLinesLost).level,
                  formatEvent(log_event::LogLinesLost, { count }) });
     }
@@ -233,14 +236,14 @@
 {
     auto record = std::make_unique<log_record>(
             log_record{ std::chrono::system_clock::now(), level, std::move(line) });
-    line_ring *ring = worker_->ownRing();
-    const bool isTaken = ring != nullptr && ring->push(record.get());
-    if (isTaken)
-        record.release(); // NOLINT(bugprone-unused-return-value) the ring owns it now
+    line_ring *ring = worker_->threadRing();
+    const bool isQueued = ring != nullptr && ring->push(record.get());
+    if (isQueued)
+        record.release(); // NOLINT(bugprone-unused-return-value) the ring owns the record now
     else
         lost_.fetch_add(1);
     worker_->wake();
-    return isTaken;
+    return isQueued;
 }
 
 } // namespace fuchsiagw::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Entry point of fuchsiagwd: flags, settings, log.
+/// @brief Entry point of fuchsiagwd: parses flags, reads settings and opens the log.
 
 #include <utility>
 
@@ -33,15 +33,15 @@
     daemon::log_settings result;
     result.path = values.logFile == "-" ? std::string() : values.logFile;
     const auto &names = daemon::logLevelNames;
-    const std::string_view wanted = values.logLevel == "warn" ? "warning" : values.logLevel;
-    const auto *const found = std::find(names.begin(), names.end(), wanted);
+    const std::string_view levelName = values.logLevel == "warn" ? "warning" : values.logLevel;
+    const auto *const found = std::find(names.begin(), names.end(), levelName);
     result.level = static_cast<daemon::log_level>(std::distance(names.begin(), found));
     return result;
 }
 
-/// @return the exit code if the settings are wrong or were only to be checked
-std::optional<int> endAfterReading(const std::string &file,
-                                   const std::vector<daemon::settings_problem> &problems)
+/// @return the exit code if the settings are invalid or --check_settings was given, otherwise none
+std::optional<int> exitCodeAfterReading(const std::string &file,
+                                        const std::vector<daemon::settings_problem> &problems)
 {
     for (const auto &each : problems)
         std::cerr << daemon::toString(each) << '\n';
@@ -53,15 +53,15 @@
     return 0;
 }
 
-int runSessions(const std::string &file)
+int runSessionInterface(const std::string &file)
 {
     daemon::session_settings values;
     const auto problems = daemon::readSessionSettings(file, values);
-    if (const auto code = endAfterReading(file, problems))
+    if (const auto code = exitCodeAfterReading(file, problems))
         return *code;
-    daemon::log_settings target;
-    target.standardOutput = true;
-    daemon::log_sink log(target);
+    daemon::log_settings logTarget;
+    logTarget.standardOutput = true;
+    daemon::log_sink log(logTarget);
     return static_cast<int>(daemon::runSessionDaemon(values, file, log));
 }
 
@@ -70,20 +70,21 @@
     const std::string file = absl::GetFlag(FLAGS_settings);
     const std::string interface = absl::GetFlag(FLAGS_interface);
     if (interface == "sessions")
-        return runSessions(file);
+        return runSessionInterface(file);
     if (interface != "statements") {
         std::cerr << "fuchsiagwd: --interface must be statements or sessions\n";
         return static_cast<int>(daemon::exit_code::SettingsInvalid);
     }
     daemon::settings values;
     const auto problems = daemon::readSettings(file, values);
-    if (const auto code = endAfterReading(file, problems))
+    if (const auto code = exitCodeAfterReading(file, problems))
         return *code;
     daemon::log_sink log(logSettings(values));
     const daemon::exit_code code = daemon::runDaemon(values, log);
     if (code == daemon::exit_code::Failed)
-        std::cerr << "fuchsiagwd: can't bind an address of the settings, or a duty failed; see the "
-                     "log\n";
+        std::cerr << "fuchsiagwd: can't bind an address from the settings, or a worker thread "
+                     "failed; "
+                     "see the log\n";
     return static_cast<int>(code);
 }
 
@@ -99,11 +100,12 @@
             "interrupted requests.");
     const std::vector<char *> rest = absl::ParseCommandLine(argc, argv);
     if (rest.size() > 1 || absl::GetFlag(FLAGS_settings).empty()) {
-        std::cerr << "fuchsiagwd: name the settings file with --settings=FILE; see --help\n";
+        std::cerr << "fuchsiagwd: exactly one settings file is required: --settings=FILE; see "
+                     "--help\n";
         return static_cast<int>(daemon::exit_code::SettingsInvalid);
     }
     if (sodium_init() < 0) {
-        std::cerr << "fuchsiagwd: libsodium can't be initialised\n";
+        std::cerr << "fuchsiagwd: can't initialise libsodium\n";
         return static_cast<int>(daemon::exit_code::Failed);
     }
     try {
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The table of metrics and their arithmetic.
+/// @brief Table of metrics; histograms, merging and rates.
 
 #include <fuchsiagw/daemon/metrics.hpp>
 
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::size_t counterRows = static_cast<std::size_t>(counter::Total);
-constexpr std::size_t gaugeRows = static_cast<std::size_t>(gauge::Total);
-constexpr std::size_t delayRows = static_cast<std::size_t>(delay::Total);
+constexpr std::size_t counterCount = static_cast<std::size_t>(counter::Total);
+constexpr std::size_t gaugeCount = static_cast<std::size_t>(gauge::Total);
+constexpr std::size_t delayCount = static_cast<std::size_t>(delay::Total);
 
 constexpr auto rows = std::to_array<metric_row>({
         { "fuchsiagw_reads_total", "counter", "", "reads answered with success" },
@@ -108,13 +108,13 @@
 
 const metric_row &rowOf(gauge metric)
 {
-    return rows.at(counterRows + static_cast<std::size_t>(metric));
+    return rows.at(counterCount + static_cast<std::size_t>(metric));
 }
 
 const metric_row &rowOf(delay metric)
 {
-    static_assert(rows[counterRows + gaugeRows + delayRows - 1].type == "histogram");
-    return rows.at(counterRows + gaugeRows + static_cast<std::size_t>(metric));
+    static_assert(rows[counterCount + gaugeCount + delayCount - 1].type == "histogram");
+    return rows.at(counterCount + gaugeCount + static_cast<std::size_t>(metric));
 }
 
 void delay_histogram::add(core::duration value)
@@ -127,7 +127,7 @@
 
 void delay_histogram::add(const delay_histogram &other)
 {
-    // The library's own sum makes the compiler warn in sanitizer builds.
+    // The histogram's operator+= causes compiler warnings in sanitizer builds.
     auto &own = boost::histogram::unsafe_access::storage(bins_);
     const auto &added = boost::histogram::unsafe_access::storage(other.bins_);
     for (std::size_t bin = 0; bin < own.size(); ++bin)
@@ -136,14 +136,14 @@
     samples_ += other.samples_;
 }
 
-double delay_histogram::quantile(double part) const
+double delay_histogram::quantile(double fraction) const
 {
-    const auto wanted = static_cast<std::uint64_t>(
-            std::ceil(std::clamp(part, 0.0, 1.0) * static_cast<double>(samples_)));
-    std::uint64_t below = 0;
+    const auto rank = static_cast<std::uint64_t>(
+            std::ceil(std::clamp(fraction, 0.0, 1.0) * static_cast<double>(samples_)));
+    std::uint64_t cumulative = 0;
     for (int bin = -1; bin <= static_cast<int>(delayBins); ++bin) {
-        below += bins_.at(bin);
-        if (below > 0 && below >= wanted)
+        cumulative += bins_.at(bin);
+        if (cumulative > 0 && cumulative >= rank)
             return bin < 0 ? minDelaySeconds : bins_.axis().bin(bin).upper();
     }
     return 0;
@@ -151,9 +151,9 @@
 
 workspace_counters &metrics::of(const core::workspace_id &workspace)
 {
-    const auto known = workspaces.find(workspace);
-    if (known != workspaces.end())
-        return known->second;
+    const auto found = workspaces.find(workspace);
+    if (found != workspaces.end())
+        return found->second;
     if (workspaces.size() >= maxWorkspaceSeries)
         return workspaces[core::workspace_id{}];
     return workspaces[workspace];
--- a/src/daemon/metrics_text.cpp
+++ b/src/daemon/metrics_text.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Writes metrics in the text exposition format.
+/// @brief Formats metrics in the Prometheus text exposition format.
 
 #include <fuchsiagw/daemon/metrics_text.hpp>
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-const metric_row &rowNamed(std::string_view name)
+const metric_row &findRow(std::string_view name)
 {
     for (const metric_row &row : metricRows()) {
         if (row.name == name)
@@ -29,20 +29,20 @@
 public:
     std::string text;
 
-    void head(const metric_row &row)
+    void writeHeader(const metric_row &row)
     {
         fmt::format_to(out(), "# HELP {} {}\n# TYPE {} {}\n", row.name, row.meaning, row.name,
                        row.type);
     }
 
     template <typename number>
-    void plain(const metric_row &row, number value)
+    void writeSample(const metric_row &row, number value)
     {
-        head(row);
+        writeHeader(row);
         fmt::format_to(out(), "{} {}\n", row.name, value);
     }
 
-    void labelled(const metric_row &row, std::string_view label, std::uint64_t value)
+    void writeLabelledSample(const metric_row &row, std::string_view label, std::uint64_t value)
     {
         fmt::format_to(out(), "{}{{{}=\"", row.name, row.labels);
         for (const char each : label) {
@@ -57,41 +57,42 @@
         fmt::format_to(out(), "\"}} {}\n", value);
     }
 
-    void histogram(const metric_row &row, const delay_histogram &delays)
+    void writeHistogram(const metric_row &row, const delay_histogram &delays)
     {
-        head(row);
+        writeHeader(row);
         const auto &bins = delays.histogram();
-        std::uint64_t below = bins.at(-1);
-        bucket(row, minDelaySeconds, below);
+        std::uint64_t cumulative = bins.at(-1);
+        writeBucket(row, minDelaySeconds, cumulative);
         for (int bin = 0; bin < static_cast<int>(delayBins); ++bin) {
-            below += bins.at(bin);
-            bucket(row, bins.axis().bin(bin).upper(), below);
+            cumulative += bins.at(bin);
+            writeBucket(row, bins.axis().bin(bin).upper(), cumulative);
         }
         fmt::format_to(out(), "{}_bucket{{le=\"+Inf\"}} {}\n{}_sum {}\n{}_count {}\n", row.name,
                        delays.count(), row.name, delays.sumSeconds(), row.name, delays.count());
     }
 
-    void byError(const metric_row &row, const std::map<core::error_kind, std::uint64_t> &counts)
+    void writeByError(const metric_row &row,
+                      const std::map<core::error_kind, std::uint64_t> &counts)
     {
-        head(row);
+        writeHeader(row);
         for (const auto &[kind, count] : counts)
-            labelled(row, core::answerOf(kind).name, count);
+            writeLabelledSample(row, core::answerOf(kind).name, count);
     }
 
-    void byWorkspace(const metric_row &row, const metrics &all,
-                     std::uint64_t workspace_counters::*member)
+    void writeByWorkspace(const metric_row &row, const metrics &all,
+                          std::uint64_t workspace_counters::*member)
     {
-        head(row);
+        writeHeader(row);
         for (const auto &[workspace, counters] : all.workspaces)
-            labelled(row, workspace.value, counters.*member);
+            writeLabelledSample(row, workspace.value, counters.*member);
     }
 
 private:
     std::back_insert_iterator<std::string> out() { return std::back_inserter(text); }
 
-    void bucket(const metric_row &row, double bound, std::uint64_t below)
+    void writeBucket(const metric_row &row, double bound, std::uint64_t cumulative)
     {
-        fmt::format_to(out(), "{}_bucket{{le=\"{:.4g}\"}} {}\n", row.name, bound, below);
+        fmt::format_to(out(), "{}_bucket{{le=\"{:.4g}\"}} {}\n", row.name, bound, cumulative);
     }
 };
 
@@ -101,22 +102,22 @@
 {
     text_writer writer;
     for (std::size_t i = 0; i < all.counters.size(); ++i)
-        writer.plain(rowOf(static_cast<counter>(i)), all.counters[i]);
+        writer.writeSample(rowOf(static_cast<counter>(i)), all.counters[i]);
     for (std::size_t i = 0; i < all.gauges.size(); ++i)
-        writer.plain(rowOf(static_cast<gauge>(i)), all.gauges[i]);
+        writer.writeSample(rowOf(static_cast<gauge>(i)), all.gauges[i]);
     for (std::size_t i = 0; i < all.delays.size(); ++i)
-        writer.histogram(rowOf(static_cast<delay>(i)), all.delays[i]);
-    writer.plain(rowNamed("fuchsiagw_replica_read_share"), replicaReadShare(all));
-    writer.byError(rowNamed("fuchsiagw_errors_total"), all.errors);
-    writer.byError(rowNamed("fuchsiagw_messages_dropped_total"), all.droppedMessages);
-    writer.byWorkspace(rowNamed("fuchsiagw_workspace_requests_total"), all,
-                       &workspace_counters::requests);
-    writer.byWorkspace(rowNamed("fuchsiagw_workspace_served_total"), all,
-                       &workspace_counters::served);
-    writer.byWorkspace(rowNamed("fuchsiagw_workspace_refused_total"), all,
-                       &workspace_counters::refused);
-    writer.byWorkspace(rowNamed("fuchsiagw_workspace_wrongful_refusals_total"), all,
-                       &workspace_counters::wrongfullyRefused);
+        writer.writeHistogram(rowOf(static_cast<delay>(i)), all.delays[i]);
+    writer.writeSample(findRow("fuchsiagw_replica_read_share"), replicaReadShare(all));
+    writer.writeByError(findRow("fuchsiagw_errors_total"), all.errors);
+    writer.writeByError(findRow("fuchsiagw_messages_dropped_total"), all.droppedMessages);
+    writer.writeByWorkspace(findRow("fuchsiagw_workspace_requests_total"), all,
+                            &workspace_counters::requests);
+    writer.writeByWorkspace(findRow("fuchsiagw_workspace_served_total"), all,
+                            &workspace_counters::served);
+    writer.writeByWorkspace(findRow("fuchsiagw_workspace_refused_total"), all,
+                            &workspace_counters::refused);
+    writer.writeByWorkspace(findRow("fuchsiagw_workspace_wrongful_refusals_total"), all,
+                            &workspace_counters::wrongfullyRefused);
     return writer.text;
 }
 
--- a/src/daemon/relay_server.cpp
+++ b/src/daemon/relay_server.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sockets of borrowers and of the connections that are lent to them.
+/// @brief Sockets of the relay: connections of borrowers and pooled connections to members.
 
 #include <fuchsiagw/daemon/relay_server.hpp>
 
@@ -17,16 +17,17 @@
 
 using boost::asio::ip::tcp;
 
-/// Of a member's connections, the part that its keeper uses; the rest is for orders of the daemons
-/// and for those that can't reach the keeper.
-constexpr double keeperShare = 0.85;
-constexpr std::chrono::milliseconds borrowerWait{ 150 };
+/// Part of a member's connection limit that its relay uses; the rest is for control commands of the
+/// daemons and for daemons that can't reach the relay.
+constexpr double relayConnectionShare = 0.85;
+constexpr std::chrono::milliseconds maxBorrowerWait{ 150 };
 constexpr std::chrono::milliseconds tickInterval{ 20 }; // while a borrower waits
 constexpr std::chrono::milliseconds idleTickInterval{ 250 };
-constexpr std::chrono::milliseconds openLimit{ 1'000 };
-constexpr std::chrono::milliseconds limitPause{ 60 };
-/// A statement whose borrower has left may run on for this long before its connection is closed.
-constexpr std::chrono::milliseconds leftBehindLimit{ 3'000 };
+constexpr std::chrono::milliseconds openTimeout{ 1'000 };
+constexpr std::chrono::milliseconds refusalBackoff{ 60 };
+/// How long a statement may continue after its borrower has disconnected, before the member
+/// connection is closed.
+constexpr std::chrono::milliseconds abandonedStatementTimeout{ 3'000 };
 
 } // namespace
 
@@ -35,8 +36,8 @@
     std::shared_ptr<net::line_connection> connection;
     std::string member;
     proxy::pooled_id pooled = 0; ///< 0: none yet
-    std::string early; ///< lines that came before the connection was lent
-    std::uint32_t earlyStatements = 0;
+    std::string bufferedLines; ///< received before a connection was assigned
+    std::uint32_t bufferedStatements = 0;
 };
 
 struct relay_server::pooled
@@ -44,9 +45,9 @@
     std::shared_ptr<net::line_connection> connection;
     std::string member;
     proxy::borrower_id lentTo = 0; ///< 0: nobody
-    bool opened = false;
-    std::uint32_t owed = 0; ///< answers that have not ended yet
-    bool inTransaction = false; ///< after the newest answer
+    bool isOpen = false;
+    std::uint32_t pendingReplies = 0; ///< replies that are not complete yet
+    bool isInTransaction = false; ///< as of the last complete reply
 };
 
 relay_server::relay_server(boost::asio::io_context &context, proxy::engine &engine)
@@ -72,7 +73,7 @@
     if (error)
         return { error.value(), std::system_category() };
     accept();
-    planTick();
+    scheduleTick();
     return {};
 }
 
@@ -88,7 +89,7 @@
                     net::line_connection::create(std::move(socket), adapter::maxMessageBytes);
             entry->connection->setHandlers(
                     [this, id](std::string_view line) { onBorrowerLine(id, line); },
-                    [this, id] { onBorrowerGone(id); });
+                    [this, id] { onBorrowerDisconnected(id); });
             const auto connection = entry->connection;
             borrowers_.emplace(id, std::move(entry));
             connection->start(net::silence_check::Short);
@@ -102,52 +103,52 @@
     const auto found = borrowers_.find(id);
     if (found == borrowers_.end())
         return;
-    borrower &who = *found->second;
-    if (who.member.empty()) {
+    borrower &source = *found->second;
+    if (source.member.empty()) {
         const auto opening = adapter::decodeMemberOpening(line);
-        if (!opening || stopping_) {
+        if (!opening || isStopping_) {
             refuse(id, proxy::reply_code::Misrouted);
             return;
         }
-        borrow(id, opening->member, opening->workspace);
+        requestConnection(id, opening->member, opening->workspace);
         return;
     }
     if (line == adapter::farewellLine()) {
-        const auto connection = who.connection;
-        onBorrowerGone(id);
+        const auto connection = source.connection;
+        onBorrowerDisconnected(id);
         connection->closeGently();
         return;
     }
-    std::string text(line);
-    text += adapter::lineEnd();
-    const auto member = pooled_.find(who.pooled);
-    if (member == pooled_.end()) {
-        who.early += text;
-        ++who.earlyStatements;
+    std::string message(line);
+    message += adapter::lineEnd();
+    const auto assigned = pooled_.find(source.pooled);
+    if (assigned == pooled_.end()) {
+        source.bufferedLines += message;
+        ++source.bufferedStatements;
         return;
     }
-    ++member->second->owed;
-    member->second->connection->send(std::move(text));
+    ++assigned->second->pendingReplies;
+    assigned->second->connection->send(std::move(message));
 }
 
-void relay_server::borrow(proxy::borrower_id id, const std::string &memberId,
-                          const std::string &workspace)
+void relay_server::requestConnection(proxy::borrower_id id, const std::string &memberId,
+                                     const std::string &workspace)
 {
     const auto member = engine_.members.find(memberId);
-    const bool usable = member != engine_.members.end() && engine_.config;
-    const auto service = usable ? engine_.config->services.find(member->second.entry.service)
-                                : decltype(engine_.config->services.find("")){};
-    if (!usable || service == engine_.config->services.end()) {
+    const bool isUsable = member != engine_.members.end() && engine_.config;
+    const auto service = isUsable ? engine_.config->services.find(member->second.entry.service)
+                                  : decltype(engine_.config->services.find("")){};
+    if (!isUsable || service == engine_.config->services.end()) {
         refuse(id, proxy::reply_code::Misrouted);
         return;
     }
     borrowers_.at(id)->member = memberId;
     proxy::relay_pool &pool = pools_[memberId];
     pool.limit = std::max<std::size_t>(
-            1, static_cast<std::size_t>(service->second.maxConnections * keeperShare));
-    pool.waiting.push_back({ id, workspace, net::currentBootTime() + borrowerWait });
+            1, static_cast<std::size_t>(service->second.maxConnections * relayConnectionShare));
+    pool.waiting.push_back({ id, workspace, net::currentBootTime() + maxBorrowerWait });
     advance(memberId);
-    planTick();
+    scheduleTick();
 }
 
 void relay_server::advance(const std::string &memberId)
@@ -177,7 +178,7 @@
     entry->member = memberId;
     entry->connection = net::line_connection::create(context_, adapter::maxMessageBytes);
     entry->connection->setHandlers([this, id](std::string_view line) { onMemberLine(id, line); },
-                                   [this, id] { onMemberGone(id); });
+                                   [this, id] { onMemberDisconnected(id); });
     const auto connection = entry->connection;
     pooled_.emplace(id, std::move(entry));
     proxy::pooled_connection record;
@@ -196,23 +197,24 @@
 
 void relay_server::lend(proxy::borrower_id borrowerId, proxy::pooled_id pooledId)
 {
-    const auto who = borrowers_.find(borrowerId);
-    const auto lent = pooled_.find(pooledId);
-    if (who == borrowers_.end() || lent == pooled_.end()) {
-        // The borrower has left meanwhile.
-        const auto pool = lent == pooled_.end() ? pools_.end() : pools_.find(lent->second->member);
+    const auto client = borrowers_.find(borrowerId);
+    const auto connection = pooled_.find(pooledId);
+    if (client == borrowers_.end() || connection == pooled_.end()) {
+        // The borrower disconnected before the connection was assigned.
+        const auto pool = connection == pooled_.end() ? pools_.end()
+                                                      : pools_.find(connection->second->member);
         if (pool != pools_.end())
             pool->second.connections.at(pooledId).state = proxy::pooled_state::Idle;
         return;
     }
     ++counters_.lent;
-    who->second->pooled = pooledId;
-    lent->second->lentTo = borrowerId;
-    who->second->connection->send(adapter::encodeReply({}, true));
-    if (who->second->early.empty())
+    client->second->pooled = pooledId;
+    connection->second->lentTo = borrowerId;
+    client->second->connection->send(adapter::encodeReply({}, true));
+    if (client->second->bufferedLines.empty())
         return;
-    lent->second->owed += who->second->earlyStatements;
-    lent->second->connection->send(std::exchange(who->second->early, {}));
+    connection->second->pendingReplies += client->second->bufferedStatements;
+    connection->second->connection->send(std::exchange(client->second->bufferedLines, {}));
 }
 
 void relay_server::onMemberLine(proxy::pooled_id id, std::string_view line)
@@ -222,38 +224,38 @@
         return;
     pooled &from = *found->second;
     const auto state = adapter::readyState(line);
-    if (!from.opened) {
+    if (!from.isOpen) {
         proxy::relay_pool &pool = pools_[from.member];
         if (!state) {
-            pool.refusedUntil = net::currentBootTime() + limitPause;
+            pool.refusedUntil = net::currentBootTime() + refusalBackoff;
             closePooled(id, false);
             return;
         }
-        from.opened = true;
+        from.isOpen = true;
         pool.connections.at(id).state = proxy::pooled_state::Idle;
         pool.connections.at(id).since = net::currentBootTime();
         advance(from.member);
         return;
     }
     if (state) {
-        from.owed -= from.owed > 0 ? 1 : 0;
-        from.inTransaction = *state != proxy::transaction_state::Idle;
+        from.pendingReplies -= from.pendingReplies > 0 ? 1 : 0;
+        from.isInTransaction = *state != proxy::transaction_state::Idle;
     }
     if (from.lentTo != 0) {
-        const auto who = borrowers_.find(from.lentTo);
-        if (who != borrowers_.end()) {
-            std::string text(line);
-            text += adapter::lineEnd();
-            who->second->connection->send(std::move(text));
+        const auto client = borrowers_.find(from.lentTo);
+        if (client != borrowers_.end()) {
+            std::string message(line);
+            message += adapter::lineEnd();
+            client->second->connection->send(std::move(message));
         }
         return;
     }
-    if (!state || from.owed > 0)
+    if (!state || from.pendingReplies > 0)
         return;
     proxy::relay_pool &pool = pools_[from.member];
     proxy::pooled_connection &record = pool.connections.at(id);
     if (record.state == proxy::pooled_state::Lent) {
-        clean(id);
+        resetConnection(id);
         return;
     }
     record.state = proxy::pooled_state::Idle;
@@ -261,51 +263,51 @@
     advance(from.member);
 }
 
-void relay_server::clean(proxy::pooled_id id)
+void relay_server::resetConnection(proxy::pooled_id id)
 {
     pooled &from = *pooled_.at(id);
     proxy::pooled_connection &record = pools_.at(from.member).connections.at(id);
     record.state = proxy::pooled_state::Cleaning;
     record.since = net::currentBootTime();
     proxy::upstream_command command;
-    std::string text;
-    if (from.inTransaction) {
+    std::string message;
+    if (from.isInTransaction) {
         command.kind = proxy::command_kind::Rollback;
-        text += adapter::encodeCommand(command);
-        ++from.owed;
+        message += adapter::encodeCommand(command);
+        ++from.pendingReplies;
     }
     command.kind = proxy::command_kind::Discard;
-    text += adapter::encodeCommand(command);
-    ++from.owed;
-    from.connection->send(std::move(text));
+    message += adapter::encodeCommand(command);
+    ++from.pendingReplies;
+    from.connection->send(std::move(message));
 }
 
-void relay_server::onBorrowerGone(proxy::borrower_id id)
+void relay_server::onBorrowerDisconnected(proxy::borrower_id id)
 {
     const auto found = borrowers_.find(id);
     if (found == borrowers_.end())
         return;
-    const proxy::pooled_id held = found->second->pooled;
+    const proxy::pooled_id pooledId = found->second->pooled;
     const std::string member = found->second->member;
     borrowers_.erase(found);
     const auto pool = pools_.find(member);
     if (pool != pools_.end())
         std::erase_if(pool->second.waiting, [id](const auto &each) { return each.id == id; });
-    const auto lent = pooled_.find(held);
-    if (lent == pooled_.end())
+    const auto connection = pooled_.find(pooledId);
+    if (connection == pooled_.end())
         return;
-    lent->second->lentTo = 0;
-    pools_.at(member).connections.at(held).since = net::currentBootTime();
-    if (lent->second->owed == 0)
-        clean(held);
+    connection->second->lentTo = 0;
+    pools_.at(member).connections.at(pooledId).since = net::currentBootTime();
+    if (connection->second->pendingReplies == 0)
+        resetConnection(pooledId);
 }
 
-void relay_server::onMemberGone(proxy::pooled_id id)
+void relay_server::onMemberDisconnected(proxy::pooled_id id)
 {
     closePooled(id, false);
 }
 
-void relay_server::closePooled(proxy::pooled_id id, bool graceful)
+void relay_server::closePooled(proxy::pooled_id id, bool isGraceful)
 {
     const auto found = pooled_.find(id);
     if (found == pooled_.end())
@@ -315,18 +317,18 @@
     const auto connection = found->second->connection;
     pooled_.erase(found);
     pools_[member].connections.erase(id);
-    if (graceful) {
+    if (isGraceful) {
         connection->send(std::string(adapter::farewell()));
         connection->closeGently();
     } else {
         connection->close();
     }
-    // The borrower learns of the loss by the end of its own connection.
-    const auto who = borrowers_.find(borrowerId);
-    if (who == borrowers_.end())
+    // Closing the borrower's connection tells the borrower that the member connection is lost.
+    const auto client = borrowers_.find(borrowerId);
+    if (client == borrowers_.end())
         return;
-    who->second->connection->close();
-    borrowers_.erase(who);
+    client->second->connection->close();
+    borrowers_.erase(client);
 }
 
 void relay_server::refuse(proxy::borrower_id id, proxy::reply_code code)
@@ -344,7 +346,7 @@
 
 void relay_server::stop()
 {
-    stopping_ = true;
+    isStopping_ = true;
     for (const auto &[member, pool] : pools_)
         closeIdle(member);
 }
@@ -360,16 +362,17 @@
         closePooled(id, true);
 }
 
-void relay_server::planTick()
+void relay_server::scheduleTick()
 {
-    const bool waits = std::any_of(pools_.begin(), pools_.end(),
-                                   [](const auto &each) { return !each.second.waiting.empty(); });
+    const bool hasWaiting = std::any_of(pools_.begin(), pools_.end(), [](const auto &each) {
+        return !each.second.waiting.empty();
+    });
     const core::time_point now = net::currentBootTime();
-    const core::time_point due = now + (waits ? tickInterval : idleTickInterval);
-    if (tickAt_ > now && tickAt_ <= due)
+    const core::time_point dueAt = now + (hasWaiting ? tickInterval : idleTickInterval);
+    if (nextTickAt_ > now && nextTickAt_ <= dueAt)
         return;
-    tickAt_ = due;
-    timer_.expires_after(due - now);
+    nextTickAt_ = dueAt;
+    timer_.expires_after(dueAt - now);
     timer_.async_wait([this](const boost::system::error_code &error) {
         if (!error)
             tick();
@@ -380,38 +383,42 @@
 {
     const core::time_point now = net::currentBootTime();
     std::vector<std::string> members;
-    std::vector<proxy::pooled_id> overdue;
+    std::vector<proxy::pooled_id> toClose;
     for (const auto &[member, pool] : pools_) {
         if (!pool.waiting.empty())
             members.push_back(member);
         const auto idle = proxy::surplus(pool, now);
-        overdue.insert(overdue.end(), idle.begin(), idle.end());
-        // The rightful keeper needs the connections that this daemon has lent in its place.
+        toClose.insert(toClose.end(), idle.begin(), idle.end());
+        // Another daemon is the member's relay now and needs the connections that this daemon
+        // holds.
         const auto known = engine_.members.find(member);
-        const bool unwanted =
-                stopping_ || known == engine_.members.end() || !known->second.listed
+        const bool isUnwanted =
+                isStopping_ || known == engine_.members.end() || !known->second.listed
                 || proxy::relayNodeFor(engine_, known->second, now) != engine_.settings.node;
         for (const auto &[id, each] : pool.connections) {
             const core::duration age = now - each.since;
-            const bool stuck = each.state == proxy::pooled_state::Opening && age > openLimit;
-            const bool left = pooled_.at(id)->lentTo == 0 && each.state != proxy::pooled_state::Idle
-                              && age > leftBehindLimit;
-            if (stuck || left || (unwanted && each.state == proxy::pooled_state::Idle))
-                overdue.push_back(id);
+            const bool isOpenOverdue =
+                    each.state == proxy::pooled_state::Opening && age > openTimeout;
+            const bool isAbandoned = pooled_.at(id)->lentTo == 0
+                                     && each.state != proxy::pooled_state::Idle
+                                     && age > abandonedStatementTimeout;
+            if (isOpenOverdue || isAbandoned
+                || (isUnwanted && each.state == proxy::pooled_state::Idle))
+                toClose.push_back(id);
         }
     }
-    for (const proxy::pooled_id id : overdue) {
+    for (const proxy::pooled_id id : toClose) {
         const auto found = pooled_.find(id);
         if (found != pooled_.end())
-            closePooled(id, found->second->owed == 0);
+            closePooled(id, found->second->pendingReplies == 0);
     }
     for (const std::string &member : members)
         advance(member);
     std::erase_if(pools_, [](const auto &each) {
         return each.second.connections.empty() && each.second.waiting.empty();
     });
-    tickAt_ = {};
-    planTick();
+    nextTickAt_ = {};
+    scheduleTick();
 }
 
 } // namespace fuchsiagw::daemon
--- a/src/daemon/session_gateway.cpp
+++ b/src/daemon/session_gateway.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Events from the sockets to the engine, and the engine's actions to the sockets.
+/// @brief Passes socket events to the session engine and performs the engine's actions.
 
 #include <fuchsiagw/daemon/session_gateway.hpp>
 
@@ -20,25 +20,28 @@
 
 using boost::asio::ip::tcp;
 
-constexpr std::uint32_t reservedFiles = 200; // for files and the log
-constexpr std::uint32_t filesPerSession = 2; // its socket, and a share of those to members
-constexpr std::size_t bytesPerSession = 32 * 1024;
-constexpr std::size_t baseMemory = 48 * 1024 * 1024; // bytes, for everything but sessions
-constexpr std::size_t maxQueuedAnswers = 4 * adapter::maxMessageBytes;
-/// A connection to a keeper that is open already saves a round trip.
-constexpr std::size_t sparesPerKeeper = 2;
-/// Without a manifest by then, callers are refused instead of left waiting.
-constexpr std::chrono::milliseconds acceptDelay{ 800 };
-constexpr int storeEvent = 930;
-constexpr int socketEvent = 931;
+constexpr std::uint32_t reservedDescriptors = 200; // for files and the log; not for sessions
+constexpr std::uint32_t descriptorsPerSession =
+        2; // the caller's socket and a share of the sockets to members
+constexpr std::size_t memoryPerSession = 32 * 1024; // bytes
+constexpr std::size_t reservedMemory = 48 * 1024 * 1024; // bytes, for everything except sessions
+constexpr std::size_t maxQueuedReplyBytes = 4 * adapter::maxMessageBytes;
+/// A spare connection that is already open saves a round trip.
+constexpr std::size_t maxSparesPerRelay = 2;
+/// If no manifest was read by then, callers are accepted and refused instead of left waiting.
+constexpr std::chrono::milliseconds maxAcceptDelay{ 800 };
+constexpr int storeEventNumber = 930;
+constexpr int socketEventNumber = 931;
 
 std::uint32_t sessionLimit(const session_settings &values)
 {
-    const std::uint32_t files =
-            values.openFiles > reservedFiles ? values.openFiles - reservedFiles : 1;
+    const std::uint32_t descriptors =
+            values.openFiles > reservedDescriptors ? values.openFiles - reservedDescriptors : 1;
     const std::size_t memory = std::size_t{ values.memoryMegabytes } * 1024 * 1024;
-    const std::size_t byMemory = memory > baseMemory ? (memory - baseMemory) / bytesPerSession : 64;
-    return static_cast<std::uint32_t>(std::min<std::size_t>(files / filesPerSession, byMemory));
+    const std::size_t sessionsByMemory =
+            memory > reservedMemory ? (memory - reservedMemory) / memoryPerSession : 64;
+    return static_cast<std::uint32_t>(
+            std::min<std::size_t>(descriptors / descriptorsPerSession, sessionsByMemory));
 }
 
 proxy::engine_settings engineSettings(const session_settings &values)
@@ -54,19 +57,19 @@
 
 } // namespace
 
-struct session_gateway::caller
+struct session_gateway::caller_connection
 {
     std::shared_ptr<net::line_connection> connection;
-    bool opened = false; ///< its first message was read
-    core::time_point askedAt{};
-    proxy::statement_kind kind = proxy::statement_kind::Malformed;
+    bool isOpen = false; ///< the startup message was read
+    core::time_point statementReceivedAt{};
+    proxy::statement_kind statementKind = proxy::statement_kind::Malformed;
 };
 
-struct session_gateway::upstream
+struct session_gateway::upstream_connection
 {
     std::shared_ptr<net::line_connection> connection;
     adapter::reply_decoder decoder;
-    bool opened = false; ///< the answer to the opening was read
+    bool isOpen = false; ///< the reply to the startup command was read
 };
 
 session_gateway::session_gateway(boost::asio::io_context &context, const session_settings &values,
@@ -102,7 +105,7 @@
                    perform();
                },
                [this](std::string_view what, std::string_view detail) {
-                   log_.write(storeEvent, what, detail);
+                   log_.write(storeEventNumber, what, detail);
                } })
     , datagrams_(context,
                  [this](std::string_view bytes, const net::endpoint &) { onDatagram(bytes); })
@@ -131,23 +134,23 @@
     if (error)
         return { error.value(), std::system_category() };
     boost::system::error_code ignored;
-    const auto own = boost::asio::ip::make_address(values_.address, ignored);
-    if (const std::error_code failed = datagrams_.open({ own, values_.peerPort }))
+    const auto ownAddress = boost::asio::ip::make_address(values_.address, ignored);
+    if (const std::error_code failed = datagrams_.open({ ownAddress, values_.peerPort }))
         return failed;
-    if (const std::error_code failed = relay_.start({ own, values_.peerPort }))
+    if (const std::error_code failed = relay_.start({ ownAddress, values_.peerPort }))
         return failed;
     store_.start();
-    plan();
-    const auto limit = std::make_shared<boost::asio::steady_timer>(context_, acceptDelay);
-    limit->async_wait([this, limit](const boost::system::error_code &) { startAccepting(); });
+    scheduleTimer();
+    const auto timer = std::make_shared<boost::asio::steady_timer>(context_, maxAcceptDelay);
+    timer->async_wait([this, timer](const boost::system::error_code &) { startAccepting(); });
     return {};
 }
 
-// Callers that connect while the manifest is being read wait in the listen queue, which is shorter
-// than their way to another instance.
+// Callers that connect while the manifest is being read wait in the listen backlog. This wait is
+// shorter than a reconnect to another instance.
 void session_gateway::startAccepting()
 {
-    if (std::exchange(accepting_, true))
+    if (std::exchange(isAccepting_, true))
         return;
     accept();
 }
@@ -164,15 +167,16 @@
         if (error == boost::asio::error::operation_aborted)
             return;
         if (error) {
-            // Out of descriptors or memory: callers that are served go on, others wait a moment.
-            log_.write(socketEvent, "accept_failed", error.category().name());
+            // Out of descriptors or memory: existing connections are still served, and accepting is
+            // retried after a pause.
+            log_.write(socketEventNumber, "accept_failed", error.category().name());
             const auto pause = std::make_shared<boost::asio::steady_timer>(
                     context_, std::chrono::milliseconds(50));
             pause->async_wait([this, pause](const boost::system::error_code &) { accept(); });
             return;
         }
         const proxy::session_id id = ++lastSession_;
-        auto entry = std::make_unique<caller>();
+        auto entry = std::make_unique<caller_connection>();
         entry->connection =
                 net::line_connection::create(std::move(socket), adapter::maxMessageBytes);
         entry->connection->setHandlers(
@@ -194,11 +198,11 @@
     const auto found = callers_.find(id);
     if (found == callers_.end())
         return;
-    caller &who = *found->second;
+    caller_connection &source = *found->second;
     const core::time_point now = net::currentBootTime();
     adapter::caller_line decoded = adapter::decodeCallerLine(line);
-    if (auto *startup = std::get_if<adapter::startup_line>(&decoded); startup && !who.opened) {
-        who.opened = true;
+    if (auto *startup = std::get_if<adapter::startup_line>(&decoded); startup && !source.isOpen) {
+        source.isOpen = true;
         const bool accepted =
                 proxy::onSessionOpened(engine_, id, startup->database, startup->key, now);
         perform();
@@ -207,15 +211,15 @@
         return;
     }
     auto *statement = std::get_if<adapter::statement_line>(&decoded);
-    if (statement == nullptr || !who.opened) {
-        // The end of the session, or bytes that are not of the protocol.
+    if (statement == nullptr || !source.isOpen) {
+        // The caller ended the session or violated the protocol.
         perform(proxy::close_caller{ id });
         proxy::onCallerDisconnected(engine_, id, now);
         perform();
         return;
     }
-    who.askedAt = now;
-    who.kind = statement->statement.kind;
+    source.statementReceivedAt = now;
+    source.statementKind = statement->statement.kind;
     proxy::onCallerStatement(engine_, id, std::move(statement->statement), now);
     perform();
 }
@@ -225,8 +229,8 @@
     const auto found = upstreams_.find(id);
     if (found == upstreams_.end())
         return;
-    upstream &link = *found->second;
-    auto answer = link.decoder.feed(line, !link.opened);
+    upstream_connection &link = *found->second;
+    auto answer = link.decoder.feed(line, !link.isOpen);
     if (link.decoder.failed()) {
         link.connection->close();
         upstreams_.erase(found);
@@ -236,7 +240,7 @@
     }
     if (!answer)
         return;
-    link.opened = true;
+    link.isOpen = true;
     if (answer->rows.size() == 1)
         answer->status = adapter::decodeStatus(answer->rows.front());
     proxy::onMemberAnswer(engine_, id, std::move(*answer), net::currentBootTime());
@@ -251,7 +255,7 @@
         cereal::BinaryInputArchive archive(stream);
         archive(message);
     } catch (const cereal::Exception &) {
-        log_.write(socketEvent, "datagram_unreadable", {});
+        log_.write(socketEventNumber, "datagram_unreadable", {});
         return;
     }
     proxy::onPeerMessage(engine_, message, net::currentBootTime());
@@ -265,7 +269,7 @@
     for (const listed_instance &each : list) {
         boost::system::error_code error;
         const auto address = boost::asio::ip::make_address(each.row.address, error);
-        // A daemon that can't be reached still owns what it has claimed.
+        // A daemon with an invalid address still owns the part of the limits that it has claimed.
         if (!error)
             peerAddresses_[each.node] = { address, values_.peerPort };
         proxy::peer_state peer;
@@ -276,129 +280,132 @@
         peers.push_back(std::move(peer));
     }
     proxy::onInstances(engine_, peers, net::currentBootTime());
-    store_.setWatching(proxy::pollsStore(engine_));
+    store_.setShortPolls(proxy::pollsStore(engine_));
     perform();
 }
 
 void session_gateway::perform()
 {
-    if (performing_)
+    if (isPerforming_)
         return;
-    performing_ = true;
-    // Carrying an action out can lead to further ones.
+    isPerforming_ = true;
+    // Performing an action can queue further actions.
     while (!engine_.out.empty()) {
         std::vector<proxy::action> batch;
         batch.swap(engine_.out);
-        for (const proxy::action &each : batch)
-            std::visit([this](const auto &order) { perform(order); }, each);
+        for (const proxy::action &next : batch)
+            std::visit([this](const auto &action) { perform(action); }, next);
     }
-    performing_ = false;
-    if (!accepting_ && proxy::isReady(engine_))
+    isPerforming_ = false;
+    if (!isAccepting_ && proxy::isReady(engine_))
         startAccepting();
-    plan();
-    checkStopped();
+    scheduleTimer();
+    finishStopIfDrained();
 }
 
-void session_gateway::perform(const proxy::send_to_caller &order)
+void session_gateway::perform(const proxy::send_to_caller &action)
 {
-    const auto found = callers_.find(order.session);
+    const auto found = callers_.find(action.session);
     if (found == callers_.end())
         return;
-    caller &who = *found->second;
-    if (!order.opens)
-        latencies_.record(who.kind, net::currentBootTime() - who.askedAt);
-    who.connection->send(adapter::encodeReply(order.answer, order.opens));
-    if (who.connection->queuedBytes() > maxQueuedAnswers) {
-        log_.write(socketEvent, "caller_does_not_read", {});
-        who.connection->close();
-        const proxy::session_id id = order.session;
+    caller_connection &source = *found->second;
+    if (!action.opens)
+        latencies_.record(source.statementKind,
+                          net::currentBootTime() - source.statementReceivedAt);
+    source.connection->send(adapter::encodeReply(action.answer, action.opens));
+    if (source.connection->queuedBytes() > maxQueuedReplyBytes) {
+        log_.write(socketEventNumber, "caller_does_not_read", {});
+        source.connection->close();
+        const proxy::session_id id = action.session;
         callers_.erase(found);
         proxy::onCallerDisconnected(engine_, id, net::currentBootTime());
     }
 }
 
-void session_gateway::perform(const proxy::close_caller &order)
+void session_gateway::perform(const proxy::close_caller &action)
 {
-    const auto found = callers_.find(order.session);
+    const auto found = callers_.find(action.session);
     if (found == callers_.end())
         return;
     found->second->connection->closeGently();
     callers_.erase(found);
 }
 
-void session_gateway::perform(const proxy::open_link &order)
+void session_gateway::perform(const proxy::open_link &action)
 {
     net::endpoint peer;
-    auto entry = std::make_unique<upstream>();
-    const auto keeper = peerAddresses_.find(order.via);
-    const bool lent = keeper != peerAddresses_.end();
-    entry->connection = lent ? connectionTo(order.via, keeper->second)
-                             : net::line_connection::create(context_, adapter::maxMessageBytes);
+    auto entry = std::make_unique<upstream_connection>();
+    const auto relay = peerAddresses_.find(action.via);
+    const bool isRelayed = relay != peerAddresses_.end();
+    entry->connection = isRelayed
+                                ? relayConnectionTo(action.via, relay->second)
+                                : net::line_connection::create(context_, adapter::maxMessageBytes);
     const auto connection = entry->connection;
-    const proxy::link_id id = order.link;
-    const auto closed = [this, id] {
+    const proxy::link_id id = action.link;
+    const auto onClosed = [this, id] {
         upstreams_.erase(id);
         proxy::onLinkClosed(engine_, id, net::currentBootTime());
         perform();
     };
     connection->setHandlers([this, id](std::string_view line) { onUpstreamLine(id, line); },
-                            closed);
+                            onClosed);
     upstreams_.emplace(id, std::move(entry));
-    if (lent)
+    if (isRelayed)
         return;
-    if (net::parseEndpoint(order.address, peer)) {
-        boost::asio::post(context_, closed);
+    if (net::parseEndpoint(action.address, peer)) {
+        boost::asio::post(context_, onClosed);
         return;
     }
     connection->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
 }
 
-std::shared_ptr<net::line_connection> session_gateway::connectionTo(const std::string &node,
-                                                                    const net::endpoint &peer)
+std::shared_ptr<net::line_connection> session_gateway::relayConnectionTo(const std::string &node,
+                                                                         const net::endpoint &peer)
 {
-    auto &spares = spares_[node];
-    std::shared_ptr<net::line_connection> taken;
-    if (spares.empty()) {
-        taken = net::line_connection::create(context_, adapter::maxMessageBytes);
-        taken->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
+    auto &available = spareConnections_[node];
+    std::shared_ptr<net::line_connection> connection;
+    if (available.empty()) {
+        connection = net::line_connection::create(context_, adapter::maxMessageBytes);
+        connection->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
     } else {
-        taken = std::move(spares.back());
-        spares.pop_back();
+        connection = std::move(available.back());
+        available.pop_back();
     }
-    if (spares.size() < sparesPerKeeper)
-        keepSpare(node, peer);
-    return taken;
+    if (available.size() < maxSparesPerRelay)
+        addSpareConnection(node, peer);
+    return connection;
 }
 
-void session_gateway::keepSpare(const std::string &node, const net::endpoint &peer)
+void session_gateway::addSpareConnection(const std::string &node, const net::endpoint &peer)
 {
     const auto spare = net::line_connection::create(context_, adapter::maxMessageBytes);
-    const auto drop = [this, node, raw = spare.get()] {
-        std::erase_if(spares_[node], [raw](const auto &each) { return each.get() == raw; });
+    const auto removeSpare = [this, node, raw = spare.get()] {
+        std::erase_if(spareConnections_[node],
+                      [raw](const auto &each) { return each.get() == raw; });
     };
-    spare->setHandlers([](std::string_view) {}, drop);
+    spare->setHandlers([](std::string_view) {}, removeSpare);
     spare->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
-    spares_[node].push_back(spare);
+    spareConnections_[node].push_back(spare);
 }
 
-void session_gateway::perform(const proxy::send_to_member &order)
+void session_gateway::perform(const proxy::send_to_member &action)
 {
-    const auto found = upstreams_.find(order.link);
+    const auto found = upstreams_.find(action.link);
     if (found == upstreams_.end())
         return;
     std::string text;
-    for (const proxy::upstream_command &each : order.commands)
+    for (const proxy::upstream_command &each : action.commands)
         text += adapter::encodeCommand(each);
     found->second->connection->send(std::move(text));
 }
 
-void session_gateway::perform(const proxy::close_link &order)
+void session_gateway::perform(const proxy::close_link &action)
 {
-    const auto found = upstreams_.find(order.link);
+    const auto found = upstreams_.find(action.link);
     if (found == upstreams_.end())
         return;
     const auto connection = found->second->connection;
-    if (order.graceful) {
+    if (action.graceful) {
         connection->send(std::string(adapter::farewell()));
         connection->closeGently();
     } else {
@@ -417,51 +424,51 @@
     store_.refreshManifest();
 }
 
-void session_gateway::perform(const proxy::acquire_fencing_token &order)
+void session_gateway::perform(const proxy::acquire_fencing_token &action)
 {
-    store_.drawToken(order.service);
+    store_.acquireFencingToken(action.service);
 }
 
-void session_gateway::perform(const proxy::order_promotion &order)
+void session_gateway::perform(const proxy::order_promotion &action)
 {
-    store_.promote(order.service, order.member, order.token);
+    store_.promote(action.service, action.member, action.token);
 }
 
-void session_gateway::perform(const proxy::send_to_peer &order)
+void session_gateway::perform(const proxy::send_to_peer &action)
 {
-    const auto found = peerAddresses_.find(order.peer);
+    const auto found = peerAddresses_.find(action.peer);
     if (found == peerAddresses_.end())
         return;
     std::ostringstream stream;
     {
         cereal::BinaryOutputArchive archive(stream);
-        archive(order.message);
+        archive(action.message);
     }
     datagrams_.send(found->second, stream.str());
 }
 
-void session_gateway::perform(const proxy::claim_part &order)
+void session_gateway::perform(const proxy::claim_part &action)
 {
-    store_.claim(order.part, engine_.incarnation);
+    store_.claim(action.part, engine_.incarnation);
 }
 
-void session_gateway::perform(const proxy::decision_note &order)
+void session_gateway::perform(const proxy::decision_note &action)
 {
-    log_.write(order, net::currentBootTime());
+    log_.write(action, net::currentBootTime());
 }
 
-void session_gateway::plan()
+void session_gateway::scheduleTimer()
 {
-    const core::time_point due = proxy::nextTimerAt(engine_);
-    if (due >= planned_ && planned_ != core::noDeadline)
+    const core::time_point dueAt = proxy::nextTimerAt(engine_);
+    if (dueAt >= timerDueAt_ && timerDueAt_ != core::noDeadline)
         return;
-    planned_ = due;
+    timerDueAt_ = dueAt;
     const core::time_point now = net::currentBootTime();
-    timer_.expires_after(std::max(core::duration(0), due - now));
+    timer_.expires_after(std::max(core::duration(0), dueAt - now));
     timer_.async_wait([this](const boost::system::error_code &error) {
         if (error)
             return;
-        planned_ = core::noDeadline;
+        timerDueAt_ = core::noDeadline;
         proxy::onTimer(engine_, net::currentBootTime());
         perform();
     });
@@ -469,24 +476,24 @@
 
 void session_gateway::stop(std::function<void()> done)
 {
-    stopped_ = std::move(done);
+    onStopped_ = std::move(done);
     relay_.stop();
     proxy::onStop(engine_, net::currentBootTime());
     perform();
 }
 
-void session_gateway::checkStopped()
+void session_gateway::finishStopIfDrained()
 {
-    if (!stopped_ || !engine_.stopping)
+    if (!onStopped_ || !engine_.stopping)
         return;
-    constexpr std::chrono::milliseconds lastMoment{ 400 };
+    constexpr std::chrono::milliseconds stopMargin{ 400 };
     const core::time_point now = net::currentBootTime();
-    const bool idle =
-            engine_.sessions.empty() && !relay_.isBusy()
-            && now >= engine_.transactionDrainDeadline; // the balancer still sends callers here
-    if (!idle && now < engine_.stopDeadline - lastMoment)
+    const bool isIdle = engine_.sessions.empty() && !relay_.isBusy()
+                        && now >= engine_.transactionDrainDeadline; // until then the load balancer
+                                                                    // may still send callers here
+    if (!isIdle && now < engine_.stopDeadline - stopMargin)
         return;
-    const auto done = std::exchange(stopped_, nullptr);
+    const auto done = std::exchange(onStopped_, nullptr);
     store_.stop();
     done();
 }
--- a/src/daemon/session_log.cpp
+++ b/src/daemon/session_log.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Form and bounds of the session interface's log lines.
+/// @brief Formatting and rate limits of the session interface's log lines.
 
 #include <fuchsiagw/daemon/session_log.hpp>
 
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr int firstEvent = 901;
-constexpr std::int64_t linesPerSecond = 10; // of one sampled kind
-constexpr std::int64_t lineBurst = 20;
+constexpr int firstDecisionEvent = 901;
+constexpr std::int64_t maxSampledLinesPerSecond = 10; // per sampled kind
+constexpr std::int64_t sampledLineBurst = 20;
 
 bool isSampled(proxy::note_kind kind)
 {
@@ -34,13 +34,13 @@
     }
 }
 
-void addText(std::string &line, std::string_view name, std::string_view value)
+void appendText(std::string &line, std::string_view name, std::string_view value)
 {
     if (!value.empty())
         fmt::format_to(std::back_inserter(line), " {}={}", name, value);
 }
 
-void addNumber(std::string &line, std::string_view name, std::int64_t value)
+void appendNumber(std::string &line, std::string_view name, std::int64_t value)
 {
     if (value != 0)
         fmt::format_to(std::back_inserter(line), " {}={}", name, value);
@@ -50,38 +50,39 @@
 
 int eventNumber(proxy::note_kind kind)
 {
-    return firstEvent + static_cast<int>(kind);
+    return firstDecisionEvent + static_cast<int>(kind);
 }
 
 session_log::session_log(log_sink &sink)
     : sink_(sink)
 {
-    for (limiter &each : limits_) {
-        core::reshape(each.bucket, linesPerSecond * core::oneToken, lineBurst * core::oneToken, {});
-        core::put(each.bucket, lineBurst * core::oneToken, {});
+    for (limiter &each : limiters_) {
+        core::reshape(each.bucket, maxSampledLinesPerSecond * core::oneToken,
+                      sampledLineBurst * core::oneToken, {});
+        core::put(each.bucket, sampledLineBurst * core::oneToken, {});
     }
 }
 
 void session_log::write(const proxy::decision_note &note, core::time_point now)
 {
-    limiter &limit = limits_.at(static_cast<std::size_t>(note.kind));
+    limiter &limit = limiters_.at(static_cast<std::size_t>(note.kind));
     if (isSampled(note.kind) && !core::take(limit.bucket, core::oneToken, now)) {
         ++limit.skipped;
         return;
     }
     std::string line = fmt::format("event={} name={}", eventNumber(note.kind), toString(note.kind));
-    addText(line, "request", note.request);
-    addNumber(line, "session", static_cast<std::int64_t>(note.session));
-    addText(line, "workspace", note.workspace);
-    addText(line, "service", note.service);
-    addText(line, "member", note.member);
-    addText(line, "reason", note.reason);
+    appendText(line, "request", note.request);
+    appendNumber(line, "session", static_cast<std::int64_t>(note.session));
+    appendText(line, "workspace", note.workspace);
+    appendText(line, "service", note.service);
+    appendText(line, "member", note.member);
+    appendText(line, "reason", note.reason);
     if (note.position != core::log_position{})
         fmt::format_to(std::back_inserter(line), " position={}.{}", note.position.term,
                        note.position.index);
-    addNumber(line, "age_us", note.age.count());
-    addNumber(line, "number", note.number);
-    addNumber(line, "skipped", static_cast<std::int64_t>(limit.skipped));
+    appendNumber(line, "age_us", note.age.count());
+    appendNumber(line, "number", note.number);
+    appendNumber(line, "skipped", static_cast<std::int64_t>(limit.skipped));
     limit.skipped = 0;
     sink_.write(log_level::Info, std::move(line));
 }
@@ -89,7 +90,7 @@
 void session_log::write(int number, std::string_view name, std::string_view detail)
 {
     std::string line = fmt::format("event={} name={}", number, name);
-    addText(line, "detail", detail);
+    appendText(line, "detail", detail);
     sink_.write(log_level::Info, std::move(line));
 }
 
--- a/src/daemon/session_process.cpp
+++ b/src/daemon/session_process.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Signals, settings and the readiness and metrics servers around the session gateway.
+/// @brief Signal handling, settings reload and the readiness and metrics servers of the session
+/// gateway.
 
 #include <fuchsiagw/daemon/session_process.hpp>
 
@@ -23,43 +24,45 @@
 constexpr int summaryEvent = 943;
 constexpr std::chrono::seconds fileCheckInterval{ 2 };
 constexpr int checksPerSummary = 5;
-constexpr std::size_t statusConnections = 32;
-constexpr std::size_t maxStatusBody = 1024; // bytes
+constexpr std::size_t maxStatusConnections = 32;
+constexpr std::size_t maxStatusBodyBytes = 1024;
 
-net::http_server_options serverAt(const net::endpoint &address)
+net::http_server_options serverOptions(const net::endpoint &address)
 {
     net::http_server_options options;
     options.listenAt = address;
-    options.maxBody = maxStatusBody;
-    options.maxConnections = statusConnections;
+    options.maxBody = maxStatusBodyBytes;
+    options.maxConnections = maxStatusConnections;
     return options;
 }
 
-/// Everything of one process, on one thread.
+/// Runs all components of the process on one thread.
 class session_daemon
 {
 public:
     session_daemon(const session_settings &values, std::string file, log_sink &sink)
         : values_(values)
-        , file_(std::move(file))
+        , settingsFile_(std::move(file))
         , log_(sink)
         , gateway_(context_, values, log_)
-        , ready_(context_, serverAt(values.readyAddress),
-                 [this](net::http_request &&, net::connection_number, net::http_reply &&reply) {
-                     net::http_response response;
-                     constexpr int ok = 200;
-                     constexpr int unavailable = 503;
-                     response.status = gateway_.isReady() ? ok : unavailable;
-                     reply.send(response);
-                 })
-        , metrics_(context_, serverAt({ values.readyAddress.address, values.metricsPort }),
-                   [this](net::http_request &&, net::connection_number, net::http_reply &&reply) {
-                       net::http_response response;
-                       response.status = 200;
-                       response.headers.emplace_back("Content-Type", "text/plain; version=0.0.4");
-                       response.body = gateway_.metricsText();
-                       reply.send(response);
-                   })
+        , readinessServer_(
+                  context_, serverOptions(values.readyAddress),
+                  [this](net::http_request &&, net::connection_number, net::http_reply &&reply) {
+                      net::http_response response;
+                      constexpr int ok = 200;
+                      constexpr int unavailable = 503;
+                      response.status = gateway_.isReady() ? ok : unavailable;
+                      reply.send(response);
+                  })
+        , metricsServer_(
+                  context_, serverOptions({ values.readyAddress.address, values.metricsPort }),
+                  [this](net::http_request &&, net::connection_number, net::http_reply &&reply) {
+                      net::http_response response;
+                      response.status = 200;
+                      response.headers.emplace_back("Content-Type", "text/plain; version=0.0.4");
+                      response.body = gateway_.metricsText();
+                      reply.send(response);
+                  })
         , signals_(context_, SIGTERM, SIGINT, SIGHUP)
         , fileTimer_(context_)
     { }
@@ -68,15 +71,16 @@
     {
         log_.write(startEvent, "session_daemon_started",
                    fmt::format("{} zone={}", values_.instance, values_.zone));
-        for (const std::error_code error : { gateway_.start(), ready_.start(), metrics_.start() }) {
+        for (const std::error_code error :
+             { gateway_.start(), readinessServer_.start(), metricsServer_.start() }) {
             if (!error)
                 continue;
             log_.write(stopEvent, "session_daemon_failed", error.message());
             return exit_code::Failed;
         }
-        changedAt_ = fileTime();
+        settingsModifiedAt_ = settingsModificationTime();
         awaitSignal();
-        watchFile();
+        scheduleFileCheck();
         context_.run();
         log_.write(stopEvent, "session_daemon_stopped", values_.instance);
         return exit_code::Stopped;
@@ -96,52 +100,52 @@
         });
     }
 
-    std::filesystem::file_time_type fileTime() const
+    std::filesystem::file_time_type settingsModificationTime() const
     {
         std::error_code ignored;
-        return std::filesystem::last_write_time(file_, ignored);
+        return std::filesystem::last_write_time(settingsFile_, ignored);
     }
 
-    void watchFile()
+    void scheduleFileCheck()
     {
         fileTimer_.expires_after(fileCheckInterval);
         fileTimer_.async_wait([this](const boost::system::error_code &error) {
             if (error)
                 return;
-            if (fileTime() != changedAt_)
+            if (settingsModificationTime() != settingsModifiedAt_)
                 reload();
-            if (++checks_ % checksPerSummary == 0)
+            if (++fileCheckCount_ % checksPerSummary == 0)
                 log_.write(summaryEvent, "summary", gateway_.summary());
-            watchFile();
+            scheduleFileCheck();
         });
     }
 
-    /// Keeps the old settings if the new ones are wrong.
+    /// Keeps the current settings if the file has problems.
     void reload()
     {
-        changedAt_ = fileTime();
-        session_settings next;
-        const auto problems = readSessionSettings(file_, next);
+        settingsModifiedAt_ = settingsModificationTime();
+        session_settings reloaded;
+        const auto problems = readSessionSettings(settingsFile_, reloaded);
         if (!problems.empty()) {
             log_.write(reloadEvent, "settings_kept", toString(problems.front()));
             return;
         }
-        values_ = next;
-        gateway_.applySettings(next);
+        values_ = reloaded;
+        gateway_.applySettings(reloaded);
         log_.write(reloadEvent, "settings_reloaded", {});
     }
 
     session_settings values_;
-    std::string file_;
+    std::string settingsFile_;
     session_log log_;
     boost::asio::io_context context_{ 1 };
     session_gateway gateway_;
-    net::http_server ready_;
-    net::http_server metrics_;
+    net::http_server readinessServer_;
+    net::http_server metricsServer_;
     boost::asio::signal_set signals_;
     boost::asio::steady_timer fileTimer_;
-    int checks_ = 0;
-    std::filesystem::file_time_type changedAt_;
+    int fileCheckCount_ = 0;
+    std::filesystem::file_time_type settingsModifiedAt_;
 };
 
 } // namespace
--- a/src/daemon/session_report.cpp
+++ b/src/daemon/session_report.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a session gateway tells operators of itself: its log summary and its metrics.
+/// @brief Log summary and metrics of the session gateway.
 
 #include <fuchsiagw/daemon/session_gateway.hpp>
 
--- a/src/daemon/session_settings.cpp
+++ b/src/daemon/session_settings.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reading and checking of the session interface's settings.
+/// @brief Parsing and validation of the session interface's settings.
 
 #include <fuchsiagw/daemon/session_settings.hpp>
 
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Reads the entries of one file and collects what is wrong with them.
-struct reader
+/// Reads the entries of one file and collects the problems found.
+struct settings_reader
 {
     std::string file;
     YAML::Node root;
     std::vector<settings_problem> problems;
 
-    void complain(const std::string &name, const std::string &reason)
+    void addProblem(const std::string &name, const std::string &reason)
     {
         const YAML::Node entry = root[name];
         const int line = entry.IsDefined() ? entry.Mark().line + 1 : 0;
@@ -29,7 +29,7 @@
     {
         const YAML::Node entry = root[name];
         if (!entry.IsDefined() || !entry.IsScalar() || entry.Scalar().empty()) {
-            complain(name, "is missing or not a single value");
+            addProblem(name, "is missing or not a single value");
             return {};
         }
         return entry.Scalar();
@@ -40,60 +40,61 @@
         net::endpoint result;
         const std::string value = scalar(name);
         if (!value.empty() && net::parseEndpoint(value, result))
-            complain(name, "must be an IP number and a port, such as 127.0.0.1:8080");
+            addProblem(name, "must be an IP number and a port, such as 127.0.0.1:8080");
         return result;
     }
 
-    std::uint32_t count(const std::string &name, std::uint32_t least, std::uint32_t greatest)
+    std::uint32_t count(const std::string &name, std::uint32_t minValue, std::uint32_t maxValue)
     {
         const std::string value = scalar(name);
         std::uint32_t result = 0;
         const char *end = value.data() + value.size();
         const auto parsed = std::from_chars(value.data(), end, result);
-        const bool whole = parsed.ec == std::errc{} && parsed.ptr == end;
-        if (!value.empty() && (!whole || result < least || result > greatest))
-            complain(name, "must be a whole number from " + std::to_string(least) + " to "
-                                   + std::to_string(greatest));
+        const bool isWholeNumber = parsed.ec == std::errc{} && parsed.ptr == end;
+        if (!value.empty() && (!isWholeNumber || result < minValue || result > maxValue))
+            addProblem(name, "must be a whole number from " + std::to_string(minValue) + " to "
+                                     + std::to_string(maxValue));
         return result;
     }
 };
 
-constexpr std::uint32_t highestPort = 65'535;
-constexpr std::uint32_t mostFiles = 10'000'000;
-constexpr std::uint32_t mostMegabytes = 10'000'000;
-constexpr std::uint32_t longestSeconds = 3'600;
-constexpr std::uint32_t longestMilliseconds = 3'600'000;
+constexpr std::uint32_t maxPort = 65'535;
+constexpr std::uint32_t maxOpenFiles = 10'000'000;
+constexpr std::uint32_t maxMemoryMegabytes = 10'000'000;
+constexpr std::uint32_t maxGracePeriodSeconds = 3'600;
+constexpr std::uint32_t maxTimeoutMilliseconds = 3'600'000;
 
 } // namespace
 
 std::vector<settings_problem> readSessionSettings(const std::string &file, session_settings &result)
 {
-    reader from;
-    from.file = file;
+    settings_reader reader;
+    reader.file = file;
     try {
-        from.root = YAML::LoadFile(file);
+        reader.root = YAML::LoadFile(file);
     } catch (const YAML::Exception &failure) {
         return { { file, failure.mark.line + 1, failure.msg } };
     }
-    if (!from.root.IsMap())
+    if (!reader.root.IsMap())
         return { { file, 0, "must be a table of settings" } };
-    result.instance = from.scalar("instance");
-    result.zone = from.scalar("zone");
-    result.address = from.scalar("address");
-    result.callerAddress = from.address("caller_address");
-    result.readyAddress = from.address("ready_address");
-    result.peerPort = static_cast<std::uint16_t>(from.count("peer_port", 1, highestPort));
-    result.metricsPort = static_cast<std::uint16_t>(from.count("metrics_port", 1, highestPort));
-    result.storeAddress = from.address("store_address");
-    result.promotionAddress = from.address("promotion_address");
-    result.openFiles = from.count("open_files", 64, mostFiles);
-    result.memoryMegabytes = from.count("memory_mb", 16, mostMegabytes);
-    result.gracePeriod = std::chrono::seconds(from.count("grace_period_s", 1, longestSeconds));
+    result.instance = reader.scalar("instance");
+    result.zone = reader.scalar("zone");
+    result.address = reader.scalar("address");
+    result.callerAddress = reader.address("caller_address");
+    result.readyAddress = reader.address("ready_address");
+    result.peerPort = static_cast<std::uint16_t>(reader.count("peer_port", 1, maxPort));
+    result.metricsPort = static_cast<std::uint16_t>(reader.count("metrics_port", 1, maxPort));
+    result.storeAddress = reader.address("store_address");
+    result.promotionAddress = reader.address("promotion_address");
+    result.openFiles = reader.count("open_files", 64, maxOpenFiles);
+    result.memoryMegabytes = reader.count("memory_mb", 16, maxMemoryMegabytes);
+    result.gracePeriod =
+            std::chrono::seconds(reader.count("grace_period_s", 1, maxGracePeriodSeconds));
     result.drainLimit =
-            std::chrono::milliseconds(from.count("drain_limit_ms", 1, longestMilliseconds));
-    result.configurationLimit =
-            std::chrono::milliseconds(from.count("configuration_limit_ms", 1, longestMilliseconds));
-    return from.problems;
+            std::chrono::milliseconds(reader.count("drain_limit_ms", 1, maxTimeoutMilliseconds));
+    result.configurationLimit = std::chrono::milliseconds(
+            reader.count("configuration_limit_ms", 1, maxTimeoutMilliseconds));
+    return reader.problems;
 }
 
 } // namespace fuchsiagw::daemon
--- a/src/daemon/store_client.cpp
+++ b/src/daemon/store_client.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Loops over the platform's store, each with its own pace after failures.
+/// @brief Read and follow loops over the tables of the platform's store; each loop has its own
+/// backoff.
 
 #include <fuchsiagw/daemon/store_client.hpp>
 
@@ -18,23 +19,27 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds callLimit{ 1'500 };
-/// Long polls are answered at once when something changes. Silent connections are noticed by
-/// keep-alive probes, so the wait can be long.
-constexpr milliseconds followWait{ 28'000 };
-constexpr milliseconds watchWait{ 4'000 }; // of the daemons that watch for a silent connection
-constexpr milliseconds answerTime{ 1'500 }; // beyond the wait of a long poll
-constexpr milliseconds leastManifestInterval{ 700 };
-/// Changes that come together are read together.
-constexpr milliseconds followPause{ 800 };
-/// Daemons join one after the other when all are started at once.
-constexpr milliseconds joinPause{ 3'000 };
-/// Daemons that start together know each other before they claim parts of the limits.
-constexpr milliseconds othersTime{ 800 };
-constexpr milliseconds leastMemberInterval{ 250 };
-constexpr milliseconds firstBackoff{ 100 };
+constexpr milliseconds callTimeout{ 1'500 };
+/// The store answers a long poll as soon as a row changes. Keep-alive probes detect dead
+/// connections, so the wait can be long.
+constexpr milliseconds longPollWait{ 28'000 };
+constexpr milliseconds shortPollWait{
+    4'000
+}; // used by the daemons that detect a feed which delivers nothing
+constexpr milliseconds longPollGrace{
+    1'500
+}; // time for the response after the wait of a long poll
+constexpr milliseconds minManifestReadInterval{ 700 };
+/// Pause between long polls, so that changes in quick succession are read in one batch.
+constexpr milliseconds memberPollInterval{ 800 };
+/// Daemons that start at the same time register one after the other; the pause batches their rows.
+constexpr milliseconds instancePollInterval{ 3'000 };
+/// Lets daemons that start at the same time see each other before they claim parts of the limits.
+constexpr milliseconds peerDiscoveryDelay{ 800 };
+constexpr milliseconds minMemberReadInterval{ 250 };
+constexpr milliseconds initialBackoff{ 100 };
 constexpr int maxBackoffDoublings = 3;
-/// A daemon that drew a token acts alone for this time.
+/// For this time only the daemon that acquired the token orders promotions of the service.
 constexpr std::int64_t promotionLeaseMs = 3'000;
 constexpr const char *promotionTable = "promotions";
 
@@ -42,7 +47,7 @@
 constexpr int statusConflict = 409;
 constexpr int statusGone = 410;
 constexpr int statusConditionFailed = 412;
-constexpr int statusNone = 0; // no answer
+constexpr int statusNoResponse = 0;
 
 const adapter::store_row *findRow(const adapter::store_rows &rows, std::string_view table,
                                   std::string_view key)
@@ -53,7 +58,7 @@
     return found == rows.rows.end() ? nullptr : &*found;
 }
 
-/// @return none if the row was dropped or can't be read
+/// @return none if the row was deleted or can't be parsed
 std::optional<listed_instance> decodeInstance(const adapter::store_row &row)
 {
     const auto value = row.deleted ? std::nullopt : wire::readInstanceRow(row.value);
@@ -69,11 +74,11 @@
 } // namespace
 
 store_client::store_client(boost::asio::io_context &context, const session_settings &values,
-                           store_events events)
+                           store_callbacks callbacks)
     : context_(context)
     , values_(values)
-    , events_(std::move(events))
-    , client_(context)
+    , callbacks_(std::move(callbacks))
+    , httpClient_(context)
     , random_(std::random_device{}())
 { }
 
@@ -89,142 +94,146 @@
     ++counters_.calls.at(static_cast<std::size_t>(purpose));
 }
 
-void store_client::call(store_purpose purpose, const net::http_request &request, milliseconds limit,
-                        answer_handler done)
+void store_client::call(store_purpose purpose, const net::http_request &request,
+                        milliseconds timeout, response_handler done)
 {
     countCall(purpose);
-    client_.call(values_.storeAddress, request, net::currentTime() + limit,
-                 [this, done = std::move(done)](net::http_exchange &&result) {
-                     const int status = result.error ? statusNone : result.response.status;
-                     counters_.bytesReceived += result.response.body.size();
-                     // A 410 is an answer: the history that was asked for is gone.
-                     const bool served = status == statusOk || status == statusGone
-                                         || status == statusConditionFailed;
-                     noteOutcome(served);
-                     if (!stopped_)
-                         done(status, result.response.body);
-                 });
+    httpClient_.call(values_.storeAddress, request, net::currentTime() + timeout,
+                     [this, done = std::move(done)](net::http_exchange &&result) {
+                         const int status =
+                                 result.error ? statusNoResponse : result.response.status;
+                         counters_.bytesReceived += result.response.body.size();
+                         // 410 is not a failure of the store: it no longer has the requested change
+                         // history.
+                         const bool isServed = status == statusOk || status == statusGone
+                                               || status == statusConditionFailed;
+                         updateReachability(isServed);
+                         if (!isStopped_)
+                             done(status, result.response.body);
+                     });
 }
 
-void store_client::noteOutcome(bool reached)
+void store_client::updateReachability(bool isReached)
 {
-    if (!reached)
+    if (!isReached)
         ++counters_.failures;
-    if (reached == reachable_)
+    if (isReached == isReachable_)
         return;
-    reachable_ = reached;
-    events_.note(reached ? "store_regained" : "store_lost", {});
+    isReachable_ = isReached;
+    callbacks_.onStoreEvent(isReached ? "store_regained" : "store_lost", {});
 }
 
-void store_client::after(milliseconds pause, std::function<void()> next)
+void store_client::runAfter(milliseconds waitTime, std::function<void()> task)
 {
-    const auto timer = std::make_shared<boost::asio::steady_timer>(context_, pause);
+    const auto timer = std::make_shared<boost::asio::steady_timer>(context_, waitTime);
     timer->async_wait(
-            [this, timer, next = std::move(next)](const boost::system::error_code &error) {
-                if (!error && !stopped_)
-                    next();
+            [this, timer, task = std::move(task)](const boost::system::error_code &error) {
+                if (!error && !isStopped_)
+                    task();
             });
 }
 
 milliseconds store_client::backoff(int failures)
 {
-    const milliseconds whole = firstBackoff * (1 << std::min(failures, maxBackoffDoublings));
-    const auto half = static_cast<std::uint64_t>(whole.count() / 2);
-    return whole / 2 + milliseconds(static_cast<std::int64_t>(core::drawBelow(random_, half + 1)));
+    const milliseconds fullDelay = initialBackoff * (1 << std::min(failures, maxBackoffDoublings));
+    const auto halfDelay = static_cast<std::uint64_t>(fullDelay.count() / 2);
+    return fullDelay / 2
+           + milliseconds(static_cast<std::int64_t>(core::drawBelow(random_, halfDelay + 1)));
 }
 
-void store_client::takeManifest(const std::vector<adapter::store_row> &rows)
+void store_client::applyManifestRows(const std::vector<adapter::store_row> &rows)
 {
     for (const adapter::store_row &row : rows) {
         if (!adapter::isManifestRow(row) || row.deleted)
             continue;
-        auto next = adapter::decodeManifest(row.value);
-        if (next)
-            events_.manifest(std::make_shared<const proxy::manifest>(std::move(*next)));
+        auto manifest = adapter::decodeManifest(row.value);
+        if (manifest)
+            callbacks_.onManifest(std::make_shared<const proxy::manifest>(std::move(*manifest)));
         else
-            events_.note("manifest_unreadable", row.key);
+            callbacks_.onStoreEvent("manifest_unreadable", row.key);
     }
 }
 
 void store_client::refreshManifest()
 {
-    if (net::currentBootTime() - lastManifestRead_ >= leastManifestInterval)
+    if (net::currentBootTime() - lastManifestRead_ >= minManifestReadInterval)
         readManifest();
 }
 
 void store_client::readManifest()
 {
     lastManifestRead_ = net::currentBootTime();
-    ++manifestLoop_;
-    call(store_purpose::Manifest, adapter::readRows(adapter::manifestTable(), {}), callLimit,
-         [this, loop = manifestLoop_](int status, const std::string &body) {
-             if (loop != manifestLoop_)
+    ++manifestGeneration_;
+    call(store_purpose::Manifest, adapter::readRows(adapter::manifestTable(), {}), callTimeout,
+         [this, generation = manifestGeneration_](int status, const std::string &body) {
+             if (generation != manifestGeneration_)
                  return;
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
              if (!rows) {
-                 after(backoff(manifestFailures_++), [this, loop] {
-                     if (loop == manifestLoop_)
+                 runAfter(backoff(manifestFailures_++), [this, generation] {
+                     if (generation == manifestGeneration_)
                          readManifest();
                  });
                  return;
              }
              manifestFailures_ = 0;
-             manifestSeen_ = rows->version;
-             takeManifest(rows->rows);
+             manifestFeedVersion_ = rows->version;
+             applyManifestRows(rows->rows);
              followManifest();
          });
 }
 
 void store_client::followManifest()
 {
-    const milliseconds wait = watching_ ? watchWait : followWait;
+    const milliseconds pollWait = usesShortPolls_ ? shortPollWait : longPollWait;
     call(store_purpose::Manifest,
-         adapter::followRows(adapter::manifestTable(), manifestSeen_, wait), wait + answerTime,
-         [this, loop = manifestLoop_](int status, const std::string &body) {
-             if (loop != manifestLoop_)
+         adapter::followRows(adapter::manifestTable(), manifestFeedVersion_, pollWait),
+         pollWait + longPollGrace,
+         [this, generation = manifestGeneration_](int status, const std::string &body) {
+             if (generation != manifestGeneration_)
                  return;
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
              if (rows) {
                  manifestFailures_ = 0;
-                 manifestSeen_ = std::max(manifestSeen_, rows->version);
-                 takeManifest(rows->rows);
+                 manifestFeedVersion_ = std::max(manifestFeedVersion_, rows->version);
+                 applyManifestRows(rows->rows);
                  followManifest();
                  return;
              }
-             // What was missed meanwhile is in the table itself.
-             after(status == statusGone ? milliseconds(0) : backoff(manifestFailures_++),
-                   [this, loop] {
-                       if (loop == manifestLoop_)
-                           readManifest();
-                   });
+             // A full read of the table includes the changes that the feed did not deliver.
+             runAfter(status == statusGone ? milliseconds(0) : backoff(manifestFailures_++),
+                      [this, generation] {
+                          if (generation == manifestGeneration_)
+                              readManifest();
+                      });
          });
 }
 
 void store_client::refreshMembers()
 {
-    if (net::currentBootTime() - lastMemberRead_ >= leastMemberInterval)
+    if (net::currentBootTime() - lastMemberRead_ >= minMemberReadInterval)
         readMembers();
 }
 
 void store_client::readMembers()
 {
     lastMemberRead_ = net::currentBootTime();
-    ++memberLoop_;
+    ++memberGeneration_;
     readMembers({}, {});
 }
 
 void store_client::readMembers(const std::string &from,
                                std::map<std::string, proxy::listed_member> &&list)
 {
-    call(store_purpose::Members, adapter::readRows(adapter::memberTable(), from), callLimit,
-         [this, loop = memberLoop_, list = std::move(list)](int status,
-                                                            const std::string &body) mutable {
-             if (loop != memberLoop_)
+    call(store_purpose::Members, adapter::readRows(adapter::memberTable(), from), callTimeout,
+         [this, generation = memberGeneration_,
+          list = std::move(list)](int status, const std::string &body) mutable {
+             if (generation != memberGeneration_)
                  return;
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
              if (!rows) {
-                 after(backoff(memberFailures_++), [this, loop] {
-                     if (loop == memberLoop_)
+                 runAfter(backoff(memberFailures_++), [this, generation] {
+                     if (generation == memberGeneration_)
                          readMembers();
                  });
                  return;
@@ -238,7 +247,7 @@
                  return;
              }
              memberFailures_ = 0;
-             membersSeen_ = rows->version;
+             memberFeedVersion_ = rows->version;
              members_ = std::move(list);
              reportMembers();
              followMembers();
@@ -248,24 +257,25 @@
 void store_client::followMembers()
 {
     call(store_purpose::Members,
-         adapter::followRows(adapter::memberTable(), membersSeen_, followWait),
-         followWait + answerTime, [this, loop = memberLoop_](int status, const std::string &body) {
-             if (loop != memberLoop_)
+         adapter::followRows(adapter::memberTable(), memberFeedVersion_, longPollWait),
+         longPollWait + longPollGrace,
+         [this, generation = memberGeneration_](int status, const std::string &body) {
+             if (generation != memberGeneration_)
                  return;
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
-             const auto pause = rows                   ? followPause
-                                : status == statusGone ? milliseconds(0)
-                                                       : backoff(memberFailures_++);
+             const auto waitTime = rows                   ? memberPollInterval
+                                   : status == statusGone ? milliseconds(0)
+                                                          : backoff(memberFailures_++);
              if (rows) {
                  memberFailures_ = 0;
-                 membersSeen_ = std::max(membersSeen_, rows->version);
+                 memberFeedVersion_ = std::max(memberFeedVersion_, rows->version);
                  if (!rows->rows.empty())
-                     takeMembers(rows->rows);
+                     applyMemberRows(rows->rows);
              }
-             after(pause, [this, loop, read = rows.has_value()] {
-                 if (loop != memberLoop_)
+             runAfter(waitTime, [this, generation, isRead = rows.has_value()] {
+                 if (generation != memberGeneration_)
                      return;
-                 if (read)
+                 if (isRead)
                      followMembers();
                  else
                      readMembers();
@@ -273,7 +283,7 @@
          });
 }
 
-void store_client::takeMembers(const std::vector<adapter::store_row> &rows)
+void store_client::applyMemberRows(const std::vector<adapter::store_row> &rows)
 {
     for (const adapter::store_row &row : rows) {
         const auto entry = row.deleted ? std::nullopt : adapter::decodeMember(row);
@@ -290,25 +300,25 @@
     std::vector<proxy::listed_member> list;
     for (const auto &[id, each] : members_)
         list.push_back(each);
-    events_.members(list);
+    callbacks_.onMembers(list);
 }
 
 void store_client::claim(std::int64_t part, std::uint64_t incarnation)
 {
-    if (std::exchange(claiming_, true))
+    if (std::exchange(isClaiming_, true))
         return;
-    const auto own = instances_.find(values_.instance);
-    const std::uint64_t version = own == instances_.end() ? 0 : own->second.version;
+    const auto ownRow = instances_.find(values_.instance);
+    const std::uint64_t version = ownRow == instances_.end() ? 0 : ownRow->second.version;
     const std::string value = wire::toJson({ values_.address, values_.zone, incarnation, part });
-    // A call that is carried out late must not replace what was written after it.
+    // The expected version keeps a delayed request from overwriting a newer row.
     call(store_purpose::Instances,
          adapter::changeRows({ { wire::instanceTable, values_.instance, version, value } }),
-         callLimit, [this, part](int status, const std::string &) {
-             milliseconds pause = part == 0 ? othersTime : milliseconds(0);
+         callTimeout, [this, part](int status, const std::string &) {
+             milliseconds waitTime = part == 0 ? peerDiscoveryDelay : milliseconds(0);
              if (status != statusOk)
-                 pause = backoff(instanceFailures_++);
-             after(pause, [this] {
-                 claiming_ = false;
+                 waitTime = backoff(instanceFailures_++);
+             runAfter(waitTime, [this] {
+                 isClaiming_ = false;
                  readInstances();
              });
          });
@@ -316,22 +326,22 @@
 
 void store_client::readInstances()
 {
-    ++instanceLoop_;
+    ++instanceGeneration_;
     readInstances({}, {});
 }
 
 void store_client::readInstances(const std::string &from,
                                  std::map<std::string, listed_instance> &&list)
 {
-    call(store_purpose::Instances, adapter::readRows(wire::instanceTable, from), callLimit,
-         [this, loop = instanceLoop_, list = std::move(list)](int status,
-                                                              const std::string &body) mutable {
-             if (loop != instanceLoop_)
+    call(store_purpose::Instances, adapter::readRows(wire::instanceTable, from), callTimeout,
+         [this, generation = instanceGeneration_,
+          list = std::move(list)](int status, const std::string &body) mutable {
+             if (generation != instanceGeneration_)
                  return;
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
              if (!rows) {
-                 after(backoff(instanceFailures_++), [this, loop] {
-                     if (loop == instanceLoop_)
+                 runAfter(backoff(instanceFailures_++), [this, generation] {
+                     if (generation == instanceGeneration_)
                          readInstances();
                  });
                  return;
@@ -345,40 +355,41 @@
                  return;
              }
              instanceFailures_ = 0;
-             instancesSeen_ = rows->version;
+             instanceFeedVersion_ = rows->version;
              instances_ = std::move(list);
              reportInstances();
-             after(joinPause, [this, loop] { followInstances(loop); });
+             runAfter(instancePollInterval, [this, generation] { followInstances(generation); });
          });
 }
 
-void store_client::followInstances(std::uint64_t loop)
+void store_client::followInstances(std::uint64_t generation)
 {
-    if (loop != instanceLoop_)
+    if (generation != instanceGeneration_)
         return;
     call(store_purpose::Instances,
-         adapter::followRows(wire::instanceTable, instancesSeen_, followWait),
-         followWait + answerTime, [this, loop](int status, const std::string &body) {
-             if (loop != instanceLoop_)
+         adapter::followRows(wire::instanceTable, instanceFeedVersion_, longPollWait),
+         longPollWait + longPollGrace, [this, generation](int status, const std::string &body) {
+             if (generation != instanceGeneration_)
                  return;
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
              if (rows) {
                  instanceFailures_ = 0;
-                 instancesSeen_ = std::max(instancesSeen_, rows->version);
+                 instanceFeedVersion_ = std::max(instanceFeedVersion_, rows->version);
                  if (!rows->rows.empty())
-                     takeInstances(rows->rows);
-                 after(joinPause, [this, loop] { followInstances(loop); });
+                     applyInstanceRows(rows->rows);
+                 runAfter(instancePollInterval,
+                          [this, generation] { followInstances(generation); });
                  return;
              }
-             after(status == statusGone ? milliseconds(0) : backoff(instanceFailures_++),
-                   [this, loop] {
-                       if (loop == instanceLoop_)
-                           readInstances();
-                   });
+             runAfter(status == statusGone ? milliseconds(0) : backoff(instanceFailures_++),
+                      [this, generation] {
+                          if (generation == instanceGeneration_)
+                              readInstances();
+                      });
          });
 }
 
-void store_client::takeInstances(const std::vector<adapter::store_row> &rows)
+void store_client::applyInstanceRows(const std::vector<adapter::store_row> &rows)
 {
     for (const adapter::store_row &row : rows) {
         if (const auto each = decodeInstance(row))
@@ -394,44 +405,44 @@
     std::vector<listed_instance> list;
     for (const auto &[node, each] : instances_)
         list.push_back(each);
-    events_.instances(list);
+    callbacks_.onInstances(list);
 }
 
-void store_client::drawToken(const std::string &service)
+void store_client::acquireFencingToken(const std::string &service)
 {
     if (promotionsAllowed_) {
         readPromotion(service);
         return;
     }
     call(store_purpose::Promotion,
-         adapter::readRow(wire::automationTable, std::string(wire::promotionSwitch)), callLimit,
+         adapter::readRow(wire::automationTable, std::string(wire::promotionSwitch)), callTimeout,
          [this, service](int status, const std::string &body) {
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
              if (!rows) {
-                 events_.token(service, 0);
+                 callbacks_.onTokenAcquired(service, 0);
                  return;
              }
-             takeSwitch(*rows);
+             applyPromotionSwitch(*rows);
              if (promotionsAllowed_)
                  readPromotion(service);
              else
-                 events_.promotionsOff(service);
+                 callbacks_.onPromotionsDisabled(service);
          });
 }
 
 void store_client::readPromotion(const std::string &service)
 {
-    call(store_purpose::Promotion, adapter::readRow(promotionTable, service), callLimit,
+    call(store_purpose::Promotion, adapter::readRow(promotionTable, service), callTimeout,
          [this, service](int status, const std::string &body) {
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
              if (rows)
                  claimPromotion(service, *rows);
              else
-                 events_.token(service, 0);
+                 callbacks_.onTokenAcquired(service, 0);
          });
 }
 
-void store_client::takeSwitch(const adapter::store_rows &rows)
+void store_client::applyPromotionSwitch(const adapter::store_rows &rows)
 {
     const adapter::store_row *row = findRow(rows, wire::automationTable, wire::promotionSwitch);
     switchVersion_ = row == nullptr ? 0 : row->version;
@@ -443,20 +454,22 @@
     std::uint64_t version = 0;
     if (const adapter::store_row *row = findRow(rows, promotionTable, service)) {
         version = row->version;
-        const auto held = nlohmann::json::parse(row->value, nullptr, false);
-        const bool known = held.is_object();
-        const bool own = known && held.value("holder", std::string()) == values_.instance;
-        const std::int64_t left =
-                known ? held.value("until_ms", std::int64_t{ 0 }) - rows.storeClockMs : 0;
-        if (!own && left > 0) {
-            events_.tokenHeld(service, milliseconds(std::min(left, promotionLeaseMs)));
+        const auto lease = nlohmann::json::parse(row->value, nullptr, false);
+        const bool isReadable = lease.is_object();
+        const bool isOwnLease =
+                isReadable && lease.value("holder", std::string()) == values_.instance;
+        const std::int64_t remainingMs =
+                isReadable ? lease.value("until_ms", std::int64_t{ 0 }) - rows.storeClockMs : 0;
+        if (!isOwnLease && remainingMs > 0) {
+            callbacks_.onTokenHeldElsewhere(service,
+                                            milliseconds(std::min(remainingMs, promotionLeaseMs)));
             return;
         }
     }
     const nlohmann::json value = { { "holder", values_.instance },
                                    { "until_ms", rows.storeClockMs + promotionLeaseMs } };
-    // The switch is compared in the same transaction, so that no attempt starts once the operator's
-    // change of it was acknowledged.
+    // The transaction also checks the switch's version, so that no promotion attempt starts after
+    // the operator's change of the switch was acknowledged.
     adapter::row_change switchUnchanged;
     switchUnchanged.table = wire::automationTable;
     switchUnchanged.key = wire::promotionSwitch;
@@ -465,48 +478,50 @@
     call(store_purpose::Promotion,
          adapter::changeRows(
                  { switchUnchanged, { promotionTable, service, version, value.dump() } }),
-         callLimit, [this, service](int status, const std::string &body) {
+         callTimeout, [this, service](int status, const std::string &body) {
              const auto answer = adapter::decodeRows(body);
              if (status == statusConditionFailed && answer) {
                  onClaimConflict(service, *answer);
                  return;
              }
-             // The version that the store gives to the change is higher than every earlier one, so
-             // it serves as the fencing token.
-             events_.token(service, status == statusOk && answer ? answer->version : 0);
+             // The store assigns strictly increasing versions to changes, so the version serves as
+             // the fencing token.
+             callbacks_.onTokenAcquired(service,
+                                        status == statusOk && answer ? answer->version : 0);
          });
 }
 
-/// Another daemon was faster, or the operator has changed the switch since it was last read.
+/// Handles a lost compare-and-set: another daemon wrote the lease first, or the operator has
+/// changed the switch since it was last read.
 void store_client::onClaimConflict(const std::string &service, const adapter::store_rows &present)
 {
-    const std::uint64_t known = switchVersion_;
-    takeSwitch(present);
+    const std::uint64_t previousVersion = switchVersion_;
+    applyPromotionSwitch(present);
     if (!promotionsAllowed_)
-        events_.promotionsOff(service);
-    else if (switchVersion_ != known)
+        callbacks_.onPromotionsDisabled(service);
+    else if (switchVersion_ != previousVersion)
         readPromotion(service);
     else
-        events_.token(service, 0);
+        callbacks_.onTokenAcquired(service, 0);
 }
 
 void store_client::promote(const std::string &service, const std::string &member,
                            std::uint64_t token)
 {
     countCall(store_purpose::Promotion);
-    client_.call(values_.promotionAddress,
-                 adapter::promote(service, member, values_.instance, token),
-                 net::currentTime() + callLimit, [this, service](net::http_exchange &&result) {
-                     proxy::promote_outcome outcome = proxy::promote_outcome::Refused;
-                     if (result.error)
-                         outcome = proxy::promote_outcome::NoAnswer;
-                     else if (result.response.status == statusOk)
-                         outcome = proxy::promote_outcome::Ordered;
-                     else if (result.response.status == statusConflict)
-                         outcome = proxy::promote_outcome::FencedOff;
-                     if (!stopped_)
-                         events_.promoted(service, outcome);
-                 });
+    httpClient_.call(
+            values_.promotionAddress, adapter::promote(service, member, values_.instance, token),
+            net::currentTime() + callTimeout, [this, service](net::http_exchange &&result) {
+                proxy::promote_outcome outcome = proxy::promote_outcome::Refused;
+                if (result.error)
+                    outcome = proxy::promote_outcome::NoAnswer;
+                else if (result.response.status == statusOk)
+                    outcome = proxy::promote_outcome::Ordered;
+                else if (result.response.status == statusConflict)
+                    outcome = proxy::promote_outcome::FencedOff;
+                if (!isStopped_)
+                    callbacks_.onPromoteAnswer(service, outcome);
+            });
 }
 
 } // namespace fuchsiagw::daemon
--- a/tests/unit-decision-meter.cpp
+++ b/tests/unit-decision-meter.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the failover gap and of wrongful refusals as they are counted.
+/// @brief Tests of the metrics for failover gaps and wrongful refusals.
 
 #include <fuchsiagw/daemon/decision_meter.hpp>
 
@@ -54,14 +54,15 @@
     }
 };
 
-// Guards against a gap that starts when the loss is noticed, after the last answer.
+// Guards against a gap that is too short because it starts when the loss is detected instead of at
+// the primary's last answer.
 TEST(decision_meter, gapLastsFromTheLastAnswerToTheFirstWrite)
 {
     LONGS_EQUAL(0, gaps().count());
     addWaitingWrite();
     notice("", 512, start + 300ms);
     notice("b", 512, start + 400ms);
-    write(256, start + 410ms); // confirmed late under the old term
+    write(256, start + 410ms); // late confirmation under the old term
     LONGS_EQUAL(0, gaps().count());
     write(512, start + 450ms);
     write(512, start + 460ms);
@@ -69,7 +70,8 @@
     DOUBLES_EQUAL(0.45, gaps().sumSeconds(), 1e-9);
 }
 
-// Guards against an idle group whose next write comes an hour later.
+// Guards against a gap of an hour for an idle group: the first write after the failover arrives
+// long after the new primary is available.
 TEST(decision_meter, gapLeavesOutTheTimeWithoutAnyWrite)
 {
     notice("b", 512, start + 400ms);
@@ -77,7 +79,8 @@
     DOUBLES_EQUAL(0.4, gaps().sumSeconds(), 1e-9);
 }
 
-// Guards against a second loss that hides the first one from a write that waits through both.
+// Guards against a gap that is too short because a second loss restarts it while a write has been
+// waiting since the first loss.
 TEST(decision_meter, gapSpansASecondLossWhileAWriteWaits)
 {
     addWaitingWrite();
@@ -90,7 +93,8 @@
     DOUBLES_EQUAL(0.9, gaps().sumSeconds(), 1e-9);
 }
 
-// Guards against figures of an instance that does not watch the group.
+// Guards against wrong gaps from an instance that does not watch the group and so does not know
+// when the primary last answered.
 TEST(decision_meter, countsNoGapWithoutWatching)
 {
     owner->isWatching = false;
@@ -99,7 +103,8 @@
     LONGS_EQUAL(0, gaps().count());
 }
 
-// Guards against a rate limit that counts as wrongful, and a platform outage that does not.
+// Guards against wrong classification of refusals: RateLimited counted as wrongful, or KeyUnproven
+// during a platform outage not counted as caused by the platform.
 TEST(decision_meter, countsWrongfulRefusals)
 {
     caller_reply reply;
--- a/tests/unit-metrics.cpp
+++ b/tests/unit-metrics.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of metrics, of their text and of the page that lists them.
+/// @brief Tests of the metrics, their text format, their documentation and snapshot_buffer.
 
 #include "doc-table.hpp"
 
@@ -19,8 +19,9 @@
 
 TEST_GROUP(metrics_list){};
 
-// Guards against a page that names metrics which do not exist.
-TEST(metrics_list, pageAgreesWithTheProgram)
+// Guards against a page that differs from the code: a metric is added, removed or described anew in
+// only one of the two.
+TEST(metrics_list, pageMatchesTheCode)
 {
     const auto rows = readDocRows("metrics.md");
     LONGS_EQUAL(metricRows().size(), rows.size());
@@ -35,7 +36,8 @@
     }
 }
 
-// Guards against an enumerator that is bound to the row of another kind.
+// Guards against an enumerator that is mapped to the wrong row because the table and the
+// enumeration are in different orders.
 TEST(metrics_list, enumeratorsMatchTheirRows)
 {
     STRCMP_EQUAL("fuchsiagw_log_lines_lost_total", rowOf(counter::LogLinesLost).name.data());
@@ -48,7 +50,7 @@
 
 TEST_GROUP(metrics_text){};
 
-// Guards against buckets that are not cumulative or lose delays outside the axis.
+// Guards against histogram buckets that are not cumulative or omit values below or above the axis.
 TEST(metrics_text, bucketsAreCumulative)
 {
     metrics all;
@@ -75,7 +77,7 @@
     CHECK_TRUE(all.value(delay::Write).quantile(0.5) < 0.003);
 }
 
-// Guards against a workspace's name that breaks the format.
+// Guards against invalid output when a workspace name contains quotes, backslashes or newlines.
 TEST(metrics_text, labelsAreEscaped)
 {
     metrics all;
@@ -89,7 +91,8 @@
 
 TEST_GROUP(metrics_sum){};
 
-// Guards against memory that grows with the number of workspaces.
+// Guards against unbounded memory with many workspaces, and against requests that are no longer
+// counted once the bound is reached.
 TEST(metrics_sum, workspaceSeriesAreBoundedAndNothingIsLost)
 {
     metrics first;
@@ -106,6 +109,7 @@
     LONGS_EQUAL(2 * (maxWorkspaceSeries + 100), total);
 }
 
+// Guards against a group of metrics that merge() omits.
 TEST(metrics_sum, everyPartIsMerged)
 {
     metrics first;
@@ -122,7 +126,7 @@
     LONGS_EQUAL(1, first.droppedMessages[core::error_kind::MessageForeign]);
 }
 
-// Guards against a rate that remembers a burst for ever.
+// Guards against a rate that still includes a burst after it has left the window.
 TEST(metrics_sum, rateFollowsTheWindow)
 {
     rate_meter meter;
@@ -134,7 +138,8 @@
     DOUBLES_EQUAL(0, meter.sample(1000, now + 12s), 1e-9);
 }
 
-// Guards against a reader that sees half of a snapshot or an older one than before.
+// Guards against a reader that sees a torn snapshot or one older than the last it read, when the
+// writer publishes concurrently.
 TEST(metrics_sum, snapshotsAreWholeAndInOrder)
 {
     using pair = std::array<std::uint64_t, 64>;
@@ -148,12 +153,12 @@
         }
     });
     std::uint64_t last = 0;
-    bool isSound = true;
-    while (last < rounds && isSound) {
+    bool isConsistent = true;
+    while (last < rounds && isConsistent) {
         const pair &seen = buffer.newest();
-        isSound = seen.front() == seen.back() && seen.front() >= last;
+        isConsistent = seen.front() == seen.back() && seen.front() >= last;
         last = seen.front();
     }
     writer.join();
-    CHECK_TRUE(isSound);
+    CHECK_TRUE(isConsistent);
 }
--- a/tests/unit-session-log.cpp
+++ b/tests/unit-session-log.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests that the page of session events lists what the program writes.
+/// @brief Tests that docs/session-events.md lists all events of the session log.
 
 #include "doc-table.hpp"
 
@@ -13,8 +13,9 @@
 
 TEST_GROUP(session_log){};
 
-// Guards against an event that operators meet in a log and do not find on the page.
-TEST(session_log, everyEventIsOnThePage)
+// Guards against an undocumented event: an event kind is added, renamed or renumbered in the code
+// but not on the page that operators use to look up log lines.
+TEST(session_log, everyEventIsDocumented)
 {
     const auto rows = readDocRows("session-events.md");
     for (std::size_t i = 0; i < proxy::noteKindNames.size(); ++i) {
--- a/tests/unit-store-desk.cpp
+++ b/tests/unit-store-desk.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the calls to the platform's store against its stand-in.
+/// @brief Tests of store_client against the stand-in of the platform's store.
 
 #include <fuchsiagw/daemon/store_client.hpp>
 
@@ -22,16 +22,16 @@
 constexpr std::uint64_t incarnation = 5;
 constexpr std::int64_t part = 100'000;
 
-/// A desk that claims its part until the list shows it.
-struct claiming_desk
+/// Claims a part of the limits until the list of instances contains the claim.
+struct claiming_client
 {
     boost::asio::io_context context;
     testing::table_store store;
-    std::optional<daemon::store_client> desk;
+    std::optional<daemon::store_client> client;
     std::optional<daemon::listed_instance> own;
-    bool claims = true;
+    bool claimsEnabled = true;
 
-    explicit claiming_desk(std::uint64_t seed)
+    explicit claiming_client(std::uint64_t seed)
         : store(context, seed)
     {
         CHECK_FALSE(store.start());
@@ -40,13 +40,13 @@
         values.zone = "north";
         values.address = "127.0.0.1";
         values.storeAddress = store.address();
-        daemon::store_events events;
-        events.manifest = [](auto) {};
-        events.members = [](const auto &) {};
-        events.instances = [this](const auto &list) { onList(list); };
-        events.note = [](auto, auto) {};
-        desk.emplace(context, values, std::move(events));
-        desk->start();
+        daemon::store_callbacks callbacks;
+        callbacks.onManifest = [](auto) {};
+        callbacks.onMembers = [](const auto &) {};
+        callbacks.onInstances = [this](const auto &list) { onList(list); };
+        callbacks.onStoreEvent = [](auto, auto) {};
+        client.emplace(context, values, std::move(callbacks));
+        client->start();
     }
 
     void onList(const std::vector<daemon::listed_instance> &list)
@@ -56,16 +56,16 @@
             if (each.node == "n1")
                 own = each;
         }
-        if (claims && (!own || own->row.incarnation != incarnation))
-            desk->claim(part, incarnation);
+        if (claimsEnabled && (!own || own->row.incarnation != incarnation))
+            client->claim(part, incarnation);
     }
 
     bool isClaimed() const { return own && own->row.incarnation == incarnation; }
 
-    bool claimsWithin(std::chrono::milliseconds limit)
+    bool isClaimedWithin(std::chrono::milliseconds timeout)
     {
-        const auto end = std::chrono::steady_clock::now() + limit;
-        while (!isClaimed() && std::chrono::steady_clock::now() < end)
+        const auto deadline = std::chrono::steady_clock::now() + timeout;
+        while (!isClaimed() && std::chrono::steady_clock::now() < deadline)
             context.run_for(5ms);
         return isClaimed();
     }
@@ -75,27 +75,28 @@
 
 TEST_GROUP(store_client){};
 
-// Guards against a daemon that never uses its part of the limits because the answer to its claim
-// was lost, although the claim is in the store.
-TEST(store_client, claimWhoseAnswerWasLostIsSeenInTheList)
+// Guards against a daemon that never uses its part of the limits: the store has applied its claim,
+// but the response was lost, so the daemon has to find the claim in the list of instances.
+TEST(store_client, claimWithLostResponseIsReadBack)
 {
-    claiming_desk world(3);
-    world.store.faults.answersLost = 100;
-    CHECK_TRUE(world.claimsWithin(1'200ms));
-    LONGS_EQUAL(part, world.own->row.part);
+    claiming_client fixture(3);
+    fixture.store.faults.answersLost = 100;
+    CHECK_TRUE(fixture.isClaimedWithin(1'200ms));
+    LONGS_EQUAL(part, fixture.own->row.part);
 }
 
-// Guards against a claim that replaces a row which was written after the list was read.
-TEST(store_client, claimReplacesNothingThatItHasNotSeen)
+// Guards against a claim that overwrites a newer row: the row changes between the read of the list
+// and the claim, so the claim's expected version is outdated.
+TEST(store_client, claimDoesNotOverwriteNewerRow)
 {
-    claiming_desk world(1);
-    world.claims = false;
-    world.store.put("instances", "n1", R"({"incarnation":4})");
-    while (!world.own)
-        world.context.run_for(5ms);
-    world.store.put("instances", "n1", R"({"incarnation":9,"part":300000})");
-    world.desk->claim(part, incarnation);
-    world.context.run_for(300ms);
-    CHECK_EQUAL(9U, world.own->row.incarnation);
-    LONGS_EQUAL(300'000, world.own->row.part);
+    claiming_client fixture(1);
+    fixture.claimsEnabled = false;
+    fixture.store.put("instances", "n1", R"({"incarnation":4})");
+    while (!fixture.own)
+        fixture.context.run_for(5ms);
+    fixture.store.put("instances", "n1", R"({"incarnation":9,"part":300000})");
+    fixture.client->claim(part, incarnation);
+    fixture.context.run_for(300ms);
+    CHECK_EQUAL(9U, fixture.own->row.incarnation);
+    LONGS_EQUAL(300'000, fixture.own->row.part);
 }
