--- a/include/fuchsiagw/daemon/decision_meter.hpp
+++ b/include/fuchsiagw/daemon/decision_meter.hpp
@@ -50,8 +50,9 @@
     {
         core::member_id primary; ///< last known primary; empty: unknown
         core::time_point primaryLostAt = core::noDeadline; ///< last answer of that primary
-        core::time_point successorSeenAt = core::noDeadline; ///< first seen
-        core::time_point writeWaitingSince = core::noDeadline; ///< first seen
+        core::time_point successorSeenAt = core::noDeadline;
+        /// When a waiting write was first seen.
+        core::time_point writeWaitingSince = core::noDeadline;
         core::term_number term = 0; ///< term of the successor
     };
 
--- a/include/fuchsiagw/daemon/log_sink.hpp
+++ b/include/fuchsiagw/daemon/log_sink.hpp
@@ -18,15 +18,15 @@
 {
     std::string path; ///< log file; empty: standard error
     bool standardOutput = false; ///< if the path is empty: write to standard output
-    log_level level = log_level::Info; ///< minimum level
-    std::size_t maxFileBytes =
-            16'000'000; ///< at this size the file is rolled; bounded because instances are diskless
+    log_level level = log_level::Info; ///< lines below this level are dropped
+    /// At this size the file is rolled; bounded because instances are diskless.
+    std::size_t maxFileBytes = 16'000'000;
     int maxRolledFiles = 2; ///< older files that are kept
     std::size_t ringLines = 8192; ///< capacity of each thread's ring; at most 60000
 };
 
-/// Writers never block: each thread has its own ring buffer, and a line that finds the ring full is
-/// dropped and counted. At most 64 threads can write to one sink.
+/// Writers never wait for the writer thread or I/O: each thread has its own ring buffer, and a line
+/// that finds the ring full is dropped and counted. At most 64 threads can write to one sink.
 class log_sink
 {
 public:
--- a/src/daemon/log_sink.cpp
+++ b/src/daemon/log_sink.cpp
@@ -111,9 +111,8 @@
     std::mutex registrationMutex; ///< locked once by each thread
     std::array<std::unique_ptr<line_ring>, maxProducers> rings; ///< the first producerCount are set
     std::atomic<std::size_t> producerCount{ 0 };
-    std::atomic<std::uint32_t> wakeCount{
-        0
-    }; ///< incremented for each line to wake the writer thread
+    /// Incremented for each line, to wake the writer thread.
+    std::atomic<std::uint32_t> wakeCount{ 0 };
     std::atomic<bool> stopping{ false };
     std::atomic<std::uint64_t> &lost;
     std::uint64_t reportedLost = 0;
--- a/src/daemon/session_gateway.cpp
+++ b/src/daemon/session_gateway.cpp
@@ -21,8 +21,8 @@
 using boost::asio::ip::tcp;
 
 constexpr std::uint32_t reservedDescriptors = 200; // for files and the log; not for sessions
-constexpr std::uint32_t descriptorsPerSession =
-        2; // the caller's socket and a share of the sockets to members
+/// The caller's socket and a share of the sockets to members.
+constexpr std::uint32_t descriptorsPerSession = 2;
 constexpr std::size_t memoryPerSession = 32 * 1024; // bytes
 constexpr std::size_t reservedMemory = 48 * 1024 * 1024; // bytes, for everything except sessions
 constexpr std::size_t maxQueuedReplyBytes = 4 * adapter::maxMessageBytes;
@@ -104,8 +104,8 @@
                    proxy::onPromoteAnswer(engine_, service, outcome, net::currentBootTime());
                    perform();
                },
-               [this](std::string_view what, std::string_view detail) {
-                   log_.write(storeEventNumber, what, detail);
+               [this](std::string_view name, std::string_view detail) {
+                   log_.write(storeEventNumber, name, detail);
                } })
     , datagrams_(context,
                  [this](std::string_view bytes, const net::endpoint &) { onDatagram(bytes); })
@@ -308,14 +308,14 @@
     const auto found = callers_.find(action.session);
     if (found == callers_.end())
         return;
-    caller_connection &source = *found->second;
+    caller_connection &recipient = *found->second;
     if (!action.opens)
-        latencies_.record(source.statementKind,
-                          net::currentBootTime() - source.statementReceivedAt);
-    source.connection->send(adapter::encodeReply(action.answer, action.opens));
-    if (source.connection->queuedBytes() > maxQueuedReplyBytes) {
+        latencies_.record(recipient.statementKind,
+                          net::currentBootTime() - recipient.statementReceivedAt);
+    recipient.connection->send(adapter::encodeReply(action.answer, action.opens));
+    if (recipient.connection->queuedBytes() > maxQueuedReplyBytes) {
         log_.write(socketEventNumber, "caller_does_not_read", {});
-        source.connection->close();
+        recipient.connection->close();
         const proxy::session_id id = action.session;
         callers_.erase(found);
         proxy::onCallerDisconnected(engine_, id, net::currentBootTime());
@@ -488,9 +488,9 @@
         return;
     constexpr std::chrono::milliseconds stopMargin{ 400 };
     const core::time_point now = net::currentBootTime();
-    const bool isIdle = engine_.sessions.empty() && !relay_.isBusy()
-                        && now >= engine_.transactionDrainDeadline; // until then the load balancer
-                                                                    // may still send callers here
+    // Until the drain deadline the load balancer may still send callers here.
+    const bool isIdle =
+            engine_.sessions.empty() && !relay_.isBusy() && now >= engine_.transactionDrainDeadline;
     if (!isIdle && now < engine_.stopDeadline - stopMargin)
         return;
     const auto done = std::exchange(onStopped_, nullptr);
--- a/src/daemon/store_client.cpp
+++ b/src/daemon/store_client.cpp
@@ -23,17 +23,15 @@
 /// The store answers a long poll as soon as a row changes. Keep-alive probes detect dead
 /// connections, so the wait can be long.
 constexpr milliseconds longPollWait{ 28'000 };
-constexpr milliseconds shortPollWait{
-    4'000
-}; // used by the daemons that detect a feed which delivers nothing
-constexpr milliseconds longPollGrace{
-    1'500
-}; // time for the response after the wait of a long poll
+/// Used by the daemons that detect a feed which delivers nothing.
+constexpr milliseconds shortPollWait{ 4'000 };
+/// Time for the response after the wait of a long poll.
+constexpr milliseconds longPollGrace{ 1'500 };
 constexpr milliseconds minManifestReadInterval{ 700 };
 /// Pause between long polls, so that changes in quick succession are read in one batch.
-constexpr milliseconds memberPollInterval{ 800 };
+constexpr milliseconds memberPollPause{ 800 };
 /// Daemons that start at the same time register one after the other; the pause batches their rows.
-constexpr milliseconds instancePollInterval{ 3'000 };
+constexpr milliseconds instancePollPause{ 3'000 };
 /// Lets daemons that start at the same time see each other before they claim parts of the limits.
 constexpr milliseconds peerDiscoveryDelay{ 800 };
 constexpr milliseconds minMemberReadInterval{ 250 };
@@ -263,7 +261,7 @@
              if (generation != memberGeneration_)
                  return;
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
-             const auto waitTime = rows                   ? memberPollInterval
+             const auto waitTime = rows                   ? memberPollPause
                                    : status == statusGone ? milliseconds(0)
                                                           : backoff(memberFailures_++);
              if (rows) {
@@ -358,7 +356,7 @@
              instanceFeedVersion_ = rows->version;
              instances_ = std::move(list);
              reportInstances();
-             runAfter(instancePollInterval, [this, generation] { followInstances(generation); });
+             runAfter(instancePollPause, [this, generation] { followInstances(generation); });
          });
 }
 
@@ -377,8 +375,7 @@
                  instanceFeedVersion_ = std::max(instanceFeedVersion_, rows->version);
                  if (!rows->rows.empty())
                      applyInstanceRows(rows->rows);
-                 runAfter(instancePollInterval,
-                          [this, generation] { followInstances(generation); });
+                 runAfter(instancePollPause, [this, generation] { followInstances(generation); });
                  return;
              }
              runAfter(status == statusGone ? milliseconds(0) : backoff(instanceFailures_++),
