--- a/include/fuchsiagw/daemon/cluster.hpp
+++ b/include/fuchsiagw/daemon/cluster.hpp
@@ -7,7 +7,7 @@
 #include <fuchsiagw/core/config_store.hpp>
 #include <fuchsiagw/core/gateway.hpp>
 #include <fuchsiagw/core/membership.hpp>
-#include <fuchsiagw/daemon/peer_duty.hpp>
+#include <fuchsiagw/daemon/peer_messenger.hpp>
 #include <fuchsiagw/daemon/settings.hpp>
 #include <fuchsiagw/platform/platform_client.hpp>
 
--- a/include/fuchsiagw/daemon/decide.hpp
+++ b/include/fuchsiagw/daemon/gateway_driver.hpp
@@ -7,10 +7,10 @@
 #include <fuchsiagw/daemon/cluster.hpp>
 #include <fuchsiagw/daemon/decision_meter.hpp>
 #include <fuchsiagw/daemon/log_event.hpp>
-#include <fuchsiagw/daemon/operator_desk.hpp>
-#include <fuchsiagw/daemon/peer_duty.hpp>
+#include <fuchsiagw/daemon/operator_service.hpp>
+#include <fuchsiagw/daemon/peer_messenger.hpp>
 #include <fuchsiagw/daemon/settings.hpp>
-#include <fuchsiagw/daemon/upstream.hpp>
+#include <fuchsiagw/daemon/upstream_client.hpp>
 #include <fuchsiagw/platform/platform_client.hpp>
 
 #include <boost/asio/steady_timer.hpp>
--- a/src/daemon/admin.cpp
+++ b/src/daemon/admin_server.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-#include <fuchsiagw/daemon/admin.hpp>
+#include <fuchsiagw/daemon/admin_server.hpp>
 
 #include <fuchsiagw/daemon/log_sink.hpp>
 #include <fuchsiagw/daemon/metrics_text.hpp>
--- a/src/daemon/front.cpp
+++ b/src/daemon/caller_server.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-#include <fuchsiagw/daemon/front.hpp>
+#include <fuchsiagw/daemon/caller_server.hpp>
 
 #include <fuchsiagw/net/clock.hpp>
 #include <fuchsiagw/wire/key_hash.hpp>
--- a/src/daemon/decide.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-#include <fuchsiagw/daemon/decide.hpp>
+#include <fuchsiagw/daemon/gateway_driver.hpp>
 
 #include <fuchsiagw/daemon/log_sink.hpp>
 #include <fuchsiagw/net/clock.hpp>
--- a/src/daemon/operator_desk.cpp
+++ b/src/daemon/operator_service.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-#include <fuchsiagw/daemon/operator_desk.hpp>
+#include <fuchsiagw/daemon/operator_service.hpp>
 
 #include <fuchsiagw/core/rendezvous.hpp>
 #include <fuchsiagw/daemon/log_event.hpp>
--- a/src/daemon/peer_duty.cpp
+++ b/src/daemon/peer_messenger.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-#include <fuchsiagw/daemon/peer_duty.hpp>
+#include <fuchsiagw/daemon/peer_messenger.hpp>
 
 #include <fuchsiagw/net/clock.hpp>
 
--- a/src/daemon/process.cpp
+++ b/src/daemon/process.cpp
@@ -5,14 +5,14 @@
 
 #include <fuchsiagw/daemon/process.hpp>
 
-#include <fuchsiagw/daemon/admin.hpp>
-#include <fuchsiagw/daemon/decide.hpp>
-#include <fuchsiagw/daemon/front.hpp>
+#include <fuchsiagw/daemon/admin_server.hpp>
+#include <fuchsiagw/daemon/caller_server.hpp>
+#include <fuchsiagw/daemon/gateway_driver.hpp>
 #include <fuchsiagw/daemon/log_event.hpp>
 #include <fuchsiagw/daemon/log_sink.hpp>
-#include <fuchsiagw/daemon/peer_duty.hpp>
+#include <fuchsiagw/daemon/peer_messenger.hpp>
 #include <fuchsiagw/daemon/supervisor.hpp>
-#include <fuchsiagw/daemon/upstream.hpp>
+#include <fuchsiagw/daemon/upstream_client.hpp>
 #include <fuchsiagw/net/channel.hpp>
 #include <fuchsiagw/net/clock.hpp>
 
--- a/src/daemon/upstream.cpp
+++ b/src/daemon/upstream_client.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-#include <fuchsiagw/daemon/upstream.hpp>
+#include <fuchsiagw/daemon/upstream_client.hpp>
 
 #include <fuchsiagw/wire/member_json.hpp>
 
--- a/tests/unit-operator-desk.cpp
+++ b/tests/unit-operator-desk.cpp
@@ -1,9 +1,9 @@
 /// @file
 /// @brief Tests of operators' requests at one instance with a platform in memory.
 
-#include <fuchsiagw/daemon/admin.hpp>
+#include <fuchsiagw/daemon/admin_server.hpp>
 #include <fuchsiagw/daemon/log_sink.hpp>
-#include <fuchsiagw/daemon/operator_desk.hpp>
+#include <fuchsiagw/daemon/operator_service.hpp>
 #include <fuchsiagw/testing/platform_model.hpp>
 #include <fuchsiagw/wire/key_hash.hpp>
 
