--- a/include/fuchsiagw/daemon/admin_server.hpp
+++ b/include/fuchsiagw/daemon/admin_server.hpp
@@ -27,11 +27,12 @@
 /// @param into its route, argument and body are set on success
 /// @return the refusal; nullopt if the request goes to the decisions
 /// @complexity linear in the size of the request
-[[nodiscard]] std::optional<wire::admin_answer>
-refuseAdmin(const net::http_request &request, std::string_view secretHash, admin_request &into);
+[[nodiscard]] std::optional<wire::admin_answer> checkAdminRequest(const net::http_request &request,
+                                                                  std::string_view secretHash,
+                                                                  admin_request &into);
 
 /// Where the admin duty gets what it doesn't own.
-struct admin_inputs
+struct admin_server_inputs
 {
     /// Hands a request to the decisions; false if their ring is full.
     std::function<bool(admin_request &&)> request;
@@ -42,11 +43,11 @@
 };
 
 /// Lives on the thread of its context.
-class admin
+class admin_server
 {
 public:
-    admin(boost::asio::io_context &context, const settings &values, const log_sink &log,
-          admin_inputs inputs);
+    admin_server(boost::asio::io_context &context, const settings &values, const log_sink &log,
+                 admin_server_inputs inputs);
 
     /// @brief Binds the admin address.
     [[nodiscard]] std::error_code start();
@@ -66,12 +67,12 @@
 
     const settings &settings_;
     const log_sink &log_;
-    admin_inputs inputs_;
+    admin_server_inputs inputs_;
     net::http_server server_;
     boost::asio::steady_timer timer_;
     rate_meter controlRate_;
     double controlBytesPerSecond_ = 0;
-    std::unordered_map<std::uint64_t, net::http_reply> open_; ///< by ticket
+    std::unordered_map<std::uint64_t, net::http_reply> openRequests_; ///< by ticket
     std::uint64_t nextTicket_ = 1;
 };
 
--- a/include/fuchsiagw/daemon/caller_server.hpp
+++ b/include/fuchsiagw/daemon/caller_server.hpp
@@ -21,14 +21,14 @@
 namespace fuchsiagw::daemon {
 
 /// Lives on the thread of its context, apart from the flags.
-class front
+class caller_server
 {
 public:
     /// Hands a request to the decisions; false if their ring is full.
     using request_sink = std::function<bool(core::caller_request &&)>;
 
-    front(boost::asio::io_context &context, const settings &values, wire::token_keys tokens,
-          request_sink sink);
+    caller_server(boost::asio::io_context &context, const settings &values, wire::token_keys tokens,
+                  request_sink sink);
 
     /// @brief Binds the callers' port.
     [[nodiscard]] std::error_code start();
@@ -50,7 +50,7 @@
     [[nodiscard]] std::uint16_t port() const { return server_.port(); }
 
     /// @return requests that wait for an answer; any thread may ask
-    [[nodiscard]] std::size_t waiting() const { return waiting_; }
+    [[nodiscard]] std::size_t openRequestCount() const { return openRequestCount_; }
 
 private:
     struct open_request
@@ -71,18 +71,18 @@
 
     settings settings_;
     wire::token_keys tokens_;
-    request_sink sink_;
+    request_sink requestSink_;
     net::http_server server_;
     boost::asio::steady_timer timer_;
     core::random_engine random_;
     metrics counts_;
     snapshot_buffer<metrics> published_;
     std::unordered_set<net::connection_number> connections_; ///< that have sent a request
-    std::unordered_map<std::uint64_t, open_request> open_; ///< by ticket
+    std::unordered_map<std::uint64_t, open_request> openRequests_; ///< by ticket
     std::uint64_t nextTicket_ = 1;
     std::atomic<bool> isReady_{ false };
     std::atomic<bool> isDraining_{ false };
-    std::atomic<std::size_t> waiting_{ 0 };
+    std::atomic<std::size_t> openRequestCount_{ 0 };
 };
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/cluster.hpp
+++ b/include/fuchsiagw/daemon/cluster.hpp
@@ -23,10 +23,10 @@
 
 struct cluster_outputs
 {
-    std::function<void(peer_order &&)> toPeers;
+    std::function<void(peer_command &&)> toPeers;
     std::function<void(platform::platform_order, platform_handler)> toPlatform;
     std::function<void(const core::configuration &)> onConfiguration; ///< a newer one is taken in
-    std::function<void()> onMembers; ///< the known instances changed
+    std::function<void()> onMembersChanged; ///< the known instances changed
 };
 
 /// Part of the decisions; lives on their thread. The state is public for reports, only the
@@ -39,12 +39,12 @@
     void start(core::time_point now);
     void tick(core::time_point now);
 
-    void onHeard(const peer_heard &event, core::time_point now);
+    void onHeard(const sender_info_received &event, core::time_point now);
     void onDigest(core::incarnation_id from, const digest &message, core::time_point now);
     void onProbe(core::incarnation_id from, const wire::probe_message &message,
                  core::time_point now);
-    void onConfigurationCame(const configuration_came &event, core::time_point now);
-    void onConfigurationWanted(const configuration_wanted &event);
+    void onConfigurationReceived(const configuration_received &event, core::time_point now);
+    void onConfigurationRequested(const configuration_requested &event);
     void onNoAnswer(const core::instance_id &instance, core::time_point now);
 
     /// @brief Takes in a configuration that a submit of this instance has made.
@@ -72,11 +72,11 @@
     bool isPlatformReachable = false;
 
 private:
-    void readList(core::time_point now);
-    void takeList(core::instance_list &&newList, core::time_point now);
-    void listen(core::time_point now);
+    void requestInstanceList(core::time_point now);
+    void applyInstanceList(core::instance_list &&newList, core::time_point now);
+    void sendProbes(core::time_point now);
     void perform(std::vector<core::spread_action> &actions, core::time_point now);
-    void readVersion(std::uint64_t root, std::uint64_t wave);
+    void readConfigurationRow(std::uint64_t root, std::uint64_t wave);
     void fetch(const core::fetch_source &source);
     void apply(const std::vector<core::membership_change> &changes, core::time_point now);
     void updatePeers();
@@ -88,8 +88,8 @@
     log_sink &log_;
     cluster_outputs outputs_;
     core::sender_state state_ = core::sender_state::Live;
-    core::time_point nextList_;
-    core::time_point nextSeedProbe_;
+    core::time_point nextListAt_;
+    core::time_point nextSeedProbeAt_;
     bool hasList_ = false;
 };
 
--- a/include/fuchsiagw/daemon/gateway_driver.hpp
+++ b/include/fuchsiagw/daemon/gateway_driver.hpp
@@ -37,23 +37,23 @@
 };
 
 /// Where the decisions' actions go; each function only pushes into a ring.
-struct decide_outputs
+struct gateway_driver_outputs
 {
     std::function<void(core::caller_reply &&)> reply;
     std::function<void(core::group_action &&)> toUpstream;
     std::function<void(platform_request &&)> toPlatform;
-    std::function<void(peer_order &&)> toPeers;
+    std::function<void(peer_command &&)> toPeers;
     std::function<void(core::incarnation_id)> setIncarnation;
     std::function<void(bool)> setReady;
     std::function<void(admin_result &&)> toAdmin;
 };
 
 /// Lives on the thread of its context.
-class decide
+class gateway_driver
 {
 public:
-    decide(boost::asio::io_context &context, const settings &values, log_sink &log,
-           decide_outputs outputs);
+    gateway_driver(boost::asio::io_context &context, const settings &values, log_sink &log,
+                   gateway_driver_outputs outputs);
 
     void start();
     void onCaller(core::caller_request &request);
@@ -71,7 +71,7 @@
     void drain(std::function<void()> done);
 
 private:
-    struct pending_request
+    struct pending_platform_request
     {
         platform_handler done;
         core::time_point sentAt;
@@ -92,41 +92,41 @@
     void log(const core::group_id &group, const core::route_decided &decided);
     void log(const core::group_id &group, const core::owner_notice &notice);
     void log(const core::caller_reply &reply);
-    void callPlatform(platform::platform_order order, platform_handler done);
-    void callKeeperOrder(core::keeper_call &&call);
-    void onMembers();
-    void claim(const core::group_id &group, core::term_number term);
+    void sendPlatformRequest(platform::platform_order order, platform_handler done);
+    void sendKeeperRequest(core::keeper_call &&call);
+    void onMembersChanged();
+    void recordPromotionClaim(const core::group_id &group, core::term_number term);
     void send(core::keeper_send &&message);
     void send(core::forward_statement &&forward);
     void send(core::forward_result &&result);
     void send(const core::group_id &group, const core::publish_to_owners &view);
-    void take(peer_heard &event);
-    void take(peer_message &event);
-    void take(peer_forward &event);
-    void take(forward_answered &event);
-    void take(forward_lost &event);
-    void take(configuration_wanted &event);
-    void take(configuration_came &event);
+    void onEvent(sender_info_received &event);
+    void onEvent(datagram_received &event);
+    void onEvent(forward_received &event);
+    void onEvent(forward_answer_received &event);
+    void onEvent(forward_failed &event);
+    void onEvent(configuration_requested &event);
+    void onEvent(configuration_received &event);
     [[nodiscard]] core::gateway_turn turn();
 
     boost::asio::steady_timer timer_;
     const settings &settings_;
     log_sink &log_;
-    decide_outputs outputs_;
+    gateway_driver_outputs outputs_;
     core::random_engine random_;
     core::gateway gateway_;
     core::gateway_actions actions_;
     cluster cluster_;
-    operator_desk desk_;
+    operator_service operatorService_;
     decision_meter meter_;
     core::time_point now_;
     core::time_point startedAt_;
     bool isReady_ = false;
-    std::map<std::uint64_t, forward_origin> origins_; ///< of forwards taken in, by ticket
-    std::uint64_t nextOrigin_ = 1;
-    std::map<std::uint64_t, pending_request> requests_;
-    std::uint64_t nextRequest_ = 1;
-    std::function<void()> drained_;
+    std::map<std::uint64_t, forward_origin> forwardOrigins_; ///< of forwards taken in, by ticket
+    std::uint64_t nextForwardTicket_ = 1;
+    std::map<std::uint64_t, pending_platform_request> platformRequests_;
+    std::uint64_t nextPlatformRequest_ = 1;
+    std::function<void()> onDrained_;
     core::time_point shareReturnDeadline_ =
             core::noDeadline; ///< set once nothing is left to answer
 };
--- a/include/fuchsiagw/daemon/log_event.hpp
+++ b/include/fuchsiagw/daemon/log_event.hpp
@@ -231,7 +231,7 @@
     [[nodiscard]] static field error(log_key key, core::error_kind kind);
     [[nodiscard]] static field position(log_key key, const core::log_position &position);
     /// @brief A lapse of time in microseconds.
-    [[nodiscard]] static field lapse(log_key key, core::duration value);
+    [[nodiscard]] static field duration(log_key key, core::duration value);
     /// @brief IP number and port; anything else is logged as `invalid`.
     [[nodiscard]] static field address(log_key key, const std::string &address);
     /// @brief Members with the reason why each was or was not chosen.
--- a/include/fuchsiagw/daemon/operator_service.hpp
+++ b/include/fuchsiagw/daemon/operator_service.hpp
@@ -40,7 +40,7 @@
 inline constexpr std::array<std::string_view, 3> operatorOutcomeNames{ "done", "refused",
                                                                        "unknown" };
 
-struct operator_desk_outputs
+struct operator_service_outputs
 {
     std::function<void(admin_result &&)> answer;
     std::function<void(platform::platform_order, platform_handler)> toPlatform;
@@ -48,25 +48,25 @@
 };
 
 /// The submit under way.
-struct running_submit
+struct active_submit
 {
     std::uint64_t ticket = 0;
     core::submit_state state;
     core::submit_action action; ///< under way, or to be started at its notBefore
     std::uint64_t attempt = 0; ///< number of the request under way; 0: not started yet
-    core::time_point answerBy; ///< then the request counts as not answered
+    core::time_point answerDeadline; ///< then the request counts as not answered
 };
 
 /// Part of the decisions; lives on their thread.
 /// Invariant: every request gets exactly one answer, at its deadline at the latest.
-class operator_desk
+class operator_service
 {
 public:
     /// Submits that may wait while another one is under way.
     static constexpr std::size_t maxQueuedSubmits = 16;
 
-    operator_desk(core::gateway &gateway, cluster &instances, const settings &values, log_sink &log,
-                  operator_desk_outputs outputs);
+    operator_service(core::gateway &gateway, cluster &instances, const settings &values,
+                     log_sink &log, operator_service_outputs outputs);
 
     /// @brief Takes in a request whose secret was right.
     void onRequest(admin_request &request, core::time_point now);
@@ -76,7 +76,7 @@
     void tick(core::time_point now);
 
     /// @return whether no request waits for its answer
-    [[nodiscard]] bool isIdle() const { return !running_ && late_.empty(); }
+    [[nodiscard]] bool isIdle() const { return !activeSubmit_ && timeoutAnswers_.empty(); }
 
 private:
     struct queued_submit
@@ -87,31 +87,31 @@
     };
 
     /// The answer to a request that nothing else has answered by its deadline.
-    struct late_answer
+    struct timeout_answer
     {
         core::time_point deadline;
         core::error_kind error = core::error_kind::PlatformUnavailable;
         std::string problem;
     };
 
-    struct waiting_promotion
+    struct pending_promotion
     {
         std::uint64_t ticket = 0;
         core::group_id group;
-        core::term_number before = 0; ///< highest term when the promotion was ordered
+        core::term_number previousTerm = 0; ///< highest term when the promotion was ordered
         core::time_point deadline;
     };
 
     void answer(std::uint64_t ticket, wire::admin_answer &&body);
     void submit(admin_request &request, core::time_point now);
     void startNextSubmit(core::time_point now);
-    void startRequest(core::time_point now);
-    void take(const core::platform_answer &result, core::time_point now);
+    void startPlatformRequest(core::time_point now);
+    void onPlatformAnswer(const core::platform_answer &result, core::time_point now);
     void finishSubmit(core::time_point now);
     void tickSubmit(core::time_point now);
-    void readBack(core::time_point now);
-    void takeRow(const platform::platform_result &result, core::time_point now);
-    void updateUnsettled();
+    void rereadConfigurationRow(core::time_point now);
+    void onConfigurationRow(const platform::platform_result &result, core::time_point now);
+    void updateSubmitState();
     void noteStatus(const admin_request &request, core::time_point now);
     void promote(const admin_request &request, core::time_point now);
     void tickPromotions(core::time_point now);
@@ -123,15 +123,15 @@
     cluster &cluster_;
     const settings &settings_;
     log_sink &log_;
-    operator_desk_outputs outputs_;
+    operator_service_outputs outputs_;
     wire::vouch_challenges challenges_;
-    std::optional<running_submit> running_;
-    std::deque<queued_submit> queue_; ///< empty unless a submit is under way
+    std::optional<active_submit> activeSubmit_;
+    std::deque<queued_submit> queuedSubmits_; ///< empty unless a submit is under way
     std::uint64_t nextAttempt_ = 1;
-    bool hasOpenOutcome_ = false; ///< a submit ended unsettled; the platform was not read since
-    core::time_point nextReadBack_;
-    std::deque<waiting_promotion> promotions_;
-    std::map<std::uint64_t, late_answer> late_; ///< by ticket
+    bool hasUnknownOutcome_ = false; ///< a submit ended unsettled; the platform was not read since
+    core::time_point nextRereadAt_;
+    std::deque<pending_promotion> promotions_;
+    std::map<std::uint64_t, timeout_answer> timeoutAnswers_; ///< by ticket
 };
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/peer_messenger.hpp
+++ b/include/fuchsiagw/daemon/peer_messenger.hpp
@@ -57,84 +57,85 @@
 };
 
 /// The sender information that goes out with every hello.
-struct set_sender
+struct set_sender_info
 {
     wire::sender_info sender;
 };
 
-using peer_order = std::variant<send_datagram, send_forward, send_forward_answer,
-                                fetch_configuration, send_configuration, set_sender>;
+using peer_command = std::variant<send_datagram, send_forward, send_forward_answer,
+                                  fetch_configuration, send_configuration, set_sender_info>;
 
 /// What the peer duty reports. Every sender's MAC and sequence number were right.
-struct peer_heard
+struct sender_info_received
 {
     core::incarnation_id incarnation = 0;
     wire::sender_info sender;
 };
 
-struct peer_message
+struct datagram_received
 {
     core::incarnation_id from = 0;
     peer_body body;
     core::time_point arrivedAt;
 };
 
-struct peer_forward
+struct forward_received
 {
     net::link_id link = 0;
     core::instance_id from;
     core::statement_request request;
 };
 
-struct forward_answered
+struct forward_answer_received
 {
     std::uint64_t handle = 0;
     core::statement_answer answer;
 };
 
-struct forward_lost
+struct forward_failed
 {
     std::uint64_t handle = 0;
     bool wasWritten = false; ///< false only if no byte of it has left
 };
 
-struct configuration_wanted
+struct configuration_requested
 {
     net::link_id link = 0;
     core::configuration_version version = 0;
 };
 
-struct configuration_came
+struct configuration_received
 {
     core::instance_id peer;
-    core::configuration_version asked = 0;
+    core::configuration_version requestedVersion = 0;
     std::string text; ///< empty: the peer could not be reached or has none
 };
 
-using peer_event = std::variant<peer_heard, peer_message, peer_forward, forward_answered,
-                                forward_lost, configuration_wanted, configuration_came>;
+using peer_event = std::variant<sender_info_received, datagram_received, forward_received,
+                                forward_answer_received, forward_failed, configuration_requested,
+                                configuration_received>;
 
 /// Bytes and drops since the start.
 struct peer_traffic
 {
     std::uint64_t datagramBytesSent = 0;
     std::uint64_t datagramBytesReceived = 0;
-    std::uint64_t dropped = 0; ///< damaged, replayed or foreign messages
+    std::uint64_t droppedMessages = 0; ///< damaged, replayed or foreign messages
 };
 
 /// Lives on the thread of its context.
-class peer_duty
+class peer_messenger
 {
 public:
     using event_sink = std::function<void(peer_event &&)>;
 
-    peer_duty(boost::asio::io_context &context, const settings &values, core::incarnation_id self,
-              event_sink sink);
+    peer_messenger(boost::asio::io_context &context, const settings &values,
+                   core::incarnation_id self, event_sink sink);
 
     /// @brief Binds the UDP and TCP address.
     [[nodiscard]] std::error_code start();
 
-    void perform(peer_order &order);
+    void perform(peer_command &order);
 
     /// @brief Goes on under another incarnation; links of the old one are closed by the peers.
     void setIncarnation(core::incarnation_id self);
@@ -146,15 +147,15 @@
     {
         core::incarnation_id incarnation = 0; ///< 0 until its hello
         core::instance_id instance;
-        bool isOpener = false;
+        bool isOutgoing = false;
         std::set<std::uint64_t> forwards; ///< handles that wait for an answer
-        std::map<core::request_id, wire::part_joiner> answers;
-        core::instance_id configurationPeer; ///< a configuration was asked for
-        core::configuration_version configurationAsked = 0;
-        wire::part_joiner configuration;
+        std::map<core::request_id, wire::part_joiner> answerParts;
+        core::instance_id configurationSource; ///< a configuration was asked for
+        core::configuration_version configurationVersion = 0;
+        wire::part_joiner configurationParts;
     };
 
-    struct waiting_forward
+    struct pending_forward
     {
         net::link_id link = 0;
         core::request_id request;
@@ -164,7 +165,7 @@
     void onFrame(net::link_id link, std::string_view frame);
     void onHello(net::link_id link, core::incarnation_id incarnation, std::string_view body);
     void onForward(net::link_id link, std::string_view body);
-    void onForwardPart(net::link_id link, std::string_view body);
+    void onForwardAnswerPart(net::link_id link, std::string_view body);
     void onConfigurationRequest(net::link_id link, std::string_view body);
     void onConfigurationPart(net::link_id link, std::string_view body);
     void onClose(net::link_id link, const net::link_end &end);
@@ -180,19 +181,19 @@
     template <typename type>
     [[nodiscard]] bool sendFrame(net::link_id link, net::frame_tag tag, wire::peer_kind kind,
                                  core::incarnation_id receiver, const type &body);
-    void sayHello(net::link_id link);
+    void sendHello(net::link_id link);
 
     wire::peer_keys keys_;
     wire::peer_codec codec_;
     wire::sender_info sender_;
-    net::endpoint listenAt_;
-    event_sink sink_;
+    net::endpoint listenAddress_;
+    event_sink eventSink_;
     net::udp_link datagrams_;
     net::tcp_links links_;
-    std::map<net::link_id, link_state> states_;
-    std::map<std::uint64_t, waiting_forward> forwards_; ///< by handle
-    std::map<core::request_id, std::uint64_t> handles_; ///< by request
-    std::uint64_t dropped_ = 0;
+    std::map<net::link_id, link_state> linkStates_;
+    std::map<std::uint64_t, pending_forward> pendingForwards_; ///< by handle
+    std::map<core::request_id, std::uint64_t> handlesByRequest_; ///< by request
+    std::uint64_t droppedMessages_ = 0;
 };
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/supervisor.hpp
+++ b/include/fuchsiagw/daemon/supervisor.hpp
@@ -19,10 +19,10 @@
 namespace fuchsiagw::daemon {
 
 /// One thread with one Asio context. Only this thread touches what the duty owns.
-struct duty
+struct worker
 {
-    explicit duty(std::string dutyName)
-        : name(std::move(dutyName))
+    explicit worker(std::string workerName)
+        : name(std::move(workerName))
         , guard(boost::asio::make_work_guard(context))
     { }
 
@@ -40,13 +40,13 @@
 class supervisor
 {
 public:
-    static constexpr std::size_t failureLimit = 5;
+    static constexpr std::size_t maxFailures = 5;
     static constexpr core::duration failureWindow = std::chrono::seconds(10);
 
     /// @param onFailure is told the duty and what it threw, on the duty's thread
     /// @param onGiveUp is called on the duty's thread when it is beyond repair
     supervisor(std::function<void(const std::string &, const std::string &)> onFailure,
-               std::function<void(const std::string &)> onGiveUp);
+               std::function<void(const std::string &)> onPermanentFailure);
     ~supervisor();
     supervisor(const supervisor &) = delete;
     supervisor &operator=(const supervisor &) = delete;
@@ -60,13 +60,13 @@
     void stop();
 
 private:
-    void run(duty &each);
-    [[nodiscard]] bool isBeyondRepair(duty &each) const;
+    void run(worker &each);
+    [[nodiscard]] bool recordFailure(worker &each) const;
 
     std::function<void(const std::string &, const std::string &)> onFailure_;
-    std::function<void(const std::string &)> onGiveUp_;
-    std::list<duty> duties_;
-    std::atomic<bool> stopping_{ false };
+    std::function<void(const std::string &)> onPermanentFailure_;
+    std::list<worker> workers_;
+    std::atomic<bool> isStopping_{ false };
 };
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/upstream_client.hpp
+++ b/include/fuchsiagw/daemon/upstream_client.hpp
@@ -17,13 +17,13 @@
 
 namespace fuchsiagw::daemon {
 
-struct connection_opened
+struct connect_finished
 {
     core::connection_id id = 0;
     bool isOpen = false;
 };
 
-struct statement_executed
+struct execute_finished
 {
     core::connection_id id = 0;
     std::optional<core::execute_answer> answer;
@@ -31,12 +31,12 @@
     bool wasSilent = false;
 };
 
-struct connection_ended
+struct connection_closed
 {
     core::connection_id id = 0;
 };
 
-struct control_answered
+struct control_finished
 {
     core::control_answer answer;
 };
@@ -44,19 +44,19 @@
 struct upstream_event
 {
     core::group_id group;
-    std::variant<connection_opened, statement_executed, connection_ended, control_answered> what;
+    std::variant<connect_finished, execute_finished, connection_closed, control_finished> result;
 };
 
 /// Lives on the thread of its context.
-class upstream
+class upstream_client
 {
 public:
     using event_sink = std::function<void(upstream_event &&)>;
 
-    upstream(boost::asio::io_context &context, event_sink sink)
+    upstream_client(boost::asio::io_context &context, event_sink sink)
         : context_(context)
-        , controls_(context)
-        , sink_(std::move(sink))
+        , controlClient_(context)
+        , eventSink_(std::move(sink))
     { }
 
     /// @brief Does one of open_connection, send_statement, close_connection and control_call;
@@ -72,8 +72,8 @@
     void control(const core::group_id &group, const core::control_call &order);
 
     boost::asio::io_context &context_;
-    net::http_client controls_;
-    event_sink sink_;
+    net::http_client controlClient_;
+    event_sink eventSink_;
     std::map<connection_key, std::shared_ptr<net::http_connection>> connections_;
 };
 
--- a/src/daemon/admin_server.cpp
+++ b/src/daemon/admin_server.cpp
@@ -16,9 +16,10 @@
 
 namespace {
 
-constexpr std::size_t maxBody = 4 * 1024 * 1024; // bytes; a first release note names everything
+constexpr std::size_t maxRequestBodyBytes =
+        4 * 1024 * 1024; // bytes; a first release note names everything
 constexpr std::size_t maxConnections = 256; // operators and collectors of metrics
-constexpr core::duration sampleEvery = std::chrono::seconds(1);
+constexpr core::duration sampleInterval = std::chrono::seconds(1);
 constexpr std::array<std::string_view, 4> openRoutes{ "/metrics", "/healthz", "/readyz",
                                                       "/version" };
 constexpr std::string_view versionBody = R"({"name":"fuchsiagw","version":"0.1.0"})";
@@ -37,15 +38,16 @@
 {
     net::http_server_options options;
     options.listenAt = values.adminAddress;
-    options.maxBody = maxBody;
+    options.maxBody = maxRequestBodyBytes;
     options.maxConnections = maxConnections;
     return options;
 }
 
 } // namespace
 
-std::optional<wire::admin_answer> refuseAdmin(const net::http_request &request,
-                                              std::string_view secretHash, admin_request &into)
+std::optional<wire::admin_answer> checkAdminRequest(const net::http_request &request,
+                                                    std::string_view secretHash,
+                                                    admin_request &into)
 {
     if (!wire::isOperator(net::findHeader(request.headers, "Authorization"), secretHash))
         return wire::answerError(core::error_kind::OperatorDenied);
@@ -58,8 +60,8 @@
     return std::nullopt;
 }
 
-admin::admin(boost::asio::io_context &context, const settings &values, const log_sink &log,
-             admin_inputs inputs)
+admin_server::admin_server(boost::asio::io_context &context, const settings &values,
+                           const log_sink &log, admin_server_inputs inputs)
     : settings_(values)
     , log_(log)
     , inputs_(std::move(inputs))
@@ -70,7 +72,7 @@
     , timer_(context)
 { }
 
-std::error_code admin::start()
+std::error_code admin_server::start()
 {
     const std::error_code error = server_.start();
     if (!error)
@@ -78,32 +80,32 @@
     return error;
 }
 
-void admin::tick()
+void admin_server::tick()
 {
     inputs_.sample();
-    const metrics all = collect();
+    const metrics totals = collect();
     const std::uint64_t bytes =
-            all.value(counter::ControlBytesSent) + all.value(counter::ControlBytesReceived);
+            totals.value(counter::ControlBytesSent) + totals.value(counter::ControlBytesReceived);
     controlBytesPerSecond_ = controlRate_.sample(bytes, net::currentTime());
-    timer_.expires_after(sampleEvery);
+    timer_.expires_after(sampleInterval);
     timer_.async_wait([this](const boost::system::error_code &error) {
         if (!error)
             tick();
     });
 }
 
-metrics admin::collect()
+metrics admin_server::collect()
 {
-    metrics all;
+    metrics totals;
     for (snapshot_buffer<metrics> *each : inputs_.sources)
-        merge(all, each->newest());
-    all.count(counter::LogLinesLost, log_.lost());
-    all.set(gauge::Ready, inputs_.isReady() ? 1 : 0);
-    all.set(gauge::ControlBytesPerSecond, controlBytesPerSecond_);
-    return all;
+        merge(totals, each->newest());
+    totals.count(counter::LogLinesLost, log_.lost());
+    totals.set(gauge::Ready, inputs_.isReady() ? 1 : 0);
+    totals.set(gauge::ControlBytesPerSecond, controlBytesPerSecond_);
+    return totals;
 }
 
-bool admin::answerOpenRoute(const net::http_request &request, net::http_reply &reply)
+bool admin_server::answerOpenRoute(const net::http_request &request, net::http_reply &reply)
 {
     const std::string_view path =
             std::string_view(request.target).substr(0, request.target.find('?'));
@@ -116,40 +118,40 @@
     } else if (path == "/healthz") {
         reply.send({ 200, {}, "ok\n" });
     } else if (path == "/readyz") {
-        const bool ready = inputs_.isReady();
-        reply.send({ ready ? 200 : 503, {}, ready ? "ready\n" : "not ready\n" });
+        const bool isReady = inputs_.isReady();
+        reply.send({ isReady ? 200 : 503, {}, isReady ? "ready\n" : "not ready\n" });
     } else {
         reply.send(textResponse(200, "application/json", std::string(versionBody)));
     }
     return true;
 }
 
-void admin::onRequest(net::http_request &&request, net::http_reply &&reply)
+void admin_server::onRequest(net::http_request &&request, net::http_reply &&reply)
 {
     if (answerOpenRoute(request, reply))
         return;
-    admin_request asked;
-    if (auto refusal = refuseAdmin(request, settings_.operatorSecretHash, asked)) {
+    admin_request adminRequest;
+    if (auto refusal = checkAdminRequest(request, settings_.operatorSecretHash, adminRequest)) {
         reply.send(jsonResponse(std::move(*refusal)));
         return;
     }
-    asked.ticket = nextTicket_++;
-    const std::uint64_t ticket = asked.ticket;
+    adminRequest.ticket = nextTicket_++;
+    const std::uint64_t ticket = adminRequest.ticket;
     // The bound on open requests keeps the ring of the answers from filling up.
-    if (open_.size() >= maxAdminRequests || !inputs_.request(std::move(asked))) {
+    if (openRequests_.size() >= maxAdminRequests || !inputs_.request(std::move(adminRequest))) {
         reply.send(jsonResponse(wire::answerError(core::error_kind::Overloaded)));
         return;
     }
-    open_.emplace(ticket, std::move(reply));
+    openRequests_.emplace(ticket, std::move(reply));
 }
 
-void admin::onAnswer(admin_result &result)
+void admin_server::onAnswer(admin_result &result)
 {
-    const auto entry = open_.find(result.ticket);
-    if (entry == open_.end())
+    const auto entry = openRequests_.find(result.ticket);
+    if (entry == openRequests_.end())
         return;
     entry->second.send(jsonResponse(std::move(result.answer)));
-    open_.erase(entry);
+    openRequests_.erase(entry);
 }
 
 } // namespace fuchsiagw::daemon
--- a/src/daemon/caller_server.cpp
+++ b/src/daemon/caller_server.cpp
@@ -21,8 +21,8 @@
 using core::error_kind;
 using core::statement_kind;
 
-constexpr std::size_t maxBody = 1024 * 1024; // bytes, of one request
-constexpr core::duration publishEvery = std::chrono::seconds(1);
+constexpr std::size_t maxRequestBodyBytes = 1024 * 1024; // bytes, of one request
+constexpr core::duration publishInterval = std::chrono::seconds(1);
 constexpr std::string_view versionBody = R"({"name":"fuchsiagw","version":"0.1.0"})";
 constexpr std::string_view transactionsPrefix = "/v1/transactions/";
 
@@ -34,7 +34,7 @@
     bool isStatement = false; ///< the body tells whether it reads or writes
 };
 
-std::uint64_t drawSeed()
+std::uint64_t randomSeed()
 {
     std::uint64_t seed = 0;
     randombytes_buf(&seed, sizeof seed);
@@ -123,18 +123,18 @@
 
 } // namespace
 
-front::front(boost::asio::io_context &context, const settings &values, wire::token_keys tokens,
-             request_sink sink)
+caller_server::caller_server(boost::asio::io_context &context, const settings &values,
+                             wire::token_keys tokens, request_sink sink)
     : settings_(values)
     , tokens_(std::move(tokens))
-    , sink_(std::move(sink))
+    , requestSink_(std::move(sink))
     , server_(
               context,
               [&values] {
                   net::http_server_options options;
                   options.listenAt = values.callerAddress;
                   // Beyond the bound of a body, so that a body slightly too large gets an answer.
-                  options.maxBody = 2 * maxBody;
+                  options.maxBody = 2 * maxRequestBodyBytes;
                   options.maxConnections = values.callerConnections;
                   return options;
               }(),
@@ -145,10 +145,10 @@
               },
               [this](net::connection_number connection) { connections_.erase(connection); })
     , timer_(context)
-    , random_(drawSeed())
+    , random_(randomSeed())
 { }
 
-std::error_code front::start()
+std::error_code caller_server::start()
 {
     const std::error_code error = server_.start();
     if (!error)
@@ -156,18 +156,18 @@
     return error;
 }
 
-void front::publish()
+void caller_server::publish()
 {
     counts_.set(gauge::CallerConnections, static_cast<double>(connections_.size()));
     published_.publish(counts_);
-    timer_.expires_after(publishEvery);
+    timer_.expires_after(publishInterval);
     timer_.async_wait([this](const boost::system::error_code &error) {
         if (!error)
             publish();
     });
 }
 
-void front::count(const open_request &request, const core::caller_reply &reply)
+void caller_server::count(const open_request &request, const core::caller_reply &reply)
 {
     workspace_counters *const workspace =
             reply.workspace.empty() ? nullptr : &counts_.of(reply.workspace);
@@ -182,34 +182,34 @@
     }
     if (workspace != nullptr)
         ++workspace->served;
-    const core::duration lapse = net::currentTime() - request.arrivedAt;
+    const core::duration elapsed = net::currentTime() - request.arrivedAt;
     if (request.kind == statement_kind::Read) {
         counts_.count(counter::Reads);
         counts_.count(counter::ReadsReplicaAllowed, request.mayUseReplica ? 1 : 0);
         counts_.count(counter::ReadsReplicaServed, reply.answer.fromReplica ? 1 : 0);
-        counts_.add(delay::Read, lapse);
+        counts_.add(delay::Read, elapsed);
     } else if (request.kind == statement_kind::Write) {
         counts_.count(counter::Writes);
-        counts_.add(delay::Write, lapse);
+        counts_.add(delay::Write, elapsed);
     } else if (request.kind == statement_kind::Begin) {
         counts_.count(counter::Transactions);
     }
 }
 
-void front::answer(net::http_reply &reply, net::http_response &&response)
+void caller_server::answer(net::http_reply &reply, net::http_response &&response)
 {
     reply.send(response, isDraining_);
 }
 
-void front::refuse(net::http_reply &reply, error_kind kind, std::string_view problem,
-                   const core::request_id &id)
+void caller_server::refuse(net::http_reply &reply, error_kind kind, std::string_view problem,
+                           const core::request_id &id)
 {
     ++counts_.errors[kind];
     answer(reply,
            jsonResponse(core::answerOf(kind).httpStatus, wire::errorBody(kind, problem, id)));
 }
 
-void front::onRequest(net::http_request &&request, net::http_reply &&reply)
+void caller_server::onRequest(net::http_request &&request, net::http_reply &&reply)
 {
     if (request.target == "/healthz") {
         answer(reply, { 200, {}, "ok\n" });
@@ -223,7 +223,7 @@
     }
 }
 
-void front::handleStatement(const net::http_request &request, net::http_reply &&reply)
+void caller_server::handleStatement(const net::http_request &request, net::http_reply &&reply)
 {
     const core::request_id id{ random_(), random_() };
     route_match match;
@@ -243,35 +243,35 @@
         refuse(reply, core::kindOf(error), problem, id);
         return;
     }
-    core::caller_request asked;
-    asked.ticket = nextTicket_++;
-    asked.key = wire::hashKey(*key);
-    readSession(request, tokens_, asked);
+    core::caller_request callerRequest;
+    callerRequest.ticket = nextTicket_++;
+    callerRequest.key = wire::hashKey(*key);
+    readSession(request, tokens_, callerRequest);
     const core::time_point now = net::currentTime();
-    asked.statement = wire::toRequest(std::move(parsed), id, {}, now);
-    asked.statement.transaction = match.transaction;
-    const std::uint64_t ticket = asked.ticket;
-    const statement_kind kind = asked.statement.kind;
-    const bool isSessionUsable = asked.known.has_value() || !asked.sessionNamed;
+    callerRequest.statement = wire::toRequest(std::move(parsed), id, {}, now);
+    callerRequest.statement.transaction = match.transaction;
+    const std::uint64_t ticket = callerRequest.ticket;
+    const statement_kind kind = callerRequest.statement.kind;
+    const bool isSessionUsable = callerRequest.known.has_value() || !callerRequest.sessionNamed;
     const bool mayUseReplica = kind == statement_kind::Read && !match.transaction && isSessionUsable
-                               && !asked.statement.readClass.empty();
-    if (!sink_(std::move(asked))) {
+                               && !callerRequest.statement.readClass.empty();
+    if (!requestSink_(std::move(callerRequest))) {
         refuse(reply, error_kind::Overloaded, {}, id);
         return;
     }
-    open_.emplace(ticket, open_request{ std::move(reply), now, kind, mayUseReplica });
-    waiting_ = open_.size();
+    openRequests_.emplace(ticket, open_request{ std::move(reply), now, kind, mayUseReplica });
+    openRequestCount_ = openRequests_.size();
 }
 
-void front::onReply(core::caller_reply &reply)
+void caller_server::onReply(core::caller_reply &reply)
 {
-    const auto entry = open_.find(reply.ticket);
-    if (entry == open_.end())
+    const auto entry = openRequests_.find(reply.ticket);
+    if (entry == openRequests_.end())
         return;
     count(entry->second, reply);
     net::http_reply http = std::move(entry->second.reply);
-    open_.erase(entry);
-    waiting_ = open_.size();
+    openRequests_.erase(entry);
+    openRequestCount_ = openRequests_.size();
     net::http_response response;
     if (reply.answer.error) {
         const core::error_answer &row = core::answerOf(*reply.answer.error);
@@ -288,7 +288,7 @@
     answer(http, std::move(response));
 }
 
-void front::drain()
+void caller_server::drain()
 {
     isDraining_ = true;
     server_.stopAccepting();
--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -19,19 +19,19 @@
 
 /// The list is read every second by few instances and more seldom by many: at 1,600 instances this
 /// makes 107 reads/s of the platform's 2,000.
-constexpr core::duration listEvery = std::chrono::seconds(1);
-constexpr core::duration listLongest = std::chrono::seconds(15);
-constexpr std::size_t instancesPerListSecond = 100;
-constexpr core::duration seedProbeEvery = std::chrono::seconds(1);
-constexpr std::size_t probesPerTick = 4;
+constexpr core::duration minListInterval = std::chrono::seconds(1);
+constexpr core::duration maxListInterval = std::chrono::seconds(15);
+constexpr std::size_t instancesPerIntervalSecond = 100;
+constexpr core::duration seedProbeInterval = std::chrono::seconds(1);
+constexpr std::size_t maxProbesPerTick = 4;
 /// About 1 KB/s until every listed instance is known.
-constexpr std::size_t unknownPerSecond = 8;
+constexpr std::size_t maxUnknownProbesPerRound = 8;
 
 /// Stands for the instances that an instance without the platform's list can't know of, so that it
 /// never counts the ones it knows as all of them.
-const core::instance_id unknownInstances{ "?" };
+const core::instance_id unlistedInstances{ "?" };
 
-log_event eventOf(core::membership_event event)
+log_event toLogEvent(core::membership_event event)
 {
     switch (event) {
     case core::membership_event::BecameLive:
@@ -75,16 +75,16 @@
 {
     const core::tree_member self{ settings_.zone, settings_.instance };
     spread = core::startSpread(self, gateway_.incarnation, {}, now);
-    nextList_ = now;
-    nextSeedProbe_ = now;
+    nextListAt_ = now;
+    nextSeedProbeAt_ = now;
     updateTree(now);
 }
 
 void cluster::tick(core::time_point now)
 {
-    if (now >= nextList_)
-        readList(now);
-    listen(now);
+    if (now >= nextListAt_)
+        requestInstanceList(now);
+    sendProbes(now);
     apply(core::tickMembership(members, now), now);
     std::vector<core::spread_action> actions;
     core::tickSpread(spread, gateway_.proof, now, actions);
@@ -93,23 +93,23 @@
         fetch(*next);
 }
 
-void cluster::listen(core::time_point now)
+void cluster::sendProbes(core::time_point now)
 {
     const wire::probe_message probe{ senderInfo(), false };
-    for (const core::instance_id &each : core::dueProbes(members, probesPerTick, now)) {
+    for (const core::instance_id &each : core::dueProbes(members, maxProbesPerTick, now)) {
         if (const auto *known = core::findInstance(members, each))
             outputs_.toPeers(send_datagram{ known->address, 0, probe });
     }
-    if (now < nextSeedProbe_)
+    if (now < nextSeedProbeAt_)
         return;
-    nextSeedProbe_ = now + seedProbeEvery;
+    nextSeedProbeAt_ = now + seedProbeInterval;
     // Loans, witnesses and other zones' owners are addressed by incarnation, which only they can
     // tell.
-    std::size_t left = unknownPerSecond;
+    std::size_t remainingProbes = maxUnknownProbesPerRound;
     for (const auto &[instance, known] : members.instances) {
-        if (known.incarnation != 0 || left == 0)
+        if (known.incarnation != 0 || remainingProbes == 0)
             continue;
-        --left;
+        --remainingProbes;
         outputs_.toPeers(send_datagram{ known.address, 0, probe });
     }
     if (hasList_)
@@ -118,11 +118,13 @@
         outputs_.toPeers(send_datagram{ address, 0, probe });
 }
 
-void cluster::readList(core::time_point now)
+void cluster::requestInstanceList(core::time_point now)
 {
-    const auto seconds = static_cast<std::int64_t>(list.instances.size() / instancesPerListSecond);
-    nextList_ =
-            now + std::clamp<core::duration>(std::chrono::seconds(seconds), listEvery, listLongest);
+    const auto seconds =
+            static_cast<std::int64_t>(list.instances.size() / instancesPerIntervalSecond);
+    nextListAt_ = now
+                  + std::clamp<core::duration>(std::chrono::seconds(seconds), minListInterval,
+                                               maxListInterval);
     outputs_.toPlatform(platform::list_instances{}, [this](platform::platform_result &&result,
                                                            core::time_point sentAt) {
         const bool wasReachable = std::exchange(isPlatformReachable, result.isAnswered);
@@ -131,11 +133,11 @@
                      isPlatformReachable ? log_event::PlatformRegained : log_event::PlatformLost,
                      {});
         if (result.isAnswered)
-            takeList(std::move(result.instances), sentAt);
+            applyInstanceList(std::move(result.instances), sentAt);
     });
 }
 
-void cluster::takeList(core::instance_list &&newList, core::time_point now)
+void cluster::applyInstanceList(core::instance_list &&newList, core::time_point now)
 {
     list = std::move(newList);
     hasList_ = true;
@@ -163,7 +165,7 @@
     } else {
         for (const auto &[instance, known] : members.instances)
             live.push_back({ known.zone, instance });
-        live.push_back({ settings_.zone, unknownInstances });
+        live.push_back({ settings_.zone, unlistedInstances });
     }
     core::setLive(spread, live, now);
     std::set<core::instance_id> expected;
@@ -174,7 +176,7 @@
     core::setExpected(members, expected, now);
 }
 
-void cluster::onHeard(const peer_heard &event, core::time_point now)
+void cluster::onHeard(const sender_info_received &event, core::time_point now)
 {
     const wire::sender_info &sender = event.sender;
     const bool isNew = core::findInstance(members, sender.instance) == nullptr;
@@ -189,7 +191,7 @@
     if (peer != gateway_.peers.end() && peer->second.incarnation == event.incarnation)
         return;
     updatePeers();
-    outputs_.onMembers();
+    outputs_.onMembersChanged();
 }
 
 void cluster::onDigest(core::incarnation_id from, const digest &message, core::time_point now)
@@ -221,7 +223,7 @@
     for (const core::spread_action &each : actions) {
         const core::known_instance *peer = core::findInstance(members, each.peer);
         if (each.what == kind::ReadPlatform) {
-            readVersion(each.root, each.wave);
+            readConfigurationRow(each.root, each.wave);
         } else if (peer != nullptr && each.what == kind::Send) {
             outputs_.toPeers(send_datagram{ peer->address, peer->incarnation,
                                             digest{ senderInfo(), each.message } });
@@ -233,7 +235,7 @@
     }
 }
 
-void cluster::readVersion(std::uint64_t root, std::uint64_t wave)
+void cluster::readConfigurationRow(std::uint64_t root, std::uint64_t wave)
 {
     outputs_.toPlatform(
             platform::read_row{ std::string(core::configurationRowKey) },
@@ -274,16 +276,16 @@
             });
 }
 
-void cluster::onConfigurationCame(const configuration_came &event, core::time_point now)
+void cluster::onConfigurationReceived(const configuration_received &event, core::time_point now)
 {
-    const core::fetch_source source{ event.peer, event.asked, {} };
+    const core::fetch_source source{ event.peer, event.requestedVersion, {} };
     if (event.text.empty())
         core::onFetchFailed(store, source);
     else
         takeIn(source, event.text, now);
 }
 
-void cluster::onConfigurationWanted(const configuration_wanted &event)
+void cluster::onConfigurationRequested(const configuration_requested &event)
 {
     outputs_.toPeers(send_configuration{ event.link, store.current->version, store.currentBody });
 }
@@ -312,11 +314,11 @@
 void cluster::setState(core::sender_state state, core::time_point now)
 {
     state_ = state;
-    outputs_.toPeers(set_sender{ senderInfo() });
-    const wire::probe_message farewell{ senderInfo(), true };
+    outputs_.toPeers(set_sender_info{ senderInfo() });
+    const wire::probe_message stateProbe{ senderInfo(), true };
     for (const auto &[instance, known] : members.instances) {
         if (known.incarnation != 0 && known.zone == settings_.zone)
-            outputs_.toPeers(send_datagram{ known.address, known.incarnation, farewell });
+            outputs_.toPeers(send_datagram{ known.address, known.incarnation, stateProbe });
     }
     std::vector<core::spread_action> actions;
     core::tickSpread(spread, gateway_.proof, now, actions);
@@ -328,12 +330,12 @@
     if (changes.empty())
         return;
     for (const core::membership_change &each : changes)
-        logEvent(log_, eventOf(each.event),
+        logEvent(log_, toLogEvent(each.event),
                  { field::id(log_key::Instance, each.instance),
                    field::incarnation(log_key::Incarnation, each.incarnation) });
     updatePeers();
     updateTree(now);
-    outputs_.onMembers();
+    outputs_.onMembersChanged();
 }
 
 void cluster::updatePeers()
--- a/src/daemon/gateway_driver.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -16,13 +16,13 @@
 
 namespace {
 
-constexpr core::duration tickEvery = std::chrono::milliseconds(10);
-constexpr core::duration shareReturnLimit = std::chrono::seconds(5);
+constexpr core::duration tickInterval = std::chrono::milliseconds(10);
+constexpr core::duration shareReturnTimeout = std::chrono::seconds(5);
 /// After this time an instance with a configuration serves with what it has.
-constexpr core::duration readyLimit = std::chrono::seconds(3);
-constexpr core::duration platformLimit = std::chrono::seconds(2);
+constexpr core::duration readyTimeout = std::chrono::seconds(3);
+constexpr core::duration platformTimeout = std::chrono::seconds(2);
 
-std::uint64_t drawNumber()
+std::uint64_t randomNumber()
 {
     std::uint64_t number = 0;
     randombytes_buf(&number, sizeof number);
@@ -30,45 +30,46 @@
 }
 
 /// Whether the keeper has home shares of every workspace of which it should have a part.
-bool holdsItsPart(const core::limit_keeper &keeper)
+bool holdsHomeShares(const core::limit_keeper &keeper)
 {
     if (!keeper.hasJoined)
         return false;
     return std::all_of(keeper.limits.begin(), keeper.limits.end(), [&keeper](const auto &each) {
-        const bool isHeld = each.second.isUsed && each.second.fair > 0
-                            && each.first.kind == core::resource_kind::Workspace;
+        const bool needsShares = each.second.isUsed && each.second.fair > 0
+                                 && each.first.kind == core::resource_kind::Workspace;
         const auto entry = keeper.rates.limits.find(each.first);
-        return !isHeld || (entry != keeper.rates.limits.end() && entry->second.book.home > 0);
+        return !needsShares || (entry != keeper.rates.limits.end() && entry->second.book.home > 0);
     });
 }
 
 } // namespace
 
-decide::decide(boost::asio::io_context &context, const settings &values, log_sink &log,
-               decide_outputs outputs)
+gateway_driver::gateway_driver(boost::asio::io_context &context, const settings &values,
+                               log_sink &log, gateway_driver_outputs outputs)
     : timer_(context)
     , settings_(values)
     , log_(log)
     , outputs_(std::move(outputs))
-    , random_(drawNumber())
-    , gateway_(core::makeGateway({ drawNumber(), values.instance, values.zone }, {},
+    , random_(randomNumber())
+    , gateway_(core::makeGateway({ randomNumber(), values.instance, values.zone }, {},
                                  net::currentTime()))
     , cluster_(gateway_, values, log,
                cluster_outputs{ outputs_.toPeers,
                                 [this](platform::platform_order order, platform_handler done) {
-                                    callPlatform(std::move(order), std::move(done));
+                                    sendPlatformRequest(std::move(order), std::move(done));
                                 },
                                 [this](const core::configuration &config) {
                                     core::gateway_turn step = turn();
                                     applyConfiguration(step, config);
                                 },
-                                [this] { onMembers(); } })
-    , desk_(gateway_, cluster_, values, log,
-            operator_desk_outputs{ outputs_.toAdmin,
-                                   [this](platform::platform_order order, platform_handler done) {
-                                       callPlatform(std::move(order), std::move(done));
-                                   },
-                                   [this] { return turn(); } })
+                                [this] { onMembersChanged(); } })
+    , operatorService_(gateway_, cluster_, values, log,
+                       operator_service_outputs{
+                               outputs_.toAdmin,
+                               [this](platform::platform_order order, platform_handler done) {
+                                   sendPlatformRequest(std::move(order), std::move(done));
+                               },
+                               [this] { return turn(); } })
     , meter_(gateway_)
     , now_(net::currentTime())
     , startedAt_(now_)
@@ -79,13 +80,13 @@
     gateway_.proof.unprovenWait = values.unprovenWait;
 }
 
-core::gateway_turn decide::turn()
+core::gateway_turn gateway_driver::turn()
 {
     now_ = net::currentTime();
     return { gateway_, now_, random_, actions_ };
 }
 
-void decide::start()
+void gateway_driver::start()
 {
     logEvent(log_, log_event::ProcessStarted,
              { field::id(log_key::Instance, settings_.instance),
@@ -95,22 +96,22 @@
     now_ = net::currentTime();
     cluster_.start(now_);
     // An instance without any peer takes its shares too.
-    onMembers();
+    onMembersChanged();
     tick();
 }
 
-void decide::tick()
+void gateway_driver::tick()
 {
     core::gateway_turn step = turn();
     advance(step);
     cluster_.tick(now_);
-    desk_.tick(now_);
+    operatorService_.tick(now_);
     meter_.tick(cluster_, now_);
     flush();
     updateReady();
-    if (drained_ && isDrained(gateway_) && desk_.isIdle())
+    if (onDrained_ && isDrained(gateway_) && operatorService_.isIdle())
         finishDrain();
-    const core::time_point next = std::min(nextWakeup(gateway_), now_ + tickEvery);
+    const core::time_point next = std::min(nextWakeup(gateway_), now_ + tickInterval);
     timer_.expires_at(net::toSteady(std::max(next, now_ + std::chrono::milliseconds(1))));
     timer_.async_wait([this](const boost::system::error_code &error) {
         if (!error)
@@ -120,102 +121,103 @@
 
 // Before its shares are taken and its peers are known an instance would refuse statements that are
 // inside their workspace's rate. Without the platform it can only wait for its peers' loans.
-void decide::updateReady()
+void gateway_driver::updateReady()
 {
     if (isReady_ || gateway_.config.version == 0)
         return;
-    const bool knowsPeers =
+    const bool knowsAllPeers =
             std::all_of(gateway_.peers.begin(), gateway_.peers.end(),
                         [](const auto &each) { return each.second.incarnation != 0; });
-    const bool isWaitOver = now_ >= startedAt_ + readyLimit;
-    isReady_ = (knowsPeers && holdsItsPart(gateway_.keeper)) || isWaitOver;
+    const bool hasTimedOut = now_ >= startedAt_ + readyTimeout;
+    isReady_ = (knowsAllPeers && holdsHomeShares(gateway_.keeper)) || hasTimedOut;
     if (!isReady_)
         return;
     logEvent(log_, log_event::ProcessReady,
              { field::number(log_key::Version, gateway_.config.version),
-               field::lapse(log_key::Elapsed, now_ - startedAt_) });
+               field::duration(log_key::Elapsed, now_ - startedAt_) });
     outputs_.setReady(true);
 }
 
-void decide::finishDrain()
+void gateway_driver::finishDrain()
 {
     // The others take the shares back from an incarnation that could not return them.
     if (shareReturnDeadline_ == core::noDeadline)
-        shareReturnDeadline_ = now_ + shareReturnLimit;
+        shareReturnDeadline_ = now_ + shareReturnTimeout;
     if (hasLeft(gateway_.keeper) || now_ >= shareReturnDeadline_)
-        std::exchange(drained_, nullptr)();
+        std::exchange(onDrained_, nullptr)();
 }
 
-void decide::onCaller(core::caller_request &request)
+void gateway_driver::onCaller(core::caller_request &request)
 {
     core::gateway_turn step = turn();
     onCallerRequest(step, std::move(request));
     flush();
 }
 
-void decide::onUpstream(upstream_event &event)
+void gateway_driver::onUpstream(upstream_event &event)
 {
     core::gateway_turn step = turn();
     withOwner(step, event.group, [&](core::group_owner &owner, core::owner_actions &actions) {
-        if (const auto *opened = std::get_if<connection_opened>(&event.what))
+        if (const auto *opened = std::get_if<connect_finished>(&event.result))
             onConnected(owner, opened->id, opened->isOpen, now_, random_, actions);
-        else if (const auto *executed = std::get_if<statement_executed>(&event.what))
+        else if (const auto *executed = std::get_if<execute_finished>(&event.result))
             onExecuted(owner, executed->id, executed->answer, executed->wasSent,
                        executed->wasSilent, now_, random_, actions);
-        else if (const auto *ended = std::get_if<connection_ended>(&event.what))
+        else if (const auto *ended = std::get_if<connection_closed>(&event.result))
             onConnectionClosed(owner, ended->id, now_, random_, actions);
-        else if (const auto *control = std::get_if<control_answered>(&event.what))
+        else if (const auto *control = std::get_if<control_finished>(&event.result))
             onControlAnswer(owner, control->answer, now_, random_, actions);
     });
     flush();
 }
 
-void decide::onAdmin(admin_request &request)
+void gateway_driver::onAdmin(admin_request &request)
 {
     now_ = net::currentTime();
-    desk_.onRequest(request, now_);
+    operatorService_.onRequest(request, now_);
     flush();
 }
 
-void decide::onPlatform(platform_event &event)
+void gateway_driver::onPlatform(platform_event &event)
 {
     meter_.onPlatformResult(event.result.isAnswered);
-    const auto entry = requests_.find(event.number);
-    if (entry == requests_.end())
+    const auto entry = platformRequests_.find(event.number);
+    if (entry == platformRequests_.end())
         return;
-    pending_request request = std::move(entry->second);
-    requests_.erase(entry);
+    pending_platform_request request = std::move(entry->second);
+    platformRequests_.erase(entry);
     now_ = net::currentTime();
     request.done(std::move(event.result), request.sentAt);
     flush();
 }
 
-void decide::callPlatform(platform::platform_order order, platform_handler done)
+void gateway_driver::sendPlatformRequest(platform::platform_order order, platform_handler done)
 {
     meter_.onPlatformRequest();
-    const std::uint64_t number = nextRequest_++;
-    requests_[number] = { std::move(done), now_ };
-    outputs_.toPlatform({ number, std::move(order), now_ + platformLimit });
+    const std::uint64_t number = nextPlatformRequest_++;
+    platformRequests_[number] = { std::move(done), now_ };
+    outputs_.toPlatform({ number, std::move(order), now_ + platformTimeout });
 }
 
-void decide::callKeeperOrder(core::keeper_call &&call)
+void gateway_driver::sendKeeperRequest(core::keeper_call &&call)
 {
     const std::uint64_t number = call.number;
     if (auto *prefix = std::get_if<std::string>(&call.order)) {
-        callPlatform(platform::scan_rows{ std::move(*prefix) },
-                     [this, number](platform::platform_result &&result, core::time_point) {
-                         core::gateway_turn step = turn();
-                         withKeeper(step, [&](core::limit_keeper &keeper,
-                                              core::keeper_actions &actions) {
-                             const auto rows = result.isAnswered
-                                                       ? std::optional(std::move(result.scan))
-                                                       : std::nullopt;
-                             onScan(keeper, number, rows, now_, random_, actions);
-                         });
-                     });
+        sendPlatformRequest(platform::scan_rows{ std::move(*prefix) },
+                            [this, number](platform::platform_result &&result, core::time_point) {
+                                core::gateway_turn step = turn();
+                                withKeeper(step, [&](core::limit_keeper &keeper,
+                                                     core::keeper_actions &actions) {
+                                    const auto rows =
+                                            result.isAnswered
+                                                    ? std::optional(std::move(result.scan))
+                                                    : std::nullopt;
+                                    onScan(keeper, number, rows, now_, random_, actions);
+                                });
+                            });
         return;
     }
-    callPlatform(
+    sendPlatformRequest(
             std::get<core::transact_request>(std::move(call.order)),
             [this, number](platform::platform_result &&result, core::time_point) {
                 core::gateway_turn step = turn();
@@ -228,25 +230,25 @@
             });
 }
 
-void decide::onMembers()
+void gateway_driver::onMembersChanged()
 {
     core::gateway_turn step = turn();
     onLivePeers(step, cluster_.livePeers());
 }
 
-void decide::onPeer(peer_event &event)
+void gateway_driver::onPeer(peer_event &event)
 {
     now_ = net::currentTime();
-    std::visit([this](auto &each) { take(each); }, event);
+    std::visit([this](auto &each) { onEvent(each); }, event);
     flush();
 }
 
-void decide::take(peer_heard &event)
+void gateway_driver::onEvent(sender_info_received &event)
 {
     cluster_.onHeard(event, now_);
 }
 
-void decide::take(peer_message &event)
+void gateway_driver::onEvent(datagram_received &event)
 {
     if (const auto *message = std::get_if<digest>(&event.body)) {
         cluster_.onDigest(event.from, *message, now_);
@@ -276,15 +278,15 @@
             event.body);
 }
 
-void decide::take(peer_forward &event)
+void gateway_driver::onEvent(forward_received &event)
 {
-    const std::uint64_t ticket = nextOrigin_++;
-    origins_[ticket] = { event.link, event.request.id };
+    const std::uint64_t ticket = nextForwardTicket_++;
+    forwardOrigins_[ticket] = { event.link, event.request.id };
     core::gateway_turn step = turn();
     onForwarded(step, event.from, ticket, std::move(event.request));
 }
 
-void decide::take(forward_answered &event)
+void gateway_driver::onEvent(forward_answer_received &event)
 {
     const auto entry = gateway_.entries.find(event.handle);
     if (entry == gateway_.entries.end() || !entry->second.forwardedTo)
@@ -294,7 +296,7 @@
     onForwardResult(step, from, event.handle, std::move(event.answer));
 }
 
-void decide::take(forward_lost &event)
+void gateway_driver::onEvent(forward_failed &event)
 {
     const auto entry = gateway_.entries.find(event.handle);
     if (entry != gateway_.entries.end() && entry->second.forwardedTo)
@@ -303,17 +305,17 @@
     onForwardFailed(step, event.handle, event.wasWritten);
 }
 
-void decide::take(configuration_wanted &event)
+void gateway_driver::onEvent(configuration_requested &event)
 {
-    cluster_.onConfigurationWanted(event);
+    cluster_.onConfigurationRequested(event);
 }
 
-void decide::take(configuration_came &event)
+void gateway_driver::onEvent(configuration_received &event)
 {
-    cluster_.onConfigurationCame(event, now_);
+    cluster_.onConfigurationReceived(event, now_);
 }
 
-void decide::send(core::keeper_send &&message)
+void gateway_driver::send(core::keeper_send &&message)
 {
     const core::known_instance *peer = cluster_.find(message.to);
     if (peer == nullptr)
@@ -326,7 +328,7 @@
             message.body);
 }
 
-void decide::send(core::forward_statement &&forward)
+void gateway_driver::send(core::forward_statement &&forward)
 {
     const auto peer = gateway_.peers.find(forward.to);
     if (peer == gateway_.peers.end()) {
@@ -338,17 +340,17 @@
                                    std::move(forward.request) });
 }
 
-void decide::send(core::forward_result &&result)
+void gateway_driver::send(core::forward_result &&result)
 {
-    const auto origin = origins_.find(result.ticket);
-    if (origin == origins_.end())
+    const auto origin = forwardOrigins_.find(result.ticket);
+    if (origin == forwardOrigins_.end())
         return;
     outputs_.toPeers(send_forward_answer{ origin->second.link, origin->second.request,
                                           std::move(result.answer) });
-    origins_.erase(origin);
+    forwardOrigins_.erase(origin);
 }
 
-void decide::send(const core::group_id &group, const core::publish_to_owners &view)
+void gateway_driver::send(const core::group_id &group, const core::publish_to_owners &view)
 {
     // The owners of the other zones: the first in rendezvous order of each zone's instances.
     for (const core::instance_id &owner : rankOtherOwners(gateway_, group)) {
@@ -357,7 +359,7 @@
     }
 }
 
-void decide::flush()
+void gateway_driver::flush()
 {
     while (!actions_.empty()) {
         core::gateway_actions actions = std::exchange(actions_, {});
@@ -366,7 +368,7 @@
     }
 }
 
-void decide::perform(core::gateway_action &&action)
+void gateway_driver::perform(core::gateway_action &&action)
 {
     meter_.onAction(action, cluster_.isPlatformReachable, now_);
     if (auto *reply = std::get_if<core::caller_reply>(&action)) {
@@ -379,7 +381,7 @@
         return;
     }
     if (auto *call = std::get_if<core::keeper_call>(&action)) {
-        callKeeperOrder(std::move(*call));
+        sendKeeperRequest(std::move(*call));
         return;
     }
     if (auto *forward = std::get_if<core::forward_statement>(&action)) {
@@ -404,12 +406,12 @@
     else if (const auto *view = std::get_if<core::publish_to_owners>(&group->action))
         send(group->group, *view);
     else if (std::holds_alternative<core::claim_promotion>(group->action))
-        claim(group->group, std::get<core::claim_promotion>(group->action).term);
+        recordPromotionClaim(group->group, std::get<core::claim_promotion>(group->action).term);
     else
         outputs_.toUpstream(std::move(*group));
 }
 
-void decide::log(const core::group_id &group, const core::route_decided &decided)
+void gateway_driver::log(const core::group_id &group, const core::route_decided &decided)
 {
     std::vector<std::pair<core::member_id, core::pass_reason>> candidates;
     for (const core::route_candidate &each : decided.decision.candidates)
@@ -423,74 +425,74 @@
                    field::members(log_key::Candidates, candidates) });
         return;
     }
-    const bool isPrimary = decided.decision.reason == core::route_reason::NoPrimary;
+    const bool isPrimaryMissing = decided.decision.reason == core::route_reason::NoPrimary;
     logEvent(log_, log_event::RouteMissing,
              { field::id(log_key::Request, decided.request), field::id(log_key::Group, group),
                field::name(log_key::Kind, decided.kind),
-               field::error(log_key::Error,
-                            isPrimary ? core::error_kind::NoPrimary : core::error_kind::NoMember),
+               field::error(log_key::Error, isPrimaryMissing ? core::error_kind::NoPrimary
+                                                             : core::error_kind::NoMember),
                field::members(log_key::Candidates, candidates) });
 }
 
-void decide::log(const core::group_id &group, const core::owner_notice &notice)
+void gateway_driver::log(const core::group_id &group, const core::owner_notice &notice)
 {
-    const field ofGroup = field::id(log_key::Group, group);
-    const field ofMember = field::id(log_key::Member, notice.member);
-    const field ofTerm = field::number(log_key::Term, notice.term);
+    const field groupField = field::id(log_key::Group, group);
+    const field memberField = field::id(log_key::Member, notice.member);
+    const field termField = field::number(log_key::Term, notice.term);
     switch (notice.event) {
     case core::owner_event::PromotionStarted:
-        logEvent(log_, log_event::PromotionStarted, { ofGroup, ofMember, ofTerm });
+        logEvent(log_, log_event::PromotionStarted, { groupField, memberField, termField });
         return;
     case core::owner_event::PrimaryChanged:
-        logEvent(log_, log_event::PrimaryChanged, { ofGroup, ofMember, ofTerm });
+        logEvent(log_, log_event::PrimaryChanged, { groupField, memberField, termField });
         return;
     case core::owner_event::MemberFailed:
         logEvent(log_, log_event::MemberFailed,
-                 { ofGroup, ofMember, field::name(log_key::Reason, notice.failure) });
+                 { groupField, memberField, field::name(log_key::Reason, notice.failure) });
         return;
     case core::owner_event::ForeignAnswer:
-        logEvent(log_, log_event::ForeignAnswerDropped, { ofGroup, ofMember });
+        logEvent(log_, log_event::ForeignAnswerDropped, { groupField, memberField });
         return;
     case core::owner_event::ConnectionLimit:
         logEvent(log_, log_event::ConnectionLimitChanged,
-                 { ofGroup, field::number(log_key::Connections, notice.connections) });
+                 { groupField, field::number(log_key::Connections, notice.connections) });
         return;
     }
 }
 
-void decide::log(const core::caller_reply &reply)
+void gateway_driver::log(const core::caller_reply &reply)
 {
     if (!reply.answer.error)
         return;
     const core::error_answer &row = core::answerOf(*reply.answer.error);
-    const bool ran = row.outcome != core::request_outcome::NotRun;
-    logEvent(log_, ran ? log_event::RequestFailed : log_event::RequestRefused,
+    const bool mayHaveRun = row.outcome != core::request_outcome::NotRun;
+    logEvent(log_, mayHaveRun ? log_event::RequestFailed : log_event::RequestRefused,
              { field::id(log_key::Request, reply.answer.id),
                field::id(log_key::Workspace, reply.workspace),
                field::name(log_key::Kind, reply.kind), field::error(log_key::Error, row.kind),
                field::name(log_key::Outcome, row.outcome) });
 }
 
-void decide::claim(const core::group_id &group, core::term_number term)
+void gateway_driver::recordPromotionClaim(const core::group_id &group, core::term_number term)
 {
     core::transact_request order;
     order.id = "promotion/" + group.value + "/" + std::to_string(term);
     order.puts.push_back(
             { "promotion/" + group.value, settings_.instance.value + " " + std::to_string(term) });
-    callPlatform(std::move(order), [this, group](platform::platform_result &&result,
-                                                 core::time_point) {
+    sendPlatformRequest(std::move(order), [this, group](platform::platform_result &&result,
+                                                        core::time_point) {
         const auto owner = gateway_.owners.find(group);
         if (owner != gateway_.owners.end())
             onClaim(owner->second, !result.isAnswered || result.transaction.committed, now_);
     });
 }
 
-void decide::drain(std::function<void()> done)
+void gateway_driver::drain(std::function<void()> done)
 {
     core::gateway_turn step = turn();
     startDraining(step);
     cluster_.setState(core::sender_state::Leaving, now_);
-    drained_ = std::move(done);
+    onDrained_ = std::move(done);
 }
 
 } // namespace fuchsiagw::daemon
--- a/src/daemon/log_event.cpp
+++ b/src/daemon/log_event.cpp
@@ -154,14 +154,14 @@
           "A TCP link to an instance is closed; so many frames were not written." },
 });
 
-std::string hexadecimal(std::uint64_t value)
+std::string formatHex(std::uint64_t value)
 {
     std::array<char, 17> text{};
     std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(value));
     return text.data();
 }
 
-bool needsNoQuotes(unsigned char each)
+bool isUnquotedCharacter(unsigned char each)
 {
     return std::isalnum(each) != 0
            || std::string_view("._:/,+@[]-").find(static_cast<char>(each))
@@ -171,7 +171,7 @@
 void appendEscaped(std::string &line, std::string_view value)
 {
     value = value.substr(0, maxValueBytes);
-    if (!value.empty() && std::all_of(value.begin(), value.end(), needsNoQuotes)) {
+    if (!value.empty() && std::all_of(value.begin(), value.end(), isUnquotedCharacter)) {
         line += value;
         return;
     }
@@ -226,12 +226,12 @@
 
 field field::id(log_key key, const core::transaction_id &id)
 {
-    return { key, hexadecimal(id.owner) + "-" + hexadecimal(id.number) };
+    return { key, formatHex(id.owner) + "-" + formatHex(id.number) };
 }
 
 field field::incarnation(log_key key, core::incarnation_id id)
 {
-    return { key, hexadecimal(id) };
+    return { key, formatHex(id) };
 }
 
 field field::number(log_key key, double value)
@@ -260,7 +260,7 @@
     return { key, std::to_string(position.term) + "/" + std::to_string(position.index) };
 }
 
-field field::lapse(log_key key, core::duration value)
+field field::duration(log_key key, core::duration value)
 {
     return { key, std::to_string(value.count()) };
 }
--- a/src/daemon/operator_service.cpp
+++ b/src/daemon/operator_service.cpp
@@ -21,17 +21,18 @@
 using wire::admin_route;
 
 /// fuchsiagwctl waits 12 s for an answer.
-constexpr core::duration submitLimit = std::chrono::seconds(10);
-constexpr core::duration submitAnswerLimit = std::chrono::seconds(11);
+constexpr core::duration submitTimeout = std::chrono::seconds(10);
+constexpr core::duration submitAnswerTimeout = std::chrono::seconds(11);
 /// For a request to the platform that is under way at the deadline of its submit.
-constexpr core::duration lastAnswerLimit = std::chrono::milliseconds(500);
-constexpr core::duration statusLimit = std::chrono::seconds(4);
-constexpr core::duration promotionLimit = core::handPatience + std::chrono::milliseconds(500);
+constexpr core::duration finalAnswerTimeout = std::chrono::milliseconds(500);
+constexpr core::duration statusTimeout = std::chrono::seconds(4);
+constexpr core::duration promotionAnswerTimeout =
+        core::handPatience + std::chrono::milliseconds(500);
 /// Longer than the limit of a request to the platform. It covers one that a full ring has dropped.
-constexpr core::duration platformAnswerLimit = std::chrono::seconds(4);
-constexpr core::duration readBackEvery = std::chrono::milliseconds(500);
+constexpr core::duration platformAnswerTimeout = std::chrono::seconds(4);
+constexpr core::duration rereadInterval = std::chrono::milliseconds(500);
 /// An owner that does not watch a group any more says nothing about members not heard since.
-constexpr core::duration knownFor = std::chrono::seconds(5);
+constexpr core::duration unmonitoredStateLifetime = std::chrono::seconds(5);
 
 using note_id = core::named_id<struct note_tag>;
 
@@ -56,7 +57,7 @@
     return isUnknown ? operator_outcome::Unknown : operator_outcome::Refused;
 }
 
-platform::platform_order orderOf(const core::submit_action &action)
+platform::platform_order makeOrder(const core::submit_action &action)
 {
     switch (action.step) {
     case core::submit_step::ReadRow:
@@ -79,7 +80,7 @@
     return commit;
 }
 
-core::platform_answer answerOf(core::submit_step step, platform::platform_result &&result)
+core::platform_answer toPlatformAnswer(core::submit_step step, platform::platform_result &&result)
 {
     core::platform_answer answer;
     answer.isAnswered = result.isAnswered;
@@ -92,19 +93,19 @@
 }
 
 /// Reads the version at the beginning of a note's row.
-std::optional<core::configuration_version> versionOfNote(std::string_view row)
+std::optional<core::configuration_version> readNoteVersion(std::string_view row)
 {
     core::configuration_version version = 0;
     const auto read = std::from_chars(row.data(), row.data() + row.size(), version);
     return read.ec == std::errc{} ? std::optional(version) : std::nullopt;
 }
 
-std::string stateOf(const core::member_view &member, bool isWatched, core::time_point now)
+std::string describeState(const core::member_view &member, bool isMonitored, core::time_point now)
 {
     if (member.leaving)
         return "leaving";
-    const bool isHeard = member.lastHeard != core::time_point::min();
-    if (!isHeard || (!isWatched && member.lastHeard + knownFor < now))
+    const bool wasHeard = member.lastHeard != core::time_point::min();
+    if (!wasHeard || (!isMonitored && member.lastHeard + unmonitoredStateLifetime < now))
         return "unknown";
     if (member.catchUp)
         return "behind";
@@ -112,8 +113,8 @@
 }
 
 /// Names the instance of this zone that watches a group, for an operator.
-std::string ownerFor(const core::gateway &gateway, const core::group_id &group,
-                     core::time_point now)
+std::string describeOwner(const core::gateway &gateway, const core::group_id &group,
+                          core::time_point now)
 {
     for (const core::instance_id &each : core::rankOwners(gateway, group, now)) {
         if (each != gateway.instance)
@@ -124,8 +125,9 @@
 
 } // namespace
 
-operator_desk::operator_desk(core::gateway &gateway, cluster &instances, const settings &values,
-                             log_sink &log, operator_desk_outputs outputs)
+operator_service::operator_service(core::gateway &gateway, cluster &instances,
+                                   const settings &values, log_sink &log,
+                                   operator_service_outputs outputs)
     : gateway_(gateway)
     , cluster_(instances)
     , settings_(values)
@@ -133,13 +135,13 @@
     , outputs_(std::move(outputs))
 { }
 
-void operator_desk::onRequest(admin_request &request, core::time_point now)
+void operator_service::onRequest(admin_request &request, core::time_point now)
 {
     const std::uint64_t ticket = request.ticket;
-    const bool isLongChange =
+    const bool isLongRunning =
             request.route == admin_route::SubmitNote || request.route == admin_route::Promote;
     // The process may end before the outcome is known.
-    if (gateway_.isDraining && isLongChange) {
+    if (gateway_.isDraining && isLongRunning) {
         answer(ticket, wire::answerError(error_kind::Draining));
         return;
     }
@@ -178,103 +180,105 @@
     answer(ticket, wire::answerStatus(status(now)));
 }
 
-void operator_desk::tick(core::time_point now)
+void operator_service::tick(core::time_point now)
 {
     tickSubmit(now);
     tickPromotions(now);
-    if (hasOpenOutcome_ && !running_ && now >= nextReadBack_)
-        readBack(now);
+    if (hasUnknownOutcome_ && !activeSubmit_ && now >= nextRereadAt_)
+        rereadConfigurationRow(now);
     std::vector<std::uint64_t> due;
-    for (const auto &[ticket, each] : late_) {
+    for (const auto &[ticket, each] : timeoutAnswers_) {
         if (each.deadline <= now)
             due.push_back(ticket);
     }
     for (const std::uint64_t ticket : due) {
-        const late_answer each = late_.at(ticket);
+        const timeout_answer each = timeoutAnswers_.at(ticket);
         answer(ticket, wire::answerError(each.error, each.problem));
     }
 }
 
-void operator_desk::answer(std::uint64_t ticket, wire::admin_answer &&body)
+void operator_service::answer(std::uint64_t ticket, wire::admin_answer &&body)
 {
-    late_.erase(ticket);
+    timeoutAnswers_.erase(ticket);
     outputs_.answer({ ticket, std::move(body) });
 }
 
 // ---- release notes ----
 
-void operator_desk::submit(admin_request &request, core::time_point now)
+void operator_service::submit(admin_request &request, core::time_point now)
 {
-    queued_submit asked{ request.ticket, {}, now + submitLimit };
+    queued_submit queued{ request.ticket, {}, now + submitTimeout };
     std::string problem;
-    if (const std::error_code error = wire::readNote(request.body, asked.note, problem); error) {
+    if (const std::error_code error = wire::readNote(request.body, queued.note, problem); error) {
         answer(request.ticket, wire::answerError(core::kindOf(error), problem));
         return;
     }
-    if (queue_.size() >= maxQueuedSubmits) {
+    if (queuedSubmits_.size() >= maxQueuedSubmits) {
         answer(request.ticket,
                wire::answerError(error_kind::Overloaded, "too many submits wait at this instance"));
         return;
     }
-    late_[request.ticket] = { now + submitAnswerLimit, error_kind::NoteOutcomeUnknown, {} };
-    queue_.push_back(std::move(asked));
+    timeoutAnswers_[request.ticket] = { now + submitAnswerTimeout,
+                                        error_kind::NoteOutcomeUnknown,
+                                        {} };
+    queuedSubmits_.push_back(std::move(queued));
     startNextSubmit(now);
 }
 
-void operator_desk::startNextSubmit(core::time_point now)
+void operator_service::startNextSubmit(core::time_point now)
 {
     // All submits have the same limit, so the first one's deadline comes first.
-    while (!queue_.empty() && queue_.front().deadline <= now) {
-        answer(queue_.front().ticket,
+    while (!queuedSubmits_.empty() && queuedSubmits_.front().deadline <= now) {
+        answer(queuedSubmits_.front().ticket,
                wire::answerError(error_kind::PlatformUnavailable,
                                  "the submits before this one took too long; nothing was changed"));
-        queue_.pop_front();
+        queuedSubmits_.pop_front();
     }
-    if (running_ || queue_.empty())
+    if (activeSubmit_ || queuedSubmits_.empty())
         return;
-    queued_submit next = std::move(queue_.front());
-    queue_.pop_front();
-    running_submit &submitting = running_.emplace();
-    submitting.ticket = next.ticket;
-    submitting.action = core::startSubmit(submitting.state, std::move(next.note), next.deadline,
-                                          cluster_.codec());
-    updateUnsettled();
-    startRequest(now);
+    queued_submit next = std::move(queuedSubmits_.front());
+    queuedSubmits_.pop_front();
+    active_submit &active = activeSubmit_.emplace();
+    active.ticket = next.ticket;
+    active.action =
+            core::startSubmit(active.state, std::move(next.note), next.deadline, cluster_.codec());
+    updateSubmitState();
+    startPlatformRequest(now);
 }
 
-void operator_desk::startRequest(core::time_point now)
+void operator_service::startPlatformRequest(core::time_point now)
 {
-    running_submit &submitting = *running_;
-    if (submitting.action.notBefore > now)
+    active_submit &active = *activeSubmit_;
+    if (active.action.notBefore > now)
         return;
     const std::uint64_t attempt = nextAttempt_++;
-    submitting.attempt = attempt;
+    active.attempt = attempt;
     // The submit has ended before its request gets the late answer, which knows less.
-    submitting.answerBy = std::min(now + platformAnswerLimit,
-                                   std::max(now, submitting.state.deadline) + lastAnswerLimit);
-    const core::submit_step step = submitting.action.step;
-    outputs_.toPlatform(
-            orderOf(submitting.action),
-            [this, attempt, step](platform::platform_result &&result, core::time_point) {
-                if (running_ && running_->attempt == attempt)
-                    take(daemon::answerOf(step, std::move(result)), outputs_.turn().now);
-            });
+    active.answerDeadline = std::min(now + platformAnswerTimeout,
+                                     std::max(now, active.state.deadline) + finalAnswerTimeout);
+    const core::submit_step step = active.action.step;
+    outputs_.toPlatform(makeOrder(active.action), [this, attempt,
+                                                   step](platform::platform_result &&result,
+                                                         core::time_point) {
+        if (activeSubmit_ && activeSubmit_->attempt == attempt)
+            onPlatformAnswer(toPlatformAnswer(step, std::move(result)), outputs_.turn().now);
+    });
 }
 
-void operator_desk::take(const core::platform_answer &result, core::time_point now)
+void operator_service::onPlatformAnswer(const core::platform_answer &result, core::time_point now)
 {
-    running_submit &submitting = *running_;
-    submitting.attempt = 0;
-    submitting.action = core::continueSubmit(submitting.state, result, now, cluster_.codec());
-    if (submitting.action.step == core::submit_step::Finish)
+    active_submit &active = *activeSubmit_;
+    active.attempt = 0;
+    active.action = core::continueSubmit(active.state, result, now, cluster_.codec());
+    if (active.action.step == core::submit_step::Finish)
         finishSubmit(now);
     else
-        startRequest(now);
+        startPlatformRequest(now);
 }
 
-void operator_desk::finishSubmit(core::time_point now)
+void operator_service::finishSubmit(core::time_point now)
 {
-    const running_submit ended = std::move(*running_);
+    const active_submit ended = std::move(*activeSubmit_);
     const core::submit_result &result = ended.state.result;
     const core::release_note &note = ended.state.note;
     // In this order: the version counts in this instance's reports before they stop to say that a
@@ -282,12 +286,12 @@
     if (result.newest)
         cluster_.takeIn({ {}, result.newest->version, result.newestName },
                         cluster_.codec().write(*result.newest), now);
-    running_.reset();
+    activeSubmit_.reset();
     if (core::isUnsettled(ended.state)) {
-        hasOpenOutcome_ = true;
-        nextReadBack_ = now + readBackEvery;
+        hasUnknownOutcome_ = true;
+        nextRereadAt_ = now + rereadInterval;
     }
-    updateUnsettled();
+    updateSubmitState();
     if (result.error)
         logEvent(log_, log_event::NoteRefused,
                  { noteField(note), field::number(log_key::Base, note.base),
@@ -296,46 +300,47 @@
         logEvent(log_, log_event::NoteAccepted,
                  { noteField(note), field::number(log_key::Version, result.version),
                    field::number(log_key::Base, note.base) });
-    if (late_.count(ended.ticket) != 0)
+    if (timeoutAnswers_.count(ended.ticket) != 0)
         answer(ended.ticket, wire::answerSubmit(cluster_.store, note, result));
     startNextSubmit(now);
 }
 
-void operator_desk::tickSubmit(core::time_point now)
+void operator_service::tickSubmit(core::time_point now)
 {
-    if (running_ && running_->attempt == 0)
-        startRequest(now);
-    else if (running_ && running_->answerBy <= now)
-        take({}, now);
+    if (activeSubmit_ && activeSubmit_->attempt == 0)
+        startPlatformRequest(now);
+    else if (activeSubmit_ && activeSubmit_->answerDeadline <= now)
+        onPlatformAnswer({}, now);
     startNextSubmit(now);
 }
 
-void operator_desk::updateUnsettled()
+void operator_service::updateSubmitState()
 {
-    cluster_.setUnsettledSubmit(running_.has_value() || hasOpenOutcome_);
+    cluster_.setUnsettledSubmit(activeSubmit_.has_value() || hasUnknownOutcome_);
 }
 
-void operator_desk::readBack(core::time_point now)
+void operator_service::rereadConfigurationRow(core::time_point now)
 {
-    nextReadBack_ = now + platformAnswerLimit;
-    outputs_.toPlatform(
-            platform::read_row{ std::string(core::configurationRowKey) },
-            [this, before = nextAttempt_](platform::platform_result &&result, core::time_point) {
-                // A read from before a further submit says nothing about that one.
-                if (before == nextAttempt_)
-                    takeRow(result, outputs_.turn().now);
-            });
+    nextRereadAt_ = now + platformAnswerTimeout;
+    outputs_.toPlatform(platform::read_row{ std::string(core::configurationRowKey) },
+                        [this, attemptAtRead = nextAttempt_](platform::platform_result &&result,
+                                                             core::time_point) {
+                            // A read from before a further submit says nothing about that one.
+                            if (attemptAtRead == nextAttempt_)
+                                onConfigurationRow(result, outputs_.turn().now);
+                        });
 }
 
-void operator_desk::takeRow(const platform::platform_result &result, core::time_point now)
+void operator_service::onConfigurationRow(const platform::platform_result &result,
+                                          core::time_point now)
 {
-    nextReadBack_ = now + readBackEvery;
+    nextRereadAt_ = now + rereadInterval;
     core::configuration_row row;
     if (!result.isAnswered || (result.isFound && !core::readRow(result.row.value, row)))
         return;
     if (row.version <= cluster_.store.current->version) {
-        hasOpenOutcome_ = false;
-        updateUnsettled();
+        hasUnknownOutcome_ = false;
+        updateSubmitState();
         return;
     }
     // The version that the submit may have made has to count in this instance's reports first.
@@ -347,24 +352,24 @@
                         });
 }
 
-void operator_desk::noteStatus(const admin_request &request, core::time_point now)
+void operator_service::noteStatus(const admin_request &request, core::time_point now)
 {
     const std::uint64_t ticket = request.ticket;
-    late_[ticket] = { now + statusLimit, error_kind::PlatformUnavailable,
-                      "the platform did not say whether the note was applied" };
+    timeoutAnswers_[ticket] = { now + statusTimeout, error_kind::PlatformUnavailable,
+                                "the platform did not say whether the note was applied" };
     outputs_.toPlatform(
             platform::read_row{ core::noteRowKey(request.argument) },
             [this, ticket, id = request.argument](platform::platform_result &&result,
                                                   core::time_point) {
-                if (late_.count(ticket) == 0)
+                if (timeoutAnswers_.count(ticket) == 0)
                     return;
                 if (!result.isAnswered) {
-                    const late_answer unanswered = late_.at(ticket);
+                    const timeout_answer unanswered = timeoutAnswers_.at(ticket);
                     answer(ticket, wire::answerError(unanswered.error, unanswered.problem));
                     return;
                 }
                 const auto version =
-                        result.isFound ? versionOfNote(result.row.value) : std::nullopt;
+                        result.isFound ? readNoteVersion(result.row.value) : std::nullopt;
                 if (result.isFound && !version)
                     answer(ticket, wire::answerError(error_kind::Internal,
                                                      "the platform's row of this note is damaged"));
@@ -376,7 +381,7 @@
 
 // ---- groups ----
 
-std::vector<wire::group_report> operator_desk::groups(core::time_point now) const
+std::vector<wire::group_report> operator_service::groups(core::time_point now) const
 {
     std::vector<wire::group_report> reports;
     for (const auto &[group, configured] : gateway_.config.groups) {
@@ -403,14 +408,14 @@
             entry.role =
                     view->primary == id ? core::member_role::Primary : core::member_role::Replica;
             entry.applied = known->applied;
-            entry.state = stateOf(*known, owner->second.isWatching, now);
+            entry.state = describeState(*known, owner->second.isWatching, now);
         }
         reports.push_back(std::move(report));
     }
     return reports;
 }
 
-void operator_desk::promote(const admin_request &request, core::time_point now)
+void operator_service::promote(const admin_request &request, core::time_point now)
 {
     const core::group_id group{ request.argument };
     core::member_id member;
@@ -439,7 +444,7 @@
     if (owner == gateway_.owners.end() || !owner->second.isWatching) {
         refuse(error_kind::InvalidValue, "group: this instance does not watch '" + group.value
                                                  + "'; send the command to "
-                                                 + ownerFor(gateway_, group, now));
+                                                 + describeOwner(gateway_, group, now));
         return;
     }
     core::group_view &view = owner->second.view;
@@ -447,10 +452,13 @@
         answer(request.ticket, wire::answerPromotion(group, member, view.highestTerm));
         return;
     }
-    promotions_.push_back({ request.ticket, group, view.highestTerm, now + promotionLimit });
-    late_[request.ticket] = { now + promotionLimit, error_kind::OutcomeUnknown,
-                              "no new primary in time; a majority of the members must be in "
-                              "reach, and the promotion may still take effect" };
+    promotions_.push_back(
+            { request.ticket, group, view.highestTerm, now + promotionAnswerTimeout });
+    timeoutAnswers_[request.ticket] = {
+        now + promotionAnswerTimeout, error_kind::OutcomeUnknown,
+        "no new primary in time; a majority of the members must be in "
+        "reach, and the promotion may still take effect"
+    };
     core::gateway_turn turn = outputs_.turn();
     core::withOwner(turn, group, [&](core::group_owner &each, core::owner_actions &actions) {
         each.failover.preferred = member.empty() ? std::nullopt : std::optional(member);
@@ -458,13 +466,14 @@
     });
 }
 
-void operator_desk::tickPromotions(core::time_point now)
+void operator_service::tickPromotions(core::time_point now)
 {
-    std::erase_if(promotions_, [&](const waiting_promotion &each) {
+    std::erase_if(promotions_, [&](const pending_promotion &each) {
         const auto owner = gateway_.owners.find(each.group);
         const core::group_view *view =
                 owner == gateway_.owners.end() ? nullptr : &owner->second.view;
-        const bool isDone = view != nullptr && view->primary && view->highestTerm > each.before;
+        const bool isDone =
+                view != nullptr && view->primary && view->highestTerm > each.previousTerm;
         if (!isDone && now < each.deadline)
             return false;
         if (isDone)
@@ -485,7 +494,7 @@
 
 // ---- freshness and state ----
 
-void operator_desk::vouch(const admin_request &request, core::time_point now)
+void operator_service::vouch(const admin_request &request, core::time_point now)
 {
     wire::admin_answer body = wire::answerVouch(challenges_, cluster_.spread, gateway_.proof,
                                                 request.body, settings_.operatorSecretHash, now);
@@ -498,7 +507,7 @@
     answer(request.ticket, std::move(body));
 }
 
-wire::status_report operator_desk::status(core::time_point now) const
+wire::status_report operator_service::status(core::time_point now) const
 {
     const core::freshness_proof &usable = gateway_.proof.usable;
     wire::status_report report;
--- a/src/daemon/peer_body.cpp
+++ b/src/daemon/peer_body.cpp
@@ -46,11 +46,11 @@
 };
 
 template <std::size_t index = 0>
-std::optional<peer_body> readAs(std::size_t wanted, std::string_view bytes)
+std::optional<peer_body> readAlternative(std::size_t wantedIndex, std::string_view bytes)
 {
     if constexpr (index < std::variant_size_v<peer_body>) {
-        if (wanted != index)
-            return readAs<index + 1>(wanted, bytes);
+        if (wantedIndex != index)
+            return readAlternative<index + 1>(wantedIndex, bytes);
         std::variant_alternative_t<index, peer_body> value;
         if (wire::readBody(bytes, value))
             return std::nullopt;
@@ -69,7 +69,7 @@
 std::optional<peer_body> readPeerBody(wire::peer_kind kind, std::string_view bytes)
 {
     const auto *const found = std::find(kinds.begin(), kinds.end(), kind);
-    return readAs(static_cast<std::size_t>(std::distance(kinds.begin(), found)), bytes);
+    return readAlternative(static_cast<std::size_t>(std::distance(kinds.begin(), found)), bytes);
 }
 
 } // namespace fuchsiagw::daemon
--- a/src/daemon/peer_messenger.cpp
+++ b/src/daemon/peer_messenger.cpp
@@ -16,7 +16,7 @@
 using wire::peer_kind;
 using wire::peer_transport;
 
-wire::peer_keys makeKeys(const settings &values)
+wire::peer_keys makePeerKeys(const settings &values)
 {
     wire::peer_keys result;
     result.keys[1] = wire::derivePeerKey(
@@ -27,58 +27,58 @@
 
 } // namespace
 
-peer_duty::peer_duty(boost::asio::io_context &context, const settings &values,
-                     core::incarnation_id self, event_sink sink)
-    : keys_(makeKeys(values))
+peer_messenger::peer_messenger(boost::asio::io_context &context, const settings &values,
+                               core::incarnation_id self, event_sink sink)
+    : keys_(makePeerKeys(values))
     , codec_(self, keys_)
     , sender_{ values.instance, values.zone, net::toString(values.peerAddress),
                core::sender_state::Live }
-    , listenAt_(values.peerAddress)
-    , sink_(std::move(sink))
+    , listenAddress_(values.peerAddress)
+    , eventSink_(std::move(sink))
     , datagrams_(context,
                  [this](std::string_view message, const net::endpoint &) { onDatagram(message); })
     , links_(context, {},
              net::tcp_handlers{
                      [this](net::link_id link, const net::endpoint &, bool isIncoming) {
-                         states_[link].isOpener = !isIncoming;
+                         linkStates_[link].isOutgoing = !isIncoming;
                      },
                      [this](net::link_id link, std::string_view frame) { onFrame(link, frame); },
                      [this](net::link_id link, const net::link_end &end) { onClose(link, end); } })
 { }
 
-std::error_code peer_duty::start()
+std::error_code peer_messenger::start()
 {
-    if (const std::error_code error = datagrams_.open(listenAt_))
+    if (const std::error_code error = datagrams_.open(listenAddress_))
         return error;
-    return links_.listen(listenAt_);
+    return links_.listen(listenAddress_);
 }
 
-void peer_duty::setIncarnation(core::incarnation_id self)
+void peer_messenger::setIncarnation(core::incarnation_id self)
 {
     codec_ = wire::peer_codec(self, keys_);
 }
 
-peer_traffic peer_duty::traffic() const
+peer_traffic peer_messenger::traffic() const
 {
     const net::udp_counters &counters = datagrams_.counters();
-    return { counters.bytesSent, counters.bytesReceived, dropped_ };
+    return { counters.bytesSent, counters.bytesReceived, droppedMessages_ };
 }
 
-void peer_duty::perform(peer_order &order)
+void peer_messenger::perform(peer_command &order)
 {
-    if (const auto *sender = std::get_if<set_sender>(&order)) {
+    if (const auto *sender = std::get_if<set_sender_info>(&order)) {
         sender_ = sender->sender;
         return;
     }
     std::visit(
             [this](const auto &each) {
-                if constexpr (!std::is_same_v<std::decay_t<decltype(each)>, set_sender>)
+                if constexpr (!std::is_same_v<std::decay_t<decltype(each)>, set_sender_info>)
                     perform(each);
             },
             order);
 }
 
-void peer_duty::perform(const send_datagram &order)
+void peer_messenger::perform(const send_datagram &order)
 {
     net::endpoint address;
     std::string message;
@@ -90,28 +90,28 @@
     datagrams_.send(address, message);
 }
 
-void peer_duty::onDatagram(std::string_view message)
+void peer_messenger::onDatagram(std::string_view message)
 {
     const core::time_point now = net::currentTime();
     wire::opened_message opened;
     if (codec_.open(message, peer_transport::Datagram, now, opened)) {
-        ++dropped_;
+        ++droppedMessages_;
         return;
     }
     auto body = readPeerBody(opened.header.kind, opened.body);
     if (!body) {
-        ++dropped_;
+        ++droppedMessages_;
         return;
     }
     const core::incarnation_id from = opened.header.sender;
     if (const auto *each = std::get_if<digest>(&*body))
-        sink_(peer_heard{ from, each->sender });
+        eventSink_(sender_info_received{ from, each->sender });
     if (const auto *each = std::get_if<wire::probe_message>(&*body))
-        sink_(peer_heard{ from, each->sender });
-    sink_(peer_message{ from, std::move(*body), now });
+        eventSink_(sender_info_received{ from, each->sender });
+    eventSink_(datagram_received{ from, std::move(*body), now });
 }
 
-net::link_id peer_duty::linkTo(const std::string &address)
+net::link_id peer_messenger::linkTo(const std::string &address)
 {
     net::endpoint peer;
     bool isNew = false;
@@ -119,43 +119,43 @@
         return 0;
     const net::link_id link = links_.linkTo(peer, isNew);
     if (link != 0 && isNew) {
-        states_[link].isOpener = true;
-        sayHello(link);
+        linkStates_[link].isOutgoing = true;
+        sendHello(link);
     }
     return link;
 }
 
 template <typename type>
-bool peer_duty::sendFrame(net::link_id link, net::frame_tag tag, wire::peer_kind kind,
-                          core::incarnation_id receiver, const type &body)
+bool peer_messenger::sendFrame(net::link_id link, net::frame_tag tag, wire::peer_kind kind,
+                               core::incarnation_id receiver, const type &body)
 {
     std::string frame;
     return !codec_.seal(kind, receiver, body, frame) && links_.send(link, tag, frame);
 }
 
-void peer_duty::sayHello(net::link_id link)
+void peer_messenger::sendHello(net::link_id link)
 {
     static_cast<void>(sendFrame(link, 0, peer_kind::Hello, 0, sender_));
 }
 
-void peer_duty::perform(const send_forward &order)
+void peer_messenger::perform(const send_forward &order)
 {
     const net::link_id link = linkTo(order.address);
     const auto message = wire::toForward(order.request, net::currentTime());
     if (link == 0
         || !sendFrame(link, order.handle, peer_kind::ForwardRequest, order.receiver, message)) {
-        sink_(forward_lost{ order.handle, false });
+        eventSink_(forward_failed{ order.handle, false });
         return;
     }
-    states_[link].forwards.insert(order.handle);
-    forwards_[order.handle] = { link, order.request.id };
-    handles_[order.request.id] = order.handle;
+    linkStates_[link].forwards.insert(order.handle);
+    pendingForwards_[order.handle] = { link, order.request.id };
+    handlesByRequest_[order.request.id] = order.handle;
 }
 
-void peer_duty::perform(const send_forward_answer &order)
+void peer_messenger::perform(const send_forward_answer &order)
 {
-    const auto state = states_.find(order.link);
-    if (state == states_.end())
+    const auto state = linkStates_.find(order.link);
+    if (state == linkStates_.end())
         return;
     std::vector<wire::forward_answer> parts;
     core::statement_answer answer = order.answer;
@@ -175,44 +175,44 @@
     }
 }
 
-void peer_duty::perform(const fetch_configuration &order)
+void peer_messenger::perform(const fetch_configuration &order)
 {
     const net::link_id link = linkTo(order.address);
     const wire::configuration_request message{ order.version };
     if (link == 0 || !sendFrame(link, 0, peer_kind::ConfigurationRequest, 0, message)) {
-        sink_(configuration_came{ order.peer, order.version, {} });
+        eventSink_(configuration_received{ order.peer, order.version, {} });
         return;
     }
-    link_state &state = states_[link];
-    state.configurationPeer = order.peer;
-    state.configurationAsked = order.version;
-    state.configuration = {};
+    link_state &state = linkStates_[link];
+    state.configurationSource = order.peer;
+    state.configurationVersion = order.version;
+    state.configurationParts = {};
 }
 
-void peer_duty::perform(const send_configuration &order)
+void peer_messenger::perform(const send_configuration &order)
 {
-    const auto state = states_.find(order.link);
+    const auto state = linkStates_.find(order.link);
     std::vector<wire::configuration_body> parts;
-    if (state == states_.end() || wire::splitConfiguration(order.version, 0, order.text, parts))
+    if (state == linkStates_.end() || wire::splitConfiguration(order.version, 0, order.text, parts))
         return;
     for (const wire::configuration_body &each : parts)
         static_cast<void>(sendFrame(order.link, 0, peer_kind::ConfigurationBody,
                                     state->second.incarnation, each));
 }
 
-void peer_duty::onFrame(net::link_id link, std::string_view frame)
+void peer_messenger::onFrame(net::link_id link, std::string_view frame)
 {
     wire::opened_message opened;
     if (codec_.open(frame, peer_transport::Stream, net::currentTime(), opened)) {
-        ++dropped_;
+        ++droppedMessages_;
         links_.close(link);
         return;
     }
-    link_state &state = states_[link];
+    link_state &state = linkStates_[link];
     const bool isHello = opened.header.kind == peer_kind::Hello;
     // Before its hello a peer is nobody, and afterwards the link belongs to one incarnation.
     if (!isHello && state.incarnation != opened.header.sender) {
-        ++dropped_;
+        ++droppedMessages_;
         links_.close(link);
         return;
     }
@@ -224,7 +224,7 @@
         onForward(link, opened.body);
         return;
     case peer_kind::ForwardAnswer:
-        onForwardPart(link, opened.body);
+        onForwardAnswerPart(link, opened.body);
         return;
     case peer_kind::ConfigurationRequest:
         onConfigurationRequest(link, opened.body);
@@ -233,107 +233,110 @@
         onConfigurationPart(link, opened.body);
         return;
     default:
-        ++dropped_;
+        ++droppedMessages_;
     }
 }
 
-void peer_duty::onHello(net::link_id link, core::incarnation_id incarnation, std::string_view body)
+void peer_messenger::onHello(net::link_id link, core::incarnation_id incarnation,
+                             std::string_view body)
 {
     wire::sender_info sender;
-    link_state &state = states_[link];
+    link_state &state = linkStates_[link];
     if (state.incarnation != 0 || wire::readBody(body, sender)) {
-        ++dropped_;
+        ++droppedMessages_;
         links_.close(link);
         return;
     }
     state.incarnation = incarnation;
     state.instance = sender.instance;
     links_.trust(link);
-    if (!state.isOpener)
-        sayHello(link);
-    sink_(peer_heard{ incarnation, sender });
+    if (!state.isOutgoing)
+        sendHello(link);
+    eventSink_(sender_info_received{ incarnation, sender });
 }
 
-void peer_duty::onForward(net::link_id link, std::string_view body)
+void peer_messenger::onForward(net::link_id link, std::string_view body)
 {
     wire::forward_request message;
     if (wire::readBody(body, message)) {
-        ++dropped_;
+        ++droppedMessages_;
         links_.close(link);
         return;
     }
-    sink_(peer_forward{ link, states_[link].instance,
-                        wire::toRequest(std::move(message), net::currentTime()) });
+    eventSink_(forward_received{ link, linkStates_[link].instance,
+                                 wire::toRequest(std::move(message), net::currentTime()) });
 }
 
-void peer_duty::onForwardPart(net::link_id link, std::string_view body)
+void peer_messenger::onForwardAnswerPart(net::link_id link, std::string_view body)
 {
     wire::forward_answer message;
     const bool isDamaged = static_cast<bool>(wire::readBody(body, message));
-    const auto handle = isDamaged ? handles_.end() : handles_.find(message.id);
-    if (isDamaged || handle == handles_.end())
+    const auto handle = isDamaged ? handlesByRequest_.end() : handlesByRequest_.find(message.id);
+    if (isDamaged || handle == handlesByRequest_.end())
         return;
-    link_state &state = states_[link];
-    wire::part_joiner &joiner = state.answers[message.id];
+    link_state &state = linkStates_[link];
+    wire::part_joiner &joiner = state.answerParts[message.id];
     if (joiner.add(message.part, message.parts, message.content)) {
         links_.close(link);
         return;
     }
     if (!joiner.isComplete())
         return;
-    forward_answered event;
+    forward_answer_received event;
     event.handle = handle->second;
-    const bool isBroken =
+    const bool isUnreadable =
             static_cast<bool>(wire::readAnswer(message.id, joiner.content, event.answer));
-    state.answers.erase(message.id);
+    state.answerParts.erase(message.id);
     state.forwards.erase(event.handle);
-    forwards_.erase(event.handle);
-    handles_.erase(handle);
-    if (isBroken)
-        sink_(forward_lost{ event.handle, true });
+    pendingForwards_.erase(event.handle);
+    handlesByRequest_.erase(handle);
+    if (isUnreadable)
+        eventSink_(forward_failed{ event.handle, true });
     else
-        sink_(std::move(event));
+        eventSink_(std::move(event));
 }
 
-void peer_duty::onConfigurationRequest(net::link_id link, std::string_view body)
+void peer_messenger::onConfigurationRequest(net::link_id link, std::string_view body)
 {
     wire::configuration_request message;
     if (!wire::readBody(body, message))
-        sink_(configuration_wanted{ link, message.version });
+        eventSink_(configuration_requested{ link, message.version });
 }
 
-void peer_duty::onConfigurationPart(net::link_id link, std::string_view body)
+void peer_messenger::onConfigurationPart(net::link_id link, std::string_view body)
 {
     wire::configuration_body message;
-    link_state &state = states_[link];
-    if (wire::readBody(body, message) || state.configurationPeer.empty()
-        || state.configuration.add(message.part, message.parts, message.content)
-        || !state.configuration.isComplete())
+    link_state &state = linkStates_[link];
+    if (wire::readBody(body, message) || state.configurationSource.empty()
+        || state.configurationParts.add(message.part, message.parts, message.content)
+        || !state.configurationParts.isComplete())
         return;
-    sink_(configuration_came{ std::exchange(state.configurationPeer, {}), state.configurationAsked,
-                              std::move(state.configuration.content) });
-    state.configuration = {};
+    eventSink_(configuration_received{ std::exchange(state.configurationSource, {}),
+                                       state.configurationVersion,
+                                       std::move(state.configurationParts.content) });
+    state.configurationParts = {};
 }
 
-void peer_duty::onClose(net::link_id link, const net::link_end &end)
+void peer_messenger::onClose(net::link_id link, const net::link_end &end)
 {
-    const auto entry = states_.find(link);
-    if (entry == states_.end())
+    const auto entry = linkStates_.find(link);
+    if (entry == linkStates_.end())
         return;
     const link_state state = std::move(entry->second);
-    states_.erase(entry);
-    if (!state.configurationPeer.empty())
-        sink_(configuration_came{ state.configurationPeer, state.configurationAsked, {} });
+    linkStates_.erase(entry);
+    if (!state.configurationSource.empty())
+        eventSink_(configuration_received{
+                state.configurationSource, state.configurationVersion, {} });
     for (const std::uint64_t handle : state.forwards) {
-        const auto forward = forwards_.find(handle);
-        if (forward == forwards_.end() || forward->second.link != link)
+        const auto forward = pendingForwards_.find(handle);
+        if (forward == pendingForwards_.end() || forward->second.link != link)
             continue;
-        handles_.erase(forward->second.request);
-        forwards_.erase(forward);
+        handlesByRequest_.erase(forward->second.request);
+        pendingForwards_.erase(forward);
         const auto &unwritten = end.unwritten;
         const bool wasWritten =
                 std::find(unwritten.begin(), unwritten.end(), handle) == unwritten.end();
-        sink_(forward_lost{ handle, wasWritten });
+        eventSink_(forward_failed{ handle, wasWritten });
     }
 }
 
--- a/src/daemon/process.cpp
+++ b/src/daemon/process.cpp
@@ -25,14 +25,14 @@
 
 namespace {
 
-constexpr std::size_t ringMessages = 65536;
-constexpr core::duration watchDrainEvery = std::chrono::milliseconds(50);
+constexpr std::size_t channelCapacity = 65536;
+constexpr core::duration drainPollInterval = std::chrono::milliseconds(50);
 /// An answer that was handed to the front duty still has to be written to its socket.
-constexpr core::duration lastAnswers = std::chrono::milliseconds(200);
+constexpr core::duration finalWriteDelay = std::chrono::milliseconds(200);
 
-void logFailure(log_sink &log, const std::string &duty)
+void logThreadFailure(log_sink &log, const std::string &thread)
 {
-    logEvent(log, log_event::DutyFailed, { field::id(log_key::Duty, core::instance_id{ duty }) });
+    logEvent(log, log_event::DutyFailed, { field::id(log_key::Duty, core::instance_id{ thread }) });
 }
 
 metrics metricsOf(const peer_traffic &traffic)
@@ -54,7 +54,7 @@
     exit_code exitCode = exit_code::Stopped;
     bool isStopping = false;
 
-    supervisor root;
+    supervisor threads;
     boost::asio::io_context &frontContext;
     boost::asio::io_context &decideContext;
     boost::asio::io_context &upstreamContext;
@@ -62,12 +62,12 @@
     boost::asio::io_context &peerContext;
     boost::asio::io_context &adminContext;
 
-    std::optional<front> callers;
-    std::optional<decide> decisions;
-    std::optional<upstream> members;
-    std::optional<peer_duty> peers;
+    std::optional<caller_server> callerServer;
+    std::optional<gateway_driver> gatewayDriver;
+    std::optional<upstream_client> upstreamClient;
+    std::optional<peer_messenger> peerMessenger;
     snapshot_buffer<metrics> peerMetrics;
-    std::optional<admin> operators;
+    std::optional<admin_server> adminServer;
     net::http_client platformClient;
 
     net::channel<core::caller_request> frontToDecide;
@@ -76,113 +76,118 @@
     net::channel<upstream_event> upstreamToDecide;
     net::channel<platform_request> decideToPlatform;
     net::channel<platform_event> platformToDecide;
-    net::channel<peer_order> decideToPeers;
+    net::channel<peer_command> decideToPeers;
     net::channel<peer_event> peersToDecide;
     net::channel<admin_request> adminToDecide;
     net::channel<admin_result> decideToAdmin;
 
-    daemon_process(const settings &settingsOfProcess, log_sink &sink);
+    daemon_process(const settings &processSettings, log_sink &sink);
 
     void start();
     void drain();
     void finish(exit_code code);
     void request(platform_request &order);
-    [[nodiscard]] decide_outputs outputs();
-    [[nodiscard]] admin_inputs adminInputs();
+    [[nodiscard]] gateway_driver_outputs outputs();
+    [[nodiscard]] admin_server_inputs adminServerInputs();
 };
 
-daemon_process::daemon_process(const settings &settingsOfProcess, log_sink &sink)
-    : values(settingsOfProcess)
+daemon_process::daemon_process(const settings &processSettings, log_sink &sink)
+    : values(processSettings)
     , log(sink)
     , signals(control, SIGTERM, SIGINT)
-    , root([this](const std::string &duty, const std::string &) { logFailure(log, duty); },
-           [this](const std::string &) {
-               boost::asio::post(control, [this] { finish(exit_code::Failed); });
-           })
-    , frontContext(root.add("front"))
-    , decideContext(root.add("decide"))
-    , upstreamContext(root.add("upstream"))
-    , platformContext(root.add("platform"))
-    , peerContext(root.add("peer"))
-    , adminContext(root.add("admin"))
+    , threads([this](const std::string &thread,
+                     const std::string &) { logThreadFailure(log, thread); },
+              [this](const std::string &) {
+                  boost::asio::post(control, [this] { finish(exit_code::Failed); });
+              })
+    , frontContext(threads.add("front"))
+    , decideContext(threads.add("decide"))
+    , upstreamContext(threads.add("upstream"))
+    , platformContext(threads.add("platform"))
+    , peerContext(threads.add("peer"))
+    , adminContext(threads.add("admin"))
     , platformClient(platformContext)
-    , frontToDecide(decideContext, ringMessages,
-                    [this](auto &message) { decisions->onCaller(message); })
-    , decideToFront(frontContext, ringMessages,
-                    [this](auto &message) { callers->onReply(message); })
-    , decideToUpstream(upstreamContext, ringMessages,
-                       [this](auto &message) { members->perform(message); })
-    , upstreamToDecide(decideContext, ringMessages,
-                       [this](auto &message) { decisions->onUpstream(message); })
-    , decideToPlatform(platformContext, ringMessages, [this](auto &message) { request(message); })
-    , platformToDecide(decideContext, ringMessages,
-                       [this](auto &message) { decisions->onPlatform(message); })
-    , decideToPeers(peerContext, ringMessages, [this](auto &message) { peers->perform(message); })
-    , peersToDecide(decideContext, ringMessages,
-                    [this](auto &message) { decisions->onPeer(message); })
+    , frontToDecide(decideContext, channelCapacity,
+                    [this](auto &message) { gatewayDriver->onCaller(message); })
+    , decideToFront(frontContext, channelCapacity,
+                    [this](auto &message) { callerServer->onReply(message); })
+    , decideToUpstream(upstreamContext, channelCapacity,
+                       [this](auto &message) { upstreamClient->perform(message); })
+    , upstreamToDecide(decideContext, channelCapacity,
+                       [this](auto &message) { gatewayDriver->onUpstream(message); })
+    , decideToPlatform(platformContext, channelCapacity,
+                       [this](auto &message) { request(message); })
+    , platformToDecide(decideContext, channelCapacity,
+                       [this](auto &message) { gatewayDriver->onPlatform(message); })
+    , decideToPeers(peerContext, channelCapacity,
+                    [this](auto &message) { peerMessenger->perform(message); })
+    , peersToDecide(decideContext, channelCapacity,
+                    [this](auto &message) { gatewayDriver->onPeer(message); })
     , adminToDecide(decideContext, maxAdminRequests,
-                    [this](auto &message) { decisions->onAdmin(message); })
+                    [this](auto &message) { gatewayDriver->onAdmin(message); })
     , decideToAdmin(adminContext, maxAdminRequests,
-                    [this](auto &message) { operators->onAnswer(message); })
+                    [this](auto &message) { adminServer->onAnswer(message); })
 {
     wire::token_keys tokens;
     tokens.keys[1] = wire::deriveTokenKey(
             { reinterpret_cast<const char *>(values.clusterKey.data()), values.clusterKey.size() });
     tokens.current = 1;
-    callers.emplace(frontContext, values, std::move(tokens),
-                    [this](core::caller_request &&message) {
-                        return frontToDecide.push(std::move(message));
-                    });
-    members.emplace(upstreamContext, [this](upstream_event &&event) {
+    callerServer.emplace(frontContext, values, std::move(tokens),
+                         [this](core::caller_request &&message) {
+                             return frontToDecide.push(std::move(message));
+                         });
+    upstreamClient.emplace(upstreamContext, [this](upstream_event &&event) {
         // The ring holds more than all connections and control requests can have under way.
         static_cast<void>(upstreamToDecide.push(std::move(event)));
     });
-    decisions.emplace(decideContext, values, log, outputs());
-    peers.emplace(peerContext, values, decisions->incarnation(), [this](peer_event &&event) {
-        static_cast<void>(peersToDecide.push(std::move(event)));
-    });
-    operators.emplace(adminContext, values, log, adminInputs());
+    gatewayDriver.emplace(decideContext, values, log, outputs());
+    peerMessenger.emplace(peerContext, values, gatewayDriver->incarnation(),
+                          [this](peer_event &&event) {
+                              static_cast<void>(peersToDecide.push(std::move(event)));
+                          });
+    adminServer.emplace(adminContext, values, log, adminServerInputs());
 }
 
-admin_inputs daemon_process::adminInputs()
+admin_server_inputs daemon_process::adminServerInputs()
 {
-    admin_inputs from;
-    from.request = [this](admin_request &&message) {
+    admin_server_inputs result;
+    result.request = [this](admin_request &&message) {
         return adminToDecide.push(std::move(message));
     };
-    from.isReady = [this] { return callers->isReady(); };
-    from.sample = [this] {
+    result.isReady = [this] { return callerServer->isReady(); };
+    result.sample = [this] {
         boost::asio::post(peerContext,
-                          [this] { peerMetrics.publish(metricsOf(peers->traffic())); });
+                          [this] { peerMetrics.publish(metricsOf(peerMessenger->traffic())); });
     };
-    from.sources = { &callers->published(), &decisions->published(), &peerMetrics };
-    return from;
+    result.sources = { &callerServer->published(), &gatewayDriver->published(), &peerMetrics };
+    return result;
 }
 
-decide_outputs daemon_process::outputs()
+gateway_driver_outputs daemon_process::outputs()
 {
-    decide_outputs to;
-    to.reply = [this](core::caller_reply &&message) {
+    gateway_driver_outputs result;
+    result.reply = [this](core::caller_reply &&message) {
         static_cast<void>(decideToFront.push(std::move(message)));
     };
-    to.toUpstream = [this](core::group_action &&message) {
+    result.toUpstream = [this](core::group_action &&message) {
         static_cast<void>(decideToUpstream.push(std::move(message)));
     };
-    to.toPlatform = [this](platform_request &&message) {
+    result.toPlatform = [this](platform_request &&message) {
         static_cast<void>(decideToPlatform.push(std::move(message)));
     };
-    to.toPeers = [this](peer_order &&message) {
+    result.toPeers = [this](peer_command &&message) {
         static_cast<void>(decideToPeers.push(std::move(message)));
     };
-    to.setIncarnation = [this](core::incarnation_id incarnation) {
-        boost::asio::post(peerContext, [this, incarnation] { peers->setIncarnation(incarnation); });
+    result.setIncarnation = [this](core::incarnation_id incarnation) {
+        boost::asio::post(peerContext,
+                          [this, incarnation] { peerMessenger->setIncarnation(incarnation); });
     };
-    to.toAdmin = [this](admin_result &&message) {
+    result.toAdmin = [this](admin_result &&message) {
         // The admin duty has no more requests open than the ring holds.
         static_cast<void>(decideToAdmin.push(std::move(message)));
     };
-    to.setReady = [this](bool ready) { callers->setReady(ready); };
-    return to;
+    result.setReady = [this](bool ready) { callerServer->setReady(ready); };
+    return result;
 }
 
 void daemon_process::request(platform_request &order)
@@ -195,7 +200,7 @@
 
 void daemon_process::start()
 {
-    boost::asio::post(decideContext, [this] { decisions->start(); });
+    boost::asio::post(decideContext, [this] { gatewayDriver->start(); });
     signals.async_wait([this](const boost::system::error_code &error, int) {
         if (!error)
             drain();
@@ -208,25 +213,26 @@
     signals.async_wait([](const boost::system::error_code &, int) {});
     isStopping = true;
     logEvent(log, log_event::DrainStarted,
-             { field::number(log_key::Queued, callers->waiting()),
-               field::lapse(log_key::Remaining, values.drainLimit) });
-    boost::asio::post(frontContext, [this] { callers->drain(); });
+             { field::number(log_key::Queued, callerServer->openRequestCount()),
+               field::duration(log_key::Remaining, values.drainLimit) });
+    boost::asio::post(frontContext, [this] { callerServer->drain(); });
     boost::asio::post(decideContext, [this] {
-        decisions->drain(
+        gatewayDriver->drain(
                 [this] { boost::asio::post(control, [this] { finish(exit_code::Stopped); }); });
     });
-    const auto limit = std::make_shared<boost::asio::steady_timer>(control, values.drainLimit);
-    limit->async_wait([this, limit](const boost::system::error_code &error) {
+    const auto drainTimer = std::make_shared<boost::asio::steady_timer>(control, values.drainLimit);
+    drainTimer->async_wait([this, drainTimer](const boost::system::error_code &error) {
         if (!error)
-            finish(callers->waiting() == 0 ? exit_code::Stopped : exit_code::Interrupted);
+            finish(callerServer->openRequestCount() == 0 ? exit_code::Stopped
+                                                         : exit_code::Interrupted);
     });
 }
 
 void daemon_process::finish(exit_code code)
 {
     exitCode = code;
-    const auto pause = std::make_shared<boost::asio::steady_timer>(control, lastAnswers);
-    pause->async_wait([this, pause](const boost::system::error_code &) { control.stop(); });
+    const auto exitTimer = std::make_shared<boost::asio::steady_timer>(control, finalWriteDelay);
+    exitTimer->async_wait([this, exitTimer](const boost::system::error_code &) { control.stop(); });
 }
 
 } // namespace
@@ -235,15 +241,16 @@
 {
     const core::time_point startedAt = net::currentTime();
     daemon_process process(values, log);
-    if (process.callers->start() || process.peers->start() || process.operators->start())
+    if (process.callerServer->start() || process.peerMessenger->start()
+        || process.adminServer->start())
         return exit_code::Failed;
     process.start();
-    process.root.start();
+    process.threads.start();
     process.control.run();
-    process.root.stop();
+    process.threads.stop();
     logEvent(log, log_event::ProcessStopped,
-             { field::lapse(log_key::Elapsed, net::currentTime() - startedAt),
-               field::number(log_key::Count, process.callers->waiting()) });
+             { field::duration(log_key::Elapsed, net::currentTime() - startedAt),
+               field::number(log_key::Count, process.callerServer->openRequestCount()) });
     return process.exitCode;
 }
 
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -25,12 +25,12 @@
     setter store;
 };
 
-constexpr std::size_t hashDigits = 64;
-constexpr std::size_t longestName = 64; // characters
+constexpr std::size_t keyHexDigits = 64;
+constexpr std::size_t maxNameLength = 64; // characters
 
 bool isName(const std::string &text)
 {
-    return !text.empty() && text.size() <= longestName
+    return !text.empty() && text.size() <= maxNameLength
            && std::all_of(text.begin(), text.end(), [](unsigned char c) {
                   return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
               });
@@ -56,33 +56,33 @@
     };
 }
 
-std::string parseNumber(const std::string &text, std::uint64_t least, std::uint64_t greatest,
+std::string parseNumber(const std::string &text, std::uint64_t minimum, std::uint64_t maximum,
                         std::uint64_t &value)
 {
     const char *end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
-    if (parsed.ec != std::errc{} || parsed.ptr != end || value < least || value > greatest)
-        return "must be a whole number from " + std::to_string(least) + " to "
-               + std::to_string(greatest);
+    if (parsed.ec != std::errc{} || parsed.ptr != end || value < minimum || value > maximum)
+        return "must be a whole number from " + std::to_string(minimum) + " to "
+               + std::to_string(maximum);
     return {};
 }
 
-setter storeMilliseconds(std::chrono::milliseconds settings::*field, std::uint64_t least,
-                         std::uint64_t greatest)
+setter storeMilliseconds(std::chrono::milliseconds settings::*field, std::uint64_t minimum,
+                         std::uint64_t maximum)
 {
     return [=](const std::string &text, settings &into) {
         std::uint64_t value = 0;
-        std::string reason = parseNumber(text, least, greatest, value);
+        std::string reason = parseNumber(text, minimum, maximum, value);
         into.*field = std::chrono::milliseconds(value);
         return reason;
     };
 }
 
-setter storeCount(std::uint32_t settings::*field, std::uint64_t least, std::uint64_t greatest)
+setter storeCount(std::uint32_t settings::*field, std::uint64_t minimum, std::uint64_t maximum)
 {
     return [=](const std::string &text, settings &into) {
         std::uint64_t value = 0;
-        std::string reason = parseNumber(text, least, greatest, value);
+        std::string reason = parseNumber(text, minimum, maximum, value);
         into.*field = static_cast<std::uint32_t>(value);
         return reason;
     };
@@ -91,21 +91,21 @@
 std::string storeClusterKey(const std::string &text, settings &into)
 {
     std::size_t length = 0;
-    const bool whole = text.size() == hashDigits
-                       && sodium_hex2bin(into.clusterKey.data(), into.clusterKey.size(),
-                                         text.data(), text.size(), nullptr, &length, nullptr)
-                                  == 0
-                       && length == into.clusterKey.size();
-    return whole ? std::string() : std::string("must be 64 hexadecimal digits");
+    const bool isComplete = text.size() == keyHexDigits
+                            && sodium_hex2bin(into.clusterKey.data(), into.clusterKey.size(),
+                                              text.data(), text.size(), nullptr, &length, nullptr)
+                                       == 0
+                            && length == into.clusterKey.size();
+    return isComplete ? std::string() : std::string("must be 64 hexadecimal digits");
 }
 
 std::string storeSecretHash(const std::string &text, settings &into)
 {
-    const bool valid =
-            text.size() == hashDigits && std::all_of(text.begin(), text.end(), [](unsigned char c) {
-                return std::isdigit(c) != 0 || (c >= 'a' && c <= 'f');
-            });
-    if (!valid)
+    const bool isValid = text.size() == keyHexDigits
+                         && std::all_of(text.begin(), text.end(), [](unsigned char c) {
+                                return std::isdigit(c) != 0 || (c >= 'a' && c <= 'f');
+                            });
+    if (!isValid)
         return "must be 64 lower-case hexadecimal digits, the output of 'b2sum -l 256' for the "
                "secret";
     into.operatorSecretHash = text;
@@ -200,7 +200,7 @@
     return table;
 }
 
-struct reading
+struct parse_state
 {
     const std::string &file;
     settings &into;
@@ -208,7 +208,7 @@
     std::set<std::string_view> seen;
 };
 
-void addProblem(reading &state, const YAML::Mark &mark, std::string reason)
+void addProblem(parse_state &state, const YAML::Mark &mark, std::string reason)
 {
     const int line = mark.line < 0 ? 0 : mark.line + 1;
     state.problems.push_back({ state.file, line, std::move(reason) });
@@ -222,7 +222,7 @@
     });
 }
 
-void readScalar(reading &state, const std::string &path, const YAML::Node &node)
+void readScalar(parse_state &state, const std::string &path, const YAML::Node &node)
 {
     const auto row = std::find_if(entries().begin(), entries().end(), [&path](const entry &each) {
         return each.description.path == path;
@@ -244,7 +244,7 @@
         addProblem(state, node.Mark(), "'" + path + "' " + reason);
 }
 
-void readMap(reading &state, const std::string &prefix, const YAML::Node &map)
+void readMap(parse_state &state, const std::string &prefix, const YAML::Node &map)
 {
     for (const auto &pair : map) {
         const std::string path =
@@ -258,7 +258,7 @@
     }
 }
 
-void applyDefaults(reading &state)
+void applyDefaults(parse_state &state)
 {
     for (const entry &each : entries()) {
         if (state.seen.count(each.description.path) != 0)
@@ -283,13 +283,14 @@
 
 std::string toString(const settings_problem &problem)
 {
-    const std::string place = problem.line > 0 ? ":" + std::to_string(problem.line) : std::string();
-    return problem.file + place + ": " + problem.reason;
+    const std::string location =
+            problem.line > 0 ? ":" + std::to_string(problem.line) : std::string();
+    return problem.file + location + ": " + problem.reason;
 }
 
 std::vector<settings_problem> readSettings(const std::string &file, settings &result)
 {
-    reading state{ file, result, {}, {} };
+    parse_state state{ file, result, {}, {} };
     try {
         const YAML::Node root = YAML::LoadFile(file);
         if (!root.IsMap()) {
@@ -301,8 +302,8 @@
     } catch (const YAML::BadFile &) {
         state.problems.push_back(
                 { file, 0, "the file can't be read; check its name and permissions" });
-    } catch (const YAML::Exception &mistake) {
-        addProblem(state, mistake.mark, "not valid YAML: " + mistake.msg);
+    } catch (const YAML::Exception &error) {
+        addProblem(state, error.mark, "not valid YAML: " + error.msg);
     }
     return state.problems;
 }
--- a/src/daemon/supervisor.cpp
+++ b/src/daemon/supervisor.cpp
@@ -11,9 +11,9 @@
 namespace fuchsiagw::daemon {
 
 supervisor::supervisor(std::function<void(const std::string &, const std::string &)> onFailure,
-                       std::function<void(const std::string &)> onGiveUp)
+                       std::function<void(const std::string &)> onPermanentFailure)
     : onFailure_(std::move(onFailure))
-    , onGiveUp_(std::move(onGiveUp))
+    , onPermanentFailure_(std::move(onPermanentFailure))
 { }
 
 supervisor::~supervisor()
@@ -23,48 +23,48 @@
 
 boost::asio::io_context &supervisor::add(const std::string &name)
 {
-    return duties_.emplace_back(name).context;
+    return workers_.emplace_back(name).context;
 }
 
 void supervisor::start()
 {
-    for (duty &each : duties_)
+    for (worker &each : workers_)
         each.thread = std::thread([this, &each] { run(each); });
 }
 
-void supervisor::run(duty &each)
+void supervisor::run(worker &each)
 {
-    while (!stopping_) {
+    while (!isStopping_) {
         try {
             each.context.run();
             return;
         } catch (const std::exception &failure) {
             onFailure_(each.name, failure.what());
         }
-        if (isBeyondRepair(each)) {
-            onGiveUp_(each.name);
+        if (recordFailure(each)) {
+            onPermanentFailure_(each.name);
             return;
         }
     }
 }
 
-bool supervisor::isBeyondRepair(duty &each) const
+bool supervisor::recordFailure(worker &each) const
 {
     const core::time_point now = net::currentTime();
     each.failures.push_back(now);
     while (each.failures.front() + failureWindow < now)
         each.failures.pop_front();
-    return each.failures.size() >= failureLimit;
+    return each.failures.size() >= maxFailures;
 }
 
 void supervisor::stop()
 {
-    stopping_ = true;
-    for (duty &each : duties_) {
+    isStopping_ = true;
+    for (worker &each : workers_) {
         each.guard.reset();
         each.context.stop();
     }
-    for (duty &each : duties_) {
+    for (worker &each : workers_) {
         if (each.thread.joinable())
             each.thread.join();
     }
--- a/src/daemon/upstream_client.cpp
+++ b/src/daemon/upstream_client.cpp
@@ -41,8 +41,8 @@
 }
 
 /// Reads the answer to a control request; anything that is not one counts as no answer.
-core::control_answer readControl(const core::control_call &order,
-                                 const net::http_exchange &exchange)
+core::control_answer readControlAnswer(const core::control_call &order,
+                                       const net::http_exchange &exchange)
 {
     core::control_answer result;
     result.number = order.number;
@@ -62,9 +62,9 @@
     return result;
 }
 
-statement_executed readExecuted(core::connection_id id, const net::http_exchange &exchange)
+execute_finished readExecuteAnswer(core::connection_id id, const net::http_exchange &exchange)
 {
-    statement_executed result;
+    execute_finished result;
     result.id = id;
     result.wasSent = exchange.sent;
     result.wasSilent = exchange.error == std::errc::timed_out;
@@ -77,7 +77,7 @@
 
 } // namespace
 
-void upstream::perform(const core::group_action &action)
+void upstream_client::perform(const core::group_action &action)
 {
     const core::group_id &group = action.group;
     if (const auto *opening = std::get_if<core::open_connection>(&action.action))
@@ -90,11 +90,11 @@
         control(group, *call);
 }
 
-void upstream::open(const core::group_id &group, const core::open_connection &order)
+void upstream_client::open(const core::group_id &group, const core::open_connection &order)
 {
     net::endpoint address;
     if (net::parseEndpoint(order.address, address)) {
-        sink_({ group, connection_opened{ order.id, false } });
+        eventSink_({ group, connect_finished{ order.id, false } });
         return;
     }
     const auto connection = net::http_connection::create(context_, address);
@@ -109,34 +109,34 @@
                             }
                             if (error)
                                 connections_.erase(entry);
-                            sink_({ group, connection_opened{ id, !error } });
+                            eventSink_({ group, connect_finished{ id, !error } });
                         });
     connection->onClosedWhileIdle([this, group, id = order.id] {
         if (connections_.erase({ group, id }) != 0)
-            sink_({ group, connection_ended{ id } });
+            eventSink_({ group, connection_closed{ id } });
     });
 }
 
-void upstream::send(const core::group_id &group, const core::send_statement &order)
+void upstream_client::send(const core::group_id &group, const core::send_statement &order)
 {
     const auto entry = connections_.find({ group, order.id });
     if (entry == connections_.end()) {
-        sink_({ group, statement_executed{ order.id, std::nullopt, false, false } });
+        eventSink_({ group, execute_finished{ order.id, std::nullopt, false, false } });
         return;
     }
     const auto connection = entry->second;
     connection->exchange(postRequest("/execute", wire::toJson(order.request)), order.deadline,
                          [this, group, id = order.id](net::http_exchange &&exchange) {
-                             const auto own = connections_.find({ group, id });
-                             if (own == connections_.end())
+                             const auto current = connections_.find({ group, id });
+                             if (current == connections_.end())
                                  return;
-                             if (!own->second->isOpen())
-                                 connections_.erase(own);
-                             sink_({ group, readExecuted(id, exchange) });
+                             if (!current->second->isOpen())
+                                 connections_.erase(current);
+                             eventSink_({ group, readExecuteAnswer(id, exchange) });
                          });
 }
 
-void upstream::close(const core::group_id &group, core::connection_id id)
+void upstream_client::close(const core::group_id &group, core::connection_id id)
 {
     const auto entry = connections_.find({ group, id });
     if (entry == connections_.end())
@@ -146,17 +146,18 @@
     connection->close();
 }
 
-void upstream::control(const core::group_id &group, const core::control_call &order)
+void upstream_client::control(const core::group_id &group, const core::control_call &order)
 {
     net::endpoint address;
     if (net::parseEndpoint(order.address, address)) {
-        sink_({ group, control_answered{ { order.number, std::nullopt, false } } });
+        eventSink_({ group, control_finished{ { order.number, std::nullopt, false } } });
         return;
     }
-    controls_.call(address, controlRequest(order), order.deadline,
-                   [this, group, order](net::http_exchange &&exchange) {
-                       sink_({ group, control_answered{ readControl(order, exchange) } });
-                   });
+    controlClient_.call(
+            address, controlRequest(order), order.deadline,
+            [this, group, order](net::http_exchange &&exchange) {
+                eventSink_({ group, control_finished{ readControlAnswer(order, exchange) } });
+            });
 }
 
 } // namespace fuchsiagw::daemon
--- a/tests/unit-log-event.cpp
+++ b/tests/unit-log-event.cpp
@@ -26,7 +26,7 @@
 TEST_GROUP(log_event_list){};
 
 // Guards against a catalogue that operators read and the program does not follow.
-TEST(log_event_list, pageAgreesWithTheProgram)
+TEST(log_event_list, eventsPageMatchesTheTable)
 {
     const auto rows = readDocRows("events.md");
     LONGS_EQUAL(daemon::logEvents().size(), rows.size());
@@ -41,7 +41,7 @@
 }
 
 // Guards against errors that callers can't look up.
-TEST(log_event_list, errorPageAgreesWithTheProgram)
+TEST(log_event_list, errorsPageMatchesTheTable)
 {
     const auto rows = readDocRows("errors.md");
     LONGS_EQUAL(core::errorAnswerCount(), rows.size());
@@ -58,7 +58,7 @@
 }
 
 // Guards against two events that a reader can't tell apart and fields that no key names.
-TEST(log_event_list, numbersNamesAndFieldsAreConsistent)
+TEST(log_event_list, numbersAscendNamesAreUniqueAndFieldsHaveKeys)
 {
     const std::set<std::string_view> keys(daemon::logKeyNames.begin(), daemon::logKeyNames.end());
     LONGS_EQUAL(daemon::logKeyNames.size(), keys.size());
@@ -69,17 +69,17 @@
         last = static_cast<int>(row.event);
         CHECK_TRUE(names.insert(row.name).second);
         POINTERS_EQUAL(&row, &daemon::rowOf(row.event));
-        for (std::size_t at = 0; at < row.fields.size();) {
-            const std::size_t end = std::min(row.fields.find(' ', at), row.fields.size());
-            CHECK_TRUE_TEXT(keys.contains(row.fields.substr(at, end - at)), row.name.data());
-            at = end + 1;
+        for (std::size_t start = 0; start < row.fields.size();) {
+            const std::size_t end = std::min(row.fields.find(' ', start), row.fields.size());
+            CHECK_TRUE_TEXT(keys.contains(row.fields.substr(start, end - start)), row.name.data());
+            start = end + 1;
         }
     }
 }
 
 TEST_GROUP(log_line){};
 
-TEST(log_line, valuesAreEscaped)
+TEST(log_line, escapesValues)
 {
     const std::string line = daemon::formatEvent(
             log_event::PeerLive, { field::id(log_key::Instance, core::instance_id{ "a b\"\n\xc3" }),
@@ -92,7 +92,7 @@
 }
 
 // Guards against a secret that is passed off as an address or as a field of another event.
-TEST(log_line, unlistedFieldsAndFalseAddressesAreLeftOut)
+TEST(log_line, omitsUnlistedFieldsAndInvalidAddresses)
 {
     const std::string line = daemon::formatEvent(
             log_event::LinkOpened, { field::id(log_key::Workspace, core::workspace_id{ "w" }),
@@ -100,7 +100,7 @@
     STRCMP_EQUAL("event=807 name=link_opened address=invalid unlisted=1", line.c_str());
 }
 
-TEST(log_line, errorsOfOtherCategoriesKeepTheirNumber)
+TEST(log_line, writesCategoryAndNumberOfForeignErrors)
 {
     const std::error_code foreign = std::make_error_code(std::errc::timed_out);
     STRCMP_EQUAL(("generic:" + std::to_string(foreign.value())).c_str(),
@@ -131,7 +131,7 @@
 };
 
 // Guards against lines lost at the end of the process.
-TEST(log_sink, destructionWritesWhatIsInTheRing)
+TEST(log_sink, destructorWritesBufferedLines)
 {
     {
         daemon::log_sink sink({ .path = path, .level = daemon::log_level::Info });
@@ -145,38 +145,38 @@
 }
 
 // Guards against a full ring that blocks a duty or loses lines without a count.
-TEST(log_sink, everyLineIsWrittenOrCounted)
+TEST(log_sink, writesOrCountsEveryLine)
 {
-    constexpr std::uint64_t total = 20'000;
+    constexpr std::uint64_t totalLines = 20'000;
     std::uint64_t lost = 0;
     {
         daemon::log_sink sink({ .path = path, .level = daemon::log_level::Info, .ringLines = 8 });
-        std::vector<std::thread> duties;
-        for (std::uint64_t duty = 0; duty < 4; ++duty) {
-            duties.emplace_back([&sink] {
-                for (std::uint64_t i = 0; i < total / 4; ++i)
+        std::vector<std::thread> writers;
+        for (std::uint64_t writer = 0; writer < 4; ++writer) {
+            writers.emplace_back([&sink] {
+                for (std::uint64_t i = 0; i < totalLines / 4; ++i)
                     logEvent(sink, log_event::SettingsRefused, {});
             });
         }
-        for (std::thread &duty : duties)
-            duty.join();
+        for (std::thread &writer : writers)
+            writer.join();
         lost = sink.lost();
     }
     std::uint64_t written = 0;
     std::uint64_t reported = 0;
     for (const std::string &line : lines()) {
-        const std::size_t at = line.find(" lost=");
-        if (at == std::string::npos)
+        const std::size_t start = line.find(" lost=");
+        if (start == std::string::npos)
             ++written;
         else
-            reported += std::stoull(line.substr(at + 6));
+            reported += std::stoull(line.substr(start + 6));
     }
-    LONGS_EQUAL(total, written + lost);
+    LONGS_EQUAL(totalLines, written + lost);
     LONGS_EQUAL(lost, reported);
 }
 
 // Guards against an instance that runs without a log.
-TEST(log_sink, unwritablePathIsAnError)
+TEST(log_sink, constructorThrowsIfThePathIsNotWritable)
 {
     CHECK_THROWS(std::exception,
                  daemon::log_sink({ .path = path + "/log", .level = daemon::log_level::Info }));
--- a/tests/unit-operator-desk.cpp
+++ b/tests/unit-operator-desk.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-enum class loss : std::uint8_t { None, Answer, Request };
+enum class message_loss : std::uint8_t { None, Answer, Request };
 
 const std::string groupNote = R"({"id":"first","base":0,"added":[
     {"section":"group","group":"g1","slots":2,"connections":4},
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_GROUP(operator_desk)
+TEST_GROUP(operator_service)
 {
     struct call
     {
@@ -69,7 +69,7 @@
     std::deque<call> calls;
     std::map<std::uint64_t, wire::admin_answer> answers;
     std::optional<cluster> instances;
-    std::optional<operator_desk> desk;
+    std::optional<operator_service> service;
     std::uint64_t nextTicket = 1;
 
     void setup() override
@@ -82,7 +82,7 @@
         };
         instances.emplace(
                 gateway, values, log,
-                cluster_outputs{ [](peer_order &&) {},
+                cluster_outputs{ [](peer_command &&) {},
                                  [](platform::platform_order, platform_handler) {},
                                  [this](const core::configuration &config) {
                                      core::gateway_turn turn{ gateway, now, random, actions };
@@ -90,41 +90,44 @@
                                  },
                                  [] {} });
         instances->start(now);
-        desk.emplace(gateway, *instances, values, log,
-                     operator_desk_outputs{
-                             [this](admin_result &&result) {
-                                 CHECK_TRUE(answers.emplace(result.ticket, result.answer).second);
-                             },
-                             toPlatform,
-                             [this] {
-                                 return core::gateway_turn{ gateway, now, random, actions };
-                             } });
+        service.emplace(gateway, *instances, values, log,
+                        operator_service_outputs{
+                                [this](admin_result &&result) {
+                                    CHECK_TRUE(
+                                            answers.emplace(result.ticket, result.answer).second);
+                                },
+                                toPlatform,
+                                [this] {
+                                    return core::gateway_turn{ gateway, now, random, actions };
+                                } });
     }
 
-    std::uint64_t ask(wire::admin_route route, const std::string &body = {},
-                      const std::string &argument = {})
+    std::uint64_t sendRequest(wire::admin_route route, const std::string &body = {},
+                              const std::string &argument = {})
     {
         admin_request request{ nextTicket++, route, argument, body };
-        desk->onRequest(request, now);
+        service->onRequest(request, now);
         return request.ticket;
     }
 
-    void serveNext(loss lost = loss::None)
+    void servePlatformCall(message_loss lostMessage = message_loss::None)
     {
         CHECK_FALSE(calls.empty());
         call next = std::move(calls.front());
         calls.pop_front();
         platform::platform_result result;
-        if (lost != loss::Request)
+        if (lostMessage != message_loss::Request)
             result = perform(model, next.order, now);
-        next.done(lost == loss::None ? std::move(result) : platform::platform_result{}, now);
+        next.done(lostMessage == message_loss::None ? std::move(result)
+                                                    : platform::platform_result{},
+                  now);
     }
 
     /// Serves requests until the platform has nothing to do.
-    void serveAll()
+    void serveAllPlatformCalls()
     {
         while (!calls.empty())
-            serveNext();
+            servePlatformCall();
     }
 
     bool isCommitNext() const
@@ -133,10 +136,10 @@
                && std::holds_alternative<core::transact_request>(calls.front().order);
     }
 
-    void pass(core::duration time)
+    void advanceTime(core::duration time)
     {
         now += time;
-        desk->tick(now);
+        service->tick(now);
     }
 
     json bodyOf(std::uint64_t ticket) const
@@ -147,29 +150,29 @@
 
 // Guards against an answer before the version is in force here, and against a first note that an
 // instance without configuration can't submit.
-TEST(operator_desk, acceptsTheFirstNoteAndHasItInForceWithTheAnswer)
+TEST(operator_service, appliesTheFirstNoteBeforeItAnswers)
 {
-    const auto ticket = ask(wire::admin_route::SubmitNote, groupNote);
+    const auto ticket = sendRequest(wire::admin_route::SubmitNote, groupNote);
     while (answers.empty()) {
         CHECK_TRUE(instances->spread.hasUnsettledSubmit);
         LONGS_EQUAL(0, gateway.config.version);
-        serveNext();
+        servePlatformCall();
     }
     LONGS_EQUAL(200, answers.at(ticket).status);
     LONGS_EQUAL(1, bodyOf(ticket).at("version").get<int>());
     LONGS_EQUAL(1, gateway.config.version);
     CHECK_FALSE(instances->spread.hasUnsettledSubmit);
-    const auto status = ask(wire::admin_route::NoteStatus, {}, "first");
-    serveAll();
+    const auto status = sendRequest(wire::admin_route::NoteStatus, {}, "first");
+    serveAllPlatformCalls();
     CHECK_TRUE(bodyOf(status).at("in_force_here").get<bool>());
 }
 
 // Guards against a lost update: two operators change the same version.
-TEST(operator_desk, refusesTheLoserOfARaceAndTellsWhatChanged)
+TEST(operator_service, refusesANoteWithAnOutdatedBaseVersion)
 {
-    const auto winner = ask(wire::admin_route::SubmitNote, groupNote);
-    const auto loser = ask(wire::admin_route::SubmitNote, switchNote);
-    serveAll();
+    const auto winner = sendRequest(wire::admin_route::SubmitNote, groupNote);
+    const auto loser = sendRequest(wire::admin_route::SubmitNote, switchNote);
+    serveAllPlatformCalls();
     LONGS_EQUAL(200, answers.at(winner).status);
     LONGS_EQUAL(409, answers.at(loser).status);
     CHECK_EQUAL(std::string("note_conflict"), bodyOf(loser).at("error").get<std::string>());
@@ -179,16 +182,16 @@
 
 // Guards against a note that is applied twice, or reported as failed, when the answer to its commit
 // is lost.
-TEST(operator_desk, asksAgainByIdWhenTheAnswerToTheCommitIsLost)
+TEST(operator_service, repeatsACommitWithALostAnswerUnderItsId)
 {
-    const auto ticket = ask(wire::admin_route::SubmitNote, groupNote);
+    const auto ticket = sendRequest(wire::admin_route::SubmitNote, groupNote);
     while (!isCommitNext())
-        serveNext();
-    serveNext(loss::Answer);
+        servePlatformCall();
+    servePlatformCall(message_loss::Answer);
     CHECK_TRUE(answers.empty());
     for (int i = 0; i < 10 && answers.empty(); ++i) {
-        pass(500ms);
-        serveAll();
+        advanceTime(500ms);
+        serveAllPlatformCalls();
     }
     LONGS_EQUAL(200, answers.at(ticket).status);
     LONGS_EQUAL(1, bodyOf(ticket).at("version").get<int>());
@@ -196,23 +199,23 @@
 }
 
 // Guards against a proof by reports that misses a version which only an unsettled submit made.
-TEST(operator_desk, staysUnsettledUntilTheVersionIsInForce)
+TEST(operator_service, reportsTheSubmitAsUnresolvedUntilItsVersionIsApplied)
 {
-    const auto ticket = ask(wire::admin_route::SubmitNote, groupNote);
+    const auto ticket = sendRequest(wire::admin_route::SubmitNote, groupNote);
     while (!isCommitNext())
-        serveNext();
-    serveNext(loss::Answer);
+        servePlatformCall();
+    servePlatformCall(message_loss::Answer);
     while (answers.empty()) {
-        pass(500ms);
+        advanceTime(500ms);
         while (!calls.empty())
-            serveNext(loss::Request);
+            servePlatformCall(message_loss::Request);
     }
     CHECK_EQUAL(std::string("note_outcome_unknown"), bodyOf(ticket).at("error").get<std::string>());
     CHECK_TRUE(instances->spread.hasUnsettledSubmit);
     LONGS_EQUAL(0, gateway.config.version);
     for (int i = 0; i < 20 && instances->spread.hasUnsettledSubmit; ++i) {
-        pass(500ms);
-        serveAll();
+        advanceTime(500ms);
+        serveAllPlatformCalls();
     }
     CHECK_FALSE(instances->spread.hasUnsettledSubmit);
     LONGS_EQUAL(1, gateway.config.version);
@@ -220,15 +223,15 @@
 
 // Guards against a submit that never ends because its request to the platform was dropped, and
 // against an unbounded queue behind it.
-TEST(operator_desk, answersEverySubmitAlthoughThePlatformIsSilent)
+TEST(operator_service, answersEverySubmitIfThePlatformDoesNotRespond)
 {
     std::vector<std::uint64_t> tickets;
-    for (std::size_t i = 0; i < operator_desk::maxQueuedSubmits + 2; ++i)
-        tickets.push_back(ask(wire::admin_route::SubmitNote, groupNote));
+    for (std::size_t i = 0; i < operator_service::maxQueuedSubmits + 2; ++i)
+        tickets.push_back(sendRequest(wire::admin_route::SubmitNote, groupNote));
     LONGS_EQUAL(1, answers.size());
     CHECK_EQUAL(std::string("overloaded"), bodyOf(tickets.back()).at("error").get<std::string>());
     for (int i = 0; i < 30; ++i)
-        pass(500ms);
+        advanceTime(500ms);
     LONGS_EQUAL(tickets.size(), answers.size());
     CHECK_EQUAL(std::string("platform_unavailable"),
                 bodyOf(tickets.front()).at("error").get<std::string>());
@@ -236,59 +239,59 @@
 }
 
 // Guards against a promotion by an instance that knows nothing of the group.
-TEST(operator_desk, refusesAPromotionElsewhereAndNamesTheOwner)
+TEST(operator_service, refusesAPromotionOfAnUnmonitoredGroupAndNamesTheOwner)
 {
-    static_cast<void>(ask(wire::admin_route::SubmitNote, groupNote));
-    serveAll();
+    static_cast<void>(sendRequest(wire::admin_route::SubmitNote, groupNote));
+    serveAllPlatformCalls();
     gateway.owners.clear();
     gateway.peers[{ "i2" }] = { 8, { "z" }, "127.0.0.1:21998", true, {} };
-    const auto ticket = ask(wire::admin_route::Promote, "{}", "g1");
+    const auto ticket = sendRequest(wire::admin_route::Promote, "{}", "g1");
     LONGS_EQUAL(400, answers.at(ticket).status);
     STRCMP_CONTAINS("'i2'", bodyOf(ticket).at("problem").get<std::string>().c_str());
-    LONGS_EQUAL(404, answers.at(ask(wire::admin_route::Promote, "{}", "g9")).status);
+    LONGS_EQUAL(404, answers.at(sendRequest(wire::admin_route::Promote, "{}", "g9")).status);
 }
 
 // Guards against a command that hangs when no majority of members is in reach.
-TEST(operator_desk, aPromotionWithoutMembersEndsWithUnknownOutcome)
+TEST(operator_service, reportsAnUnknownOutcomeIfNoMemberConfirmsThePromotion)
 {
-    static_cast<void>(ask(wire::admin_route::SubmitNote, groupNote));
-    serveAll();
+    static_cast<void>(sendRequest(wire::admin_route::SubmitNote, groupNote));
+    serveAllPlatformCalls();
     core::gateway_turn turn{ gateway, now, random, actions };
     core::advance(turn);
-    const auto ticket = ask(wire::admin_route::Promote, "{}", "g1");
+    const auto ticket = sendRequest(wire::admin_route::Promote, "{}", "g1");
     LONGS_EQUAL(0, answers.count(ticket));
     CHECK_FALSE(actions.empty());
-    pass(core::handPatience + 500ms);
+    advanceTime(core::handPatience + 500ms);
     CHECK_EQUAL(std::string("unknown"), bodyOf(ticket).at("outcome").get<std::string>());
 }
 
 // Guards against a stop that cuts a submit off, or begins another one.
-TEST(operator_desk, drainsSubmitsAndTakesNoNewOnes)
+TEST(operator_service, drainFinishesTheActiveSubmitAndRefusesFurtherOnes)
 {
-    const auto accepted = ask(wire::admin_route::SubmitNote, groupNote);
+    const auto accepted = sendRequest(wire::admin_route::SubmitNote, groupNote);
     gateway.isDraining = true;
-    CHECK_FALSE(desk->isIdle());
-    const auto refused = ask(wire::admin_route::SubmitNote, switchNote);
+    CHECK_FALSE(service->isIdle());
+    const auto refused = sendRequest(wire::admin_route::SubmitNote, switchNote);
     CHECK_EQUAL(std::string("draining"), bodyOf(refused).at("error").get<std::string>());
-    serveAll();
+    serveAllPlatformCalls();
     LONGS_EQUAL(200, answers.at(accepted).status);
-    CHECK_TRUE(desk->isIdle());
+    CHECK_TRUE(service->isIdle());
 }
 
 TEST_GROUP(admin_access){};
 
 // Guards against the operators' API without the right secret.
-TEST(admin_access, needsTheOperatorsSecret)
+TEST(admin_access, requiresTheOperatorSecret)
 {
     const std::string hash = wire::hashKey("right");
     admin_request into;
     net::http_request request{ "GET", "/v1/admin/status", {}, {} };
-    LONGS_EQUAL(403, refuseAdmin(request, hash, into).value().status);
+    LONGS_EQUAL(403, checkAdminRequest(request, hash, into).value().status);
     request.headers = { { "Authorization", "Bearer wrong" } };
-    LONGS_EQUAL(403, refuseAdmin(request, hash, into).value().status);
+    LONGS_EQUAL(403, checkAdminRequest(request, hash, into).value().status);
     request.headers = { { "Authorization", "Bearer right" } };
-    CHECK_FALSE(refuseAdmin(request, hash, into).has_value());
+    CHECK_FALSE(checkAdminRequest(request, hash, into).has_value());
     CHECK_TRUE(into.route == wire::admin_route::Status);
     request.method = "POST";
-    LONGS_EQUAL(405, refuseAdmin(request, hash, into).value().status);
+    LONGS_EQUAL(405, checkAdminRequest(request, hash, into).value().status);
 }
--- a/tests/unit-settings.cpp
+++ b/tests/unit-settings.cpp
@@ -20,11 +20,11 @@
 TEST_GROUP(settings)
 {
     std::string file = "unit-settings." + std::to_string(getpid()) + ".yaml";
-    const std::string valid = "instance: a1\nzone: alajuela\ncaller_address: 127.0.0.1:1\n"
-                              "admin_address: 127.0.0.1:2\npeer_address: 127.0.0.1:3\n"
-                              "platform_address: 127.0.0.1:4\ncluster_key: "
-                              + std::string(64, '1')
-                              + "\noperator_secret_hash: " + std::string(64, 'a') + "\n";
+    const std::string validSettings = "instance: a1\nzone: alajuela\ncaller_address: 127.0.0.1:1\n"
+                                      "admin_address: 127.0.0.1:2\npeer_address: 127.0.0.1:3\n"
+                                      "platform_address: 127.0.0.1:4\ncluster_key: "
+                                      + std::string(64, '1')
+                                      + "\noperator_secret_hash: " + std::string(64, 'a') + "\n";
 
     std::vector<daemon::settings_problem> read(const std::string &text, daemon::settings &result)
     {
@@ -38,7 +38,7 @@
 TEST(settings, readsEntriesAndDefaults)
 {
     daemon::settings result;
-    const auto problems = read(valid + "keys:\n  unproven_wait_ms: 1000\n", result);
+    const auto problems = read(validSettings + "keys:\n  unproven_wait_ms: 1000\n", result);
     CHECK_TRUE(problems.empty());
     CHECK_EQUAL(std::string("alajuela"), result.zone.value);
     CHECK_EQUAL(1000, result.unprovenWait.count());
@@ -48,23 +48,23 @@
 
 // Guards against a misspelt entry that is silently ignored; the reason must name file, line and
 // entry.
-TEST(settings, namesFileLineAndReason)
+TEST(settings, reportsFileLineAndReason)
 {
     daemon::settings result;
-    const auto problems = read(valid + "drain:\n  limit: 5\n", result);
+    const auto problems = read(validSettings + "drain:\n  limit: 5\n", result);
     CHECK_EQUAL(1, static_cast<int>(problems.size()));
     CHECK_EQUAL(file + ":10: unknown entry 'drain.limit'; see docs/settings.md",
                 toString(problems[0]));
 }
 
-TEST(settings, refusesWrongValuesAndReportsEachOne)
+TEST(settings, refusesInvalidValuesAndReportsEachProblem)
 {
     daemon::settings result;
     for (const char *wrong :
          { "keys:\n  unproven_wait_ms: 999\n", "keys:\n  unproven_wait_ms: 61000\n", "keys: 5\n",
            "queue:\n  capacity: -1\n", "queue:\n  capacity: [1]\n", "log:\n  level: loud\n",
            "zone: again\n", "drain:\n  limit_ms: 1000000000000000000000\n", "x: [\n" })
-        CHECK_FALSE(read(valid + wrong, result).empty());
+        CHECK_FALSE(read(validSettings + wrong, result).empty());
     CHECK_EQUAL(8, static_cast<int>(read("{}", result).size()));
     CHECK_FALSE(read("- a\n", result).empty());
     CHECK_FALSE(read("instance: a b\n", result).empty());
@@ -72,7 +72,7 @@
 }
 
 // Guards against a settings page that differs from what the daemon accepts.
-TEST(settings, pageListsEveryEntryWithUnitDefaultAndBounds)
+TEST(settings, settingsPageMatchesTheTable)
 {
     std::ifstream page(FUCHSIAGW_SOURCE_DIR "/docs/settings.md");
     const std::string text((std::istreambuf_iterator<char>(page)),
@@ -95,22 +95,22 @@
 TEST_GROUP(supervisor){};
 
 // Guards against one failed handler that ends its duty, and against a duty that fails for ever.
-TEST(supervisor, restartsAFailedDutyAndGivesUpAfterTheLimit)
+TEST(supervisor, restartsAThreadUntilItReachesTheFailureLimit)
 {
     std::atomic<int> failures{ 0 };
-    std::promise<std::string> gaveUp;
-    daemon::supervisor root([&](const std::string &, const std::string &) { ++failures; },
-                            [&](const std::string &name) { gaveUp.set_value(name); });
-    auto &context = root.add("decide");
-    std::promise<void> survived;
+    std::promise<std::string> failedThread;
+    daemon::supervisor threads([&](const std::string &, const std::string &) { ++failures; },
+                               [&](const std::string &name) { failedThread.set_value(name); });
+    auto &context = threads.add("decide");
+    std::promise<void> nextHandlerRan;
     boost::asio::post(context, [] { throw std::runtime_error("first"); });
-    boost::asio::post(context, [&] { survived.set_value(); });
-    root.start();
-    survived.get_future().wait();
+    boost::asio::post(context, [&] { nextHandlerRan.set_value(); });
+    threads.start();
+    nextHandlerRan.get_future().wait();
     CHECK_EQUAL(1, failures.load());
-    for (std::size_t i = 1; i < daemon::supervisor::failureLimit; ++i)
+    for (std::size_t i = 1; i < daemon::supervisor::maxFailures; ++i)
         boost::asio::post(context, [] { throw std::runtime_error("again"); });
-    CHECK_EQUAL(std::string("decide"), gaveUp.get_future().get());
-    root.stop();
-    CHECK_EQUAL(static_cast<int>(daemon::supervisor::failureLimit), failures.load());
+    CHECK_EQUAL(std::string("decide"), failedThread.get_future().get());
+    threads.stop();
+    CHECK_EQUAL(static_cast<int>(daemon::supervisor::maxFailures), failures.load());
 }
