--- a/include/fuchsiagw/daemon/admin_message.hpp
+++ b/include/fuchsiagw/daemon/admin_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the admin duty and the decisions say to each other.
+/// @brief Messages between admin_server and gateway_driver.
 
 #pragma once
 
@@ -10,16 +10,16 @@
 
 namespace fuchsiagw::daemon {
 
-/// An operator's request whose secret was right.
+/// An authenticated request of an operator.
 struct admin_request
 {
-    std::uint64_t ticket = 0; ///< names the connection and request; unique
+    std::uint64_t ticket = 0; ///< unique; identifies the HTTP request to answer
     wire::admin_route route = wire::admin_route::Status;
-    std::string argument; ///< note or group
+    std::string argument; ///< id of a note or name of a group; empty for other routes
     std::string body;
 };
 
-/// The one answer to an admin_request.
+/// The answer to an admin_request; each request gets exactly one.
 struct admin_result
 {
     std::uint64_t ticket = 0;
--- a/include/fuchsiagw/daemon/admin_server.hpp
+++ b/include/fuchsiagw/daemon/admin_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The duty that speaks HTTP with operators and answers with the metrics.
+/// @brief HTTP server for operators and for the collection of metrics.
 
 #pragma once
 
@@ -20,44 +20,44 @@
 
 class log_sink;
 
-/// Operators' requests that may wait for an answer at once; the rings hold as many.
+/// Limit of operators' requests that wait for an answer; it is also the capacity of their queues.
 inline constexpr std::size_t maxAdminRequests = 64;
 
-/// @brief Checks the secret and the route of an operators' request.
-/// @param into its route, argument and body are set on success
-/// @return the refusal; nullopt if the request goes to the decisions
+/// @brief Checks the secret and the route of an operator's request.
+/// @param into receives route, argument and body on success
+/// @return the error answer; nullopt if the request is accepted
 /// @complexity linear in the size of the request
 [[nodiscard]] std::optional<wire::admin_answer> checkAdminRequest(const net::http_request &request,
                                                                   std::string_view secretHash,
                                                                   admin_request &into);
 
-/// Where the admin duty gets what it doesn't own.
+/// Functions and metrics of other threads that the admin server uses.
 struct admin_server_inputs
 {
-    /// Hands a request to the decisions; false if their ring is full.
+    /// Passes a request to the gateway's thread; returns false if its queue is full.
     std::function<bool(admin_request &&)> request;
-    std::function<bool()> isReady; ///< any thread may ask
-    /// Makes the duties publish what they count only on demand; called each second.
+    std::function<bool()> isReady; ///< may be called on any thread
+    /// Makes threads that publish metrics on demand do so; called every second.
     std::function<void()> sample;
-    std::vector<snapshot_buffer<metrics> *> sources; ///< read by this duty alone
+    std::vector<snapshot_buffer<metrics> *> sources; ///< this server is their only reader
 };
 
-/// Lives on the thread of its context.
+/// Every function must be called on the thread of the context.
 class admin_server
 {
 public:
     admin_server(boost::asio::io_context &context, const settings &values, const log_sink &log,
                  admin_server_inputs inputs);
 
-    /// @brief Binds the admin address.
+    /// @brief Binds the admin address and starts to accept connections.
     [[nodiscard]] std::error_code start();
 
-    /// @brief Answers a request of an operator. A ticket that is not known is ignored.
+    /// @brief Answers the request that has the ticket of @p result. An unknown ticket is ignored.
     void onAnswer(admin_result &result);
 
     [[nodiscard]] std::uint16_t port() const { return server_.port(); }
 
-    /// @return the sum over all duties
+    /// @return the sum of the metrics of all threads
     [[nodiscard]] metrics collect();
 
 private:
--- a/include/fuchsiagw/daemon/caller_server.hpp
+++ b/include/fuchsiagw/daemon/caller_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The duty that speaks HTTP with callers.
+/// @brief HTTP server for callers.
 
 #pragma once
 
@@ -20,36 +20,36 @@
 
 namespace fuchsiagw::daemon {
 
-/// Lives on the thread of its context, apart from the flags.
+/// Every function must be called on the thread of the context, unless its comment says otherwise.
 class caller_server
 {
 public:
-    /// Hands a request to the decisions; false if their ring is full.
+    /// Passes a request to the gateway's thread; returns false if its queue is full.
     using request_sink = std::function<bool(core::caller_request &&)>;
 
     caller_server(boost::asio::io_context &context, const settings &values, wire::token_keys tokens,
                   request_sink sink);
 
-    /// @brief Binds the callers' port.
+    /// @brief Binds the callers' address and starts to accept connections.
     [[nodiscard]] std::error_code start();
 
-    /// @brief Answers a request. A ticket that is not known, because its caller has gone, is
-    /// ignored.
+    /// @brief Answers the request that has the ticket of @p reply. An unknown
+    /// ticket is ignored: its caller has disconnected.
     void onReply(core::caller_reply &reply);
 
-    /// @brief Takes no new connections and closes the others after their next answer.
+    /// @brief Stops accepting connections; an open one is closed after its next answer.
     void drain();
 
-    /// @return whether requests are accepted; any thread may ask
+    /// @return whether the instance is ready and not draining; any thread may call it
     [[nodiscard]] bool isReady() const { return isReady_ && !isDraining_; }
 
-    /// @return what this duty counts, published each second; one thread may read it
+    /// @return metrics of this server, published every second; one other thread may read them
     [[nodiscard]] snapshot_buffer<metrics> &published() { return published_; }
 
     void setReady(bool ready) { isReady_ = ready; }
     [[nodiscard]] std::uint16_t port() const { return server_.port(); }
 
-    /// @return requests that wait for an answer; any thread may ask
+    /// @return number of requests that wait for an answer; any thread may call it
     [[nodiscard]] std::size_t openRequestCount() const { return openRequestCount_; }
 
 private:
@@ -77,7 +77,8 @@
     core::random_engine random_;
     metrics counts_;
     snapshot_buffer<metrics> published_;
-    std::unordered_set<net::connection_number> connections_; ///< that have sent a request
+    std::unordered_set<net::connection_number>
+            connections_; ///< open connections that have sent a request
     std::unordered_map<std::uint64_t, open_request> openRequests_; ///< by ticket
     std::uint64_t nextTicket_ = 1;
     std::atomic<bool> isReady_{ false };
--- a/include/fuchsiagw/daemon/cluster.hpp
+++ b/include/fuchsiagw/daemon/cluster.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What this instance knows of the others, and how configurations and proofs reach it.
+/// @brief Membership of the cluster and distribution of configurations and freshness proofs.
 
 #pragma once
 
@@ -25,12 +25,14 @@
 {
     std::function<void(peer_command &&)> toPeers;
     std::function<void(platform::platform_order, platform_handler)> toPlatform;
-    std::function<void(const core::configuration &)> onConfiguration; ///< a newer one is taken in
-    std::function<void()> onMembersChanged; ///< the known instances changed
+    std::function<void(const core::configuration &)>
+            onConfiguration; ///< called when a newer version is installed
+    std::function<void()>
+            onMembersChanged; ///< called when the set or state of known instances changes
 };
 
-/// Part of the decisions; lives on their thread. The state is public for reports, only the
-/// functions change it.
+/// Every function must be called on the thread of gateway_driver. Data members are public for
+/// status reports and are changed by the member functions only.
 class cluster
 {
 public:
@@ -47,18 +49,18 @@
     void onConfigurationRequested(const configuration_requested &event);
     void onNoAnswer(const core::instance_id &instance, core::time_point now);
 
-    /// @brief Takes in a configuration that a submit of this instance has made.
+    /// @brief Installs a configuration version that a submit of this instance has created.
     void takeIn(const core::fetch_source &source, std::string_view body, core::time_point now);
 
-    /// @brief Sets whether a version may exist that only a submit of this instance knows of, see
-    /// core::isUnsettled().
+    /// @brief Sets whether a submit of this instance may have created a version that no other
+    /// instance knows, see core::isUnsettled().
     void setUnsettledSubmit(bool isUnsettled) { spread.hasUnsettledSubmit = isUnsettled; }
 
-    /// @brief Tells the others what this instance is about to do.
+    /// @brief Sets the state of this instance and announces it to the instances of its zone.
     void setState(core::sender_state state, core::time_point now);
 
-    /// @return the live instances; those not heard yet have incarnation 0 and count for fair parts
-    /// only
+    /// @return the live instances. One that has not sent a message yet has incarnation 0; it counts
+    /// only when limits are divided between instances.
     [[nodiscard]] std::vector<core::peer_ref> livePeers() const;
 
     [[nodiscard]] const core::known_instance *find(core::incarnation_id incarnation) const;
@@ -68,7 +70,7 @@
     core::membership members;
     core::spread_state spread;
     core::config_store store;
-    core::instance_list list; ///< newest copy of the platform's list
+    core::instance_list list; ///< last instance list that the platform returned
     bool isPlatformReachable = false;
 
 private:
--- a/include/fuchsiagw/daemon/gateway_driver.hpp
+++ b/include/fuchsiagw/daemon/gateway_driver.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The duty that owns the decisions: it feeds events to core and hands its actions on.
+/// @brief Runs the gateway of core: passes events to it and carries out the actions it returns.
 
 #pragma once
 
@@ -22,7 +22,7 @@
 
 class log_sink;
 
-/// A request to the platform with the number under which its result comes back.
+/// A request to the platform; its result carries the same number.
 struct platform_request
 {
     std::uint64_t number = 0;
@@ -36,7 +36,7 @@
     platform::platform_result result;
 };
 
-/// Where the decisions' actions go; each function only pushes into a ring.
+/// Receivers of the gateway's actions; each function only enqueues a message for another thread.
 struct gateway_driver_outputs
 {
     std::function<void(core::caller_reply &&)> reply;
@@ -48,7 +48,7 @@
     std::function<void(admin_result &&)> toAdmin;
 };
 
-/// Lives on the thread of its context.
+/// Every function must be called on the thread of the context, unless its comment says otherwise.
 class gateway_driver
 {
 public:
@@ -62,12 +62,14 @@
     void onPeer(peer_event &event);
     void onAdmin(admin_request &request);
 
-    /// @return what the decisions count; one thread may read it
+    /// @return metrics of the gateway; one other thread may read them
     [[nodiscard]] snapshot_buffer<metrics> &published() { return meter_.published(); }
 
     [[nodiscard]] core::incarnation_id incarnation() const { return gateway_.incarnation; }
 
-    /// @brief Begins a planned stop; @p done is called once when nothing is left to answer.
+    /// @brief Starts a planned stop.
+    /// @param done is called once, when every request is answered and the shares are returned or
+    /// the time for their return is over
     void drain(std::function<void()> done);
 
 private:
@@ -77,7 +79,7 @@
         core::time_point sentAt;
     };
 
-    /// Where the answer to a forward that was taken in goes.
+    /// Link and request to which the answer to a forwarded statement is sent.
     struct forward_origin
     {
         net::link_id link = 0;
@@ -122,13 +124,13 @@
     core::time_point now_;
     core::time_point startedAt_;
     bool isReady_ = false;
-    std::map<std::uint64_t, forward_origin> forwardOrigins_; ///< of forwards taken in, by ticket
+    std::map<std::uint64_t, forward_origin> forwardOrigins_; ///< of received forwards, by ticket
     std::uint64_t nextForwardTicket_ = 1;
     std::map<std::uint64_t, pending_platform_request> platformRequests_;
     std::uint64_t nextPlatformRequest_ = 1;
     std::function<void()> onDrained_;
     core::time_point shareReturnDeadline_ =
-            core::noDeadline; ///< set once nothing is left to answer
+            core::noDeadline; ///< set when the last request is answered
 };
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/log_event.hpp
+++ b/include/fuchsiagw/daemon/log_event.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief The closed list of log events and the values that their fields can hold.
+/// @brief Log events and the values of their fields.
 ///
-/// Every event is one line `event=NNN name=... key=value ...`. The list is docs/events.md. Fields
-/// are made by named constructors that take no free text, so that no line can hold a key, a token
-/// or a statement's parameter.
+/// Each event is written as one line `event=NNN name=... key=value ...`; docs/events.md lists all
+/// events. Fields are created by named constructors that accept no free text, so that no line can
+/// contain a key, a token or a parameter of a statement.
 
 #pragma once
 
@@ -44,7 +44,7 @@
     return logLevelNames.at(static_cast<std::size_t>(level));
 }
 
-/// Every event of the daemon. The numbers are stable; a number is never used again.
+/// Event numbers. They are stable, and the number of a removed event is not reused.
 enum class log_event : int {
     ProcessStarted = 101,
     ProcessReady = 102,
@@ -107,7 +107,7 @@
     LinkClosed = 808,
 };
 
-/// Every field name of the events.
+/// Field names of the events.
 enum class log_key : std::uint8_t {
     Action,
     Address,
@@ -166,24 +166,24 @@
     return logKeyNames.at(static_cast<std::size_t>(key));
 }
 
-/// One row of the list of events.
+/// Description of one event.
 struct log_event_row
 {
     log_event event;
     std::string_view name; ///< stable, snake_case
     log_level level;
-    std::string_view fields; ///< names of the fields that it may have, separated by spaces
+    std::string_view fields; ///< permitted field names, separated by spaces
     std::string_view meaning;
 };
 
-/// @return the whole list, ordered by number
+/// @return all events, ordered by number
 [[nodiscard]] std::span<const log_event_row> logEvents();
 
-/// @brief Looks up the row of an event.
+/// @return the description of an event
 /// @complexity logarithmic in the number of events
 [[nodiscard]] const log_event_row &rowOf(log_event event);
 
-/// An enumeration whose names are fixed in the program.
+/// An enumeration that toString() maps to constant names.
 template <typename type>
 concept named_enum = std::is_enum_v<type> && requires(type value)
 {
@@ -196,7 +196,7 @@
 class field
 {
 public:
-    /// @brief An instance, member, group, zone or workspace.
+    /// @brief Id of an instance, member, group, zone or workspace.
     template <typename tag>
     [[nodiscard]] static field id(log_key key, const core::named_id<tag> &id)
     {
@@ -205,7 +205,6 @@
     [[nodiscard]] static field id(log_key key, const core::request_id &id);
     [[nodiscard]] static field id(log_key key, const core::transaction_id &id);
     [[nodiscard]] static field incarnation(log_key key, core::incarnation_id id);
-    /// @brief A loan's or a note's number.
     template <std::integral number_type>
     [[nodiscard]] static field number(log_key key, number_type value)
     {
@@ -218,7 +217,7 @@
     {
         return { key, std::string(toString(value)) };
     }
-    /// @brief The name of an enumerator whose table stands beside it.
+    /// @brief The name of an enumerator from a table of names.
     template <typename type, std::size_t size>
     requires std::is_enum_v<type>
     [[nodiscard]] static field name(log_key key, type value,
@@ -226,15 +225,15 @@
     {
         return { key, std::string(names.at(static_cast<std::size_t>(value))) };
     }
-    /// @brief The name of an error of the product, or category and number of another error.
+    /// @brief The name of an error of this project, or category and number of any other error.
     [[nodiscard]] static field error(log_key key, const std::error_code &error);
     [[nodiscard]] static field error(log_key key, core::error_kind kind);
     [[nodiscard]] static field position(log_key key, const core::log_position &position);
-    /// @brief A lapse of time in microseconds.
+    /// @brief A duration in microseconds.
     [[nodiscard]] static field duration(log_key key, core::duration value);
-    /// @brief IP number and port; anything else is logged as `invalid`.
+    /// @brief IP address and port; any other text is logged as `invalid`.
     [[nodiscard]] static field address(log_key key, const std::string &address);
-    /// @brief Members with the reason why each was or was not chosen.
+    /// @brief Members, each with the reason why it was or was not chosen.
     template <named_enum type>
     [[nodiscard]] static field members(log_key key,
                                        const std::vector<std::pair<core::member_id, type>> &list)
@@ -260,13 +259,13 @@
     { }
 };
 
-/// @brief Writes the line of an event.
-/// @return fields in the order given; a field that the event does not list is left out and counted
-/// in a last field `unlisted`
+/// @brief Formats the line of an event, with the fields in the given order.
+/// @return the line; a field that the event does not permit is omitted and counted in a last field
+/// `unlisted`
 /// @complexity linear in the size of the fields
 [[nodiscard]] std::string formatEvent(log_event event, std::initializer_list<field> fields);
 
-/// @brief Writes the line of an event to the sink. It never blocks.
+/// @brief Passes the line of an event to the sink without blocking.
 void logEvent(log_sink &sink, log_event event, std::initializer_list<field> fields);
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/operator_service.hpp
+++ b/include/fuchsiagw/daemon/operator_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Carries out what operators ask for on the admin port.
+/// @brief Handles operators' requests from the admin port.
 
 #pragma once
 
@@ -21,7 +21,7 @@
 
 class log_sink;
 
-/// What an operator's command was, for the log.
+/// Kind of an operator's command in log lines.
 enum class operator_action : std::uint8_t {
     Submit,
     Promote,
@@ -34,7 +34,7 @@
 enum class operator_outcome : std::uint8_t {
     Done,
     Refused,
-    Unknown, ///< it may still take effect
+    Unknown, ///< the command may still take effect
 };
 
 inline constexpr std::array<std::string_view, 3> operatorOutcomeNames{ "done", "refused",
@@ -44,38 +44,40 @@
 {
     std::function<void(admin_result &&)> answer;
     std::function<void(platform::platform_order, platform_handler)> toPlatform;
-    std::function<core::gateway_turn()> turn; ///< its actions are carried out after the call
+    std::function<core::gateway_turn()>
+            turn; ///< the turn's actions are performed after the current call
 };
 
-/// The submit under way.
+/// The submit that is being processed.
 struct active_submit
 {
     std::uint64_t ticket = 0;
     core::submit_state state;
-    core::submit_action action; ///< under way, or to be started at its notBefore
-    std::uint64_t attempt = 0; ///< number of the request under way; 0: not started yet
-    core::time_point answerDeadline; ///< then the request counts as not answered
+    core::submit_action action; ///< current step; its request is sent at notBefore
+    std::uint64_t attempt = 0; ///< number of the pending platform request; 0: not sent yet
+    core::time_point answerDeadline; ///< after it the request counts as unanswered
 };
 
-/// Part of the decisions; lives on their thread.
-/// Invariant: every request gets exactly one answer, at its deadline at the latest.
+/// Every function must be called on the thread of gateway_driver.
+/// Invariant: every request gets exactly one answer, no later than at its deadline.
 class operator_service
 {
 public:
-    /// Submits that may wait while another one is under way.
+    /// Limit of submits that wait while another one is processed.
     static constexpr std::size_t maxQueuedSubmits = 16;
 
     operator_service(core::gateway &gateway, cluster &instances, const settings &values,
                      log_sink &log, operator_service_outputs outputs);
 
-    /// @brief Takes in a request whose secret was right.
+    /// @brief Starts to handle an authenticated request.
     void onRequest(admin_request &request, core::time_point now);
 
-    /// @brief Does what is due. Call it several times a second.
+    /// @brief Sends due requests to the platform and answers requests whose deadline has passed. It
+    /// must be called several times per second.
     /// @complexity linear in the requests that wait for an answer
     void tick(core::time_point now);
 
-    /// @return whether no request waits for its answer
+    /// @return whether no request waits for an answer
     [[nodiscard]] bool isIdle() const { return !activeSubmit_ && timeoutAnswers_.empty(); }
 
 private:
@@ -86,7 +88,7 @@
         core::time_point deadline;
     };
 
-    /// The answer to a request that nothing else has answered by its deadline.
+    /// Error answer to a request that has no other answer at its deadline.
     struct timeout_answer
     {
         core::time_point deadline;
@@ -98,7 +100,7 @@
     {
         std::uint64_t ticket = 0;
         core::group_id group;
-        core::term_number previousTerm = 0; ///< highest term when the promotion was ordered
+        core::term_number previousTerm = 0; ///< highest term when the promotion was requested
         core::time_point deadline;
     };
 
@@ -126,9 +128,10 @@
     operator_service_outputs outputs_;
     wire::vouch_challenges challenges_;
     std::optional<active_submit> activeSubmit_;
-    std::deque<queued_submit> queuedSubmits_; ///< empty unless a submit is under way
+    std::deque<queued_submit> queuedSubmits_; ///< empty unless a submit is active
     std::uint64_t nextAttempt_ = 1;
-    bool hasUnknownOutcome_ = false; ///< a submit ended unsettled; the platform was not read since
+    bool hasUnknownOutcome_ =
+            false; ///< a submit ended with an unknown outcome that is not resolved yet
     core::time_point nextRereadAt_;
     std::deque<pending_promotion> promotions_;
     std::map<std::uint64_t, timeout_answer> timeoutAnswers_; ///< by ticket
--- a/include/fuchsiagw/daemon/peer_body.hpp
+++ b/include/fuchsiagw/daemon/peer_body.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Every datagram that daemons exchange, as one type.
+/// @brief Variant of all message bodies that daemons exchange in datagrams.
 
 #pragma once
 
@@ -8,7 +8,8 @@
 #include <fuchsiagw/core/incarnation_lease.hpp>
 #include <fuchsiagw/core/loan_policy.hpp>
 
-// The codec finds isValid() by the types' namespace, so these stand beside the types.
+// The codec finds isValid() by argument-dependent lookup, so it is declared in the types'
+// namespace.
 namespace fuchsiagw::core {
 
 [[nodiscard]] inline bool isValid(const spread_message &value)
@@ -41,11 +42,11 @@
                      core::lease_promise, core::vote_request, core::expiry_vote, core::loan_request,
                      core::loan_grant, core::loan_returns>;
 
-/// @return the kind under which a body travels
+/// @return the message kind of a body
 [[nodiscard]] wire::peer_kind kindOf(const peer_body &body);
 
 /// @brief Reads the body of a datagram.
-/// @return nullopt if it is damaged or its kind is not one of a datagram
+/// @return nullopt if the body is damaged or @p kind is not sent in datagrams
 [[nodiscard]] std::optional<peer_body> readPeerBody(wire::peer_kind kind, std::string_view bytes);
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/peer_messenger.hpp
+++ b/include/fuchsiagw/daemon/peer_messenger.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The duty that exchanges messages with other daemons.
+/// @brief Exchange of datagrams and TCP frames with other daemons.
 
 #pragma once
 
@@ -18,11 +18,11 @@
 
 namespace fuchsiagw::daemon {
 
-/// What the decisions ask of the peer duty. Addresses are peer addresses.
+/// Commands from gateway_driver to peer_messenger. Addresses are peer addresses.
 struct send_datagram
 {
     std::string address;
-    core::incarnation_id receiver = 0; ///< 0: whoever has the address
+    core::incarnation_id receiver = 0; ///< 0: any incarnation at the address
     peer_body body;
 };
 
@@ -34,7 +34,7 @@
     core::statement_request request;
 };
 
-/// The answer to a forward that came over `link`.
+/// Answers a forwarded statement that was received over `link`.
 struct send_forward_answer
 {
     net::link_id link = 0;
@@ -56,7 +56,7 @@
     std::string text;
 };
 
-/// The sender information that goes out with every hello.
+/// Replaces the sender information that every hello message contains.
 struct set_sender_info
 {
     wire::sender_info sender;
@@ -65,7 +65,8 @@
 using peer_command = std::variant<send_datagram, send_forward, send_forward_answer,
                                   fetch_configuration, send_configuration, set_sender_info>;
 
-/// What the peer duty reports. Every sender's MAC and sequence number were right.
+/// Events from peer_messenger to gateway_driver. The MAC and the sequence number of each message
+/// have been checked.
 struct sender_info_received
 {
     core::incarnation_id incarnation = 0;
@@ -95,7 +96,7 @@
 struct forward_failed
 {
     std::uint64_t handle = 0;
-    bool wasWritten = false; ///< false only if no byte of it has left
+    bool wasWritten = false; ///< false only if no byte of the request was written
 };
 
 struct configuration_requested
@@ -108,22 +109,23 @@
 {
     core::instance_id peer;
     core::configuration_version requestedVersion = 0;
-    std::string text; ///< empty: the peer could not be reached or has none
+    std::string text; ///< empty: the peer could not be reached or has no configuration
 };
 
 using peer_event = std::variant<sender_info_received, datagram_received, forward_received,
                                 forward_answer_received, forward_failed, configuration_requested,
                                 configuration_received>;
 
-/// Bytes and drops since the start.
+/// Traffic counters since the start of the process.
 struct peer_traffic
 {
     std::uint64_t datagramBytesSent = 0;
     std::uint64_t datagramBytesReceived = 0;
-    std::uint64_t droppedMessages = 0; ///< damaged, replayed or foreign messages
+    std::uint64_t droppedMessages =
+            0; ///< messages that are damaged, replayed or addressed to another receiver
 };
 
-/// Lives on the thread of its context.
+/// Every function must be called on the thread of the context.
 class peer_messenger
 {
 public:
@@ -132,12 +134,12 @@
     peer_messenger(boost::asio::io_context &context, const settings &values,
                    core::incarnation_id self, event_sink sink);
 
-    /// @brief Binds the UDP and TCP address.
+    /// @brief Binds the UDP and TCP sockets to the peer address.
     [[nodiscard]] std::error_code start();
 
     void perform(peer_command &order);
 
-    /// @brief Goes on under another incarnation; links of the old one are closed by the peers.
+    /// @brief Sends under another incarnation from now on. Peers close the links of the old one.
     void setIncarnation(core::incarnation_id self);
 
     [[nodiscard]] peer_traffic traffic() const;
@@ -145,12 +147,13 @@
 private:
     struct link_state
     {
-        core::incarnation_id incarnation = 0; ///< 0 until its hello
+        core::incarnation_id incarnation = 0; ///< 0 until the hello is received
         core::instance_id instance;
         bool isOutgoing = false;
-        std::set<std::uint64_t> forwards; ///< handles that wait for an answer
+        std::set<std::uint64_t> forwards; ///< handles of forwards without an answer
         std::map<core::request_id, wire::part_joiner> answerParts;
-        core::instance_id configurationSource; ///< a configuration was asked for
+        core::instance_id configurationSource; ///< peer of the open configuration request; empty if
+                                               ///< none is open
         core::configuration_version configurationVersion = 0;
         wire::part_joiner configurationParts;
     };
@@ -176,7 +179,7 @@
     void perform(const fetch_configuration &order);
     void perform(const send_configuration &order);
 
-    /// @return 0 if no link can be had now
+    /// @return the open link to an address, or a new one; 0 if none can be opened
     [[nodiscard]] net::link_id linkTo(const std::string &address);
     template <typename type>
     [[nodiscard]] bool sendFrame(net::link_id link, net::frame_tag tag, wire::peer_kind kind,
--- a/include/fuchsiagw/daemon/process.hpp
+++ b/include/fuchsiagw/daemon/process.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The whole daemon: its duties, the rings between them, and its start and stop.
+/// @brief Start, run and planned stop of the daemon.
 
 #pragma once
 
@@ -13,14 +13,14 @@
 
 /// Exit codes of fuchsiagwd.
 enum class exit_code : int {
-    Stopped = 0, ///< a planned stop that interrupted no request
-    Failed = 1, ///< a duty was beyond repair, or an address could not be bound
-    SettingsInvalid = 2, ///< settings or flags are wrong
-    Interrupted = 3, ///< a planned stop whose deadline ended requests
+    Stopped = 0, ///< planned stop; every request was answered
+    Failed = 1, ///< a thread failed too often, or an address could not be bound
+    SettingsInvalid = 2, ///< settings or flags are invalid
+    Interrupted = 3, ///< planned stop; requests were unanswered at its deadline
 };
 
-/// @brief Runs the daemon until SIGTERM or SIGINT, then drains it.
-/// @complexity blocks for the life of the process
+/// @brief Runs the daemon until SIGTERM or SIGINT, then drains it. It returns when the daemon has
+/// stopped.
 [[nodiscard]] exit_code runDaemon(const settings &values, log_sink &log);
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/settings.hpp
+++ b/include/fuchsiagw/daemon/settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The settings of one daemon, read once from its YAML file.
+/// @brief Settings of the daemon, read from a YAML file at its start.
 
 #pragma once
 
@@ -14,10 +14,11 @@
 
 namespace fuchsiagw::daemon {
 
-/// 32 bytes that all daemons of a deployment share.
+/// Secret key that all daemons of a deployment share.
 using shared_key = std::array<unsigned char, 32>;
 
-/// Invariant: after readSettings() every field is within the bounds that docs/settings.md gives.
+/// Invariant: after readSettings() without problems every field is within the bounds in
+/// docs/settings.md.
 struct settings
 {
     core::instance_id instance;
@@ -26,11 +27,12 @@
     net::endpoint adminAddress;
     net::endpoint peerAddress;
     net::endpoint platformAddress;
-    std::vector<std::string> seeds; ///< peer addresses to ask while the platform's list is missing
+    std::vector<std::string>
+            seeds; ///< peer addresses that are probed until the platform's instance list is read
     shared_key clusterKey{};
     std::string operatorSecretHash;
     std::string logLevel;
-    std::string logFile; ///< empty: standard error
+    std::string logFile; ///< `-`: standard error
 
     std::chrono::milliseconds unprovenWait{ 0 };
     std::chrono::milliseconds drainLimit{ 0 };
@@ -41,7 +43,7 @@
     std::uint32_t callerConnections = 0;
 };
 
-/// One entry that the file may have.
+/// Description of one entry of the file.
 struct setting_description
 {
     std::string_view path;
@@ -54,11 +56,11 @@
 /// @return every entry, in the order of docs/settings.md
 [[nodiscard]] std::vector<setting_description> describeSettings();
 
-/// A mistake in a settings file.
+/// An error in a settings file.
 struct settings_problem
 {
     std::string file;
-    int line = 0; ///< starts at 1; 0 if the mistake has no line
+    int line = 0; ///< starts at 1; 0 if the error belongs to no line
     std::string reason; ///< names the entry and says what to change
 };
 
@@ -66,8 +68,8 @@
 [[nodiscard]] std::string toString(const settings_problem &problem);
 
 /// @brief Reads and checks a settings file.
-/// @param result is complete only if there are no problems
-/// @return every mistake found; empty if the settings are valid
+/// @param result is complete only if no error is returned
+/// @return all errors; empty if the settings are valid
 /// @complexity linear in the size of the file
 [[nodiscard]] std::vector<settings_problem> readSettings(const std::string &file, settings &result);
 
--- a/include/fuchsiagw/daemon/supervisor.hpp
+++ b/include/fuchsiagw/daemon/supervisor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Starts the daemon's duties, restarts one that fails, and stops them all.
+/// @brief Starts the daemon's threads, restarts one that fails, and stops them all.
 
 #pragma once
 
@@ -18,11 +18,12 @@
 
 namespace fuchsiagw::daemon {
 
-/// One thread with one Asio context. Only this thread touches what the duty owns.
-struct worker
+/// A thread that runs one Asio context; log lines call it a duty. The objects on the context are
+/// used by this thread only.
+struct supervised_thread
 {
-    explicit worker(std::string workerName)
-        : name(std::move(workerName))
+    explicit supervised_thread(std::string threadName)
+        : name(std::move(threadName))
         , guard(boost::asio::make_work_guard(context))
     { }
 
@@ -30,42 +31,42 @@
     boost::asio::io_context context{ 1 };
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> guard;
     std::thread thread;
-    std::deque<core::time_point>
-            failures; ///< newest last; only those within failureWindow are kept
+    std::deque<core::time_point> failures; ///< times in ascending order, within failureWindow
 };
 
-/// Root of the supervisor tree; its children are the duties.
-/// A handler that throws ends its turn only: the duty's context goes on with the next handler. A
-/// duty that fails failureLimit times within failureWindow is beyond repair and ends the process.
+/// Runs threads and restarts them after exceptions.
+/// A handler that throws does not end its thread: the context continues with the next handler. A
+/// thread that fails maxFailures times within failureWindow is not restarted again.
 class supervisor
 {
 public:
     static constexpr std::size_t maxFailures = 5;
     static constexpr core::duration failureWindow = std::chrono::seconds(10);
 
-    /// @param onFailure is told the duty and what it threw, on the duty's thread
-    /// @param onGiveUp is called on the duty's thread when it is beyond repair
+    /// @param onFailure is called on the failed thread, with its name and the text of the exception
+    /// @param onPermanentFailure is called on a thread that is not restarted, with its name
     supervisor(std::function<void(const std::string &, const std::string &)> onFailure,
                std::function<void(const std::string &)> onPermanentFailure);
     ~supervisor();
     supervisor(const supervisor &) = delete;
     supervisor &operator=(const supervisor &) = delete;
 
-    /// @brief Adds a duty; its thread starts with start().
+    /// @brief Adds a thread, which start() starts.
+    /// @return the context that the thread runs
     [[nodiscard]] boost::asio::io_context &add(const std::string &name);
 
     void start();
 
-    /// @brief Ends every duty's context and joins the threads.
+    /// @brief Stops all contexts and joins the threads.
     void stop();
 
 private:
-    void run(worker &each);
-    [[nodiscard]] bool recordFailure(worker &each) const;
+    void run(supervised_thread &each);
+    [[nodiscard]] bool recordFailure(supervised_thread &each) const;
 
     std::function<void(const std::string &, const std::string &)> onFailure_;
     std::function<void(const std::string &)> onPermanentFailure_;
-    std::list<worker> workers_;
+    std::list<supervised_thread> threads_;
     std::atomic<bool> isStopping_{ false };
 };
 
--- a/include/fuchsiagw/daemon/upstream_client.hpp
+++ b/include/fuchsiagw/daemon/upstream_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The duty that holds the connections to members.
+/// @brief Connections and control requests to the members of groups.
 
 #pragma once
 
@@ -47,7 +47,7 @@
     std::variant<connect_finished, execute_finished, connection_closed, control_finished> result;
 };
 
-/// Lives on the thread of its context.
+/// Every function must be called on the thread of the context.
 class upstream_client
 {
 public:
@@ -59,8 +59,8 @@
         , eventSink_(std::move(sink))
     { }
 
-    /// @brief Does one of open_connection, send_statement, close_connection and control_call;
-    /// anything else is not for this duty and is ignored.
+    /// @brief Performs open_connection, send_statement, close_connection or control_call; any other
+    /// action is ignored.
     void perform(const core::group_action &action);
 
 private:
--- a/src/daemon/admin_server.cpp
+++ b/src/daemon/admin_server.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Routes of the admin port and the sum of the duties' metrics.
+/// @brief Routes of the admin port and the sum of the threads' metrics.
 
 #include <utility>
 
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr std::size_t maxRequestBodyBytes =
-        4 * 1024 * 1024; // bytes; a first release note names everything
-constexpr std::size_t maxConnections = 256; // operators and collectors of metrics
+        4 * 1024 * 1024; // a first release note contains the whole configuration
+constexpr std::size_t maxConnections = 256; // of operators and metrics collectors
 constexpr core::duration sampleInterval = std::chrono::seconds(1);
 constexpr std::array<std::string_view, 4> openRoutes{ "/metrics", "/healthz", "/readyz",
                                                       "/version" };
@@ -137,7 +137,7 @@
     }
     adminRequest.ticket = nextTicket_++;
     const std::uint64_t ticket = adminRequest.ticket;
-    // The bound on open requests keeps the ring of the answers from filling up.
+    // The limit of open requests prevents an overflow of the answer queue.
     if (openRequests_.size() >= maxAdminRequests || !inputs_.request(std::move(adminRequest))) {
         reply.send(jsonResponse(wire::answerError(core::error_kind::Overloaded)));
         return;
--- a/src/daemon/caller_server.cpp
+++ b/src/daemon/caller_server.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Routes, headers and bodies of the callers' HTTP interface.
+/// @brief Routes and metrics of the callers' HTTP interface.
 
 #include <utility>
 
@@ -21,17 +21,18 @@
 using core::error_kind;
 using core::statement_kind;
 
-constexpr std::size_t maxRequestBodyBytes = 1024 * 1024; // bytes, of one request
+constexpr std::size_t maxRequestBodyBytes =
+        1024 * 1024; // larger bodies are refused with an error answer
 constexpr core::duration publishInterval = std::chrono::seconds(1);
 constexpr std::string_view versionBody = R"({"name":"fuchsiagw","version":"0.1.0"})";
 constexpr std::string_view transactionsPrefix = "/v1/transactions/";
 
-/// What a route asks for.
+/// Meaning of a route.
 struct route_match
 {
     statement_kind kind = statement_kind::Read;
     std::optional<core::transaction_id> transaction;
-    bool isStatement = false; ///< the body tells whether it reads or writes
+    bool isStatement = false; ///< the kind (read or write) is in the body
 };
 
 std::uint64_t randomSeed()
@@ -103,7 +104,7 @@
     return error;
 }
 
-/// Reads the session of a request. A token that can't be used still counts as named.
+/// Reads the session token of a request. An invalid token sets sessionNamed without a session.
 void readSession(const net::http_request &request, const wire::token_keys &tokens,
                  core::caller_request &into)
 {
@@ -133,7 +134,8 @@
               [&values] {
                   net::http_server_options options;
                   options.listenAt = values.callerAddress;
-                  // Beyond the bound of a body, so that a body slightly too large gets an answer.
+                  // Twice the limit, so that a slightly larger body gets an error answer and does
+                  // not close the connection.
                   options.maxBody = 2 * maxRequestBodyBytes;
                   options.maxConnections = values.callerConnections;
                   return options;
--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Membership, the tree of digests and the way of a configuration into force.
+/// @brief Membership, exchange of digests along the tree, and installation of configurations.
 
 #include <utility>
 
@@ -17,18 +17,18 @@
 
 namespace {
 
-/// The list is read every second by few instances and more seldom by many: at 1,600 instances this
-/// makes 107 reads/s of the platform's 2,000.
+/// The interval grows with the number of instances, which bounds the load on the platform: 1,600
+/// instances cause 107 of the 2,000 reads/s that it serves.
 constexpr core::duration minListInterval = std::chrono::seconds(1);
 constexpr core::duration maxListInterval = std::chrono::seconds(15);
 constexpr std::size_t instancesPerIntervalSecond = 100;
 constexpr core::duration seedProbeInterval = std::chrono::seconds(1);
 constexpr std::size_t maxProbesPerTick = 4;
-/// About 1 KB/s until every listed instance is known.
+/// Bounds the probe traffic to about 1 KB/s while incarnations of listed instances are unknown.
 constexpr std::size_t maxUnknownProbesPerRound = 8;
 
-/// Stands for the instances that an instance without the platform's list can't know of, so that it
-/// never counts the ones it knows as all of them.
+/// Placeholder in the tree for instances that are unknown without the platform's list. It keeps
+/// the known instances from being taken for all instances.
 const core::instance_id unlistedInstances{ "?" };
 
 log_event toLogEvent(core::membership_event event)
@@ -103,8 +103,8 @@
     if (now < nextSeedProbeAt_)
         return;
     nextSeedProbeAt_ = now + seedProbeInterval;
-    // Loans, witnesses and other zones' owners are addressed by incarnation, which only they can
-    // tell.
+    // Loans, witnesses and owners in other zones are addressed by incarnation, which is learned
+    // only from messages of the instance itself.
     std::size_t remainingProbes = maxUnknownProbesPerRound;
     for (const auto &[instance, known] : members.instances) {
         if (known.incarnation != 0 || remainingProbes == 0)
@@ -241,7 +241,8 @@
             platform::read_row{ std::string(core::configurationRowKey) },
             [this, root, wave](platform::platform_result &&result, core::time_point sentAt) {
                 core::configuration_row row;
-                // Without the row no configuration was ever accepted: version 0 is the newest.
+                // A missing row means that no configuration was accepted yet: version 0 is the
+                // newest.
                 const bool isEmpty = result.isAnswered && !result.isFound;
                 if (!isEmpty && (!result.isFound || !core::readRow(result.row.value, row)))
                     return;
--- a/src/daemon/gateway_driver.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Events in, actions out, and the clock that drives both.
+/// @brief Event handlers, performed actions and timer of the gateway.
 
 #include <utility>
 
@@ -18,7 +18,7 @@
 
 constexpr core::duration tickInterval = std::chrono::milliseconds(10);
 constexpr core::duration shareReturnTimeout = std::chrono::seconds(5);
-/// After this time an instance with a configuration serves with what it has.
+/// After this time an instance with a configuration accepts callers even without shares or peers.
 constexpr core::duration readyTimeout = std::chrono::seconds(3);
 constexpr core::duration platformTimeout = std::chrono::seconds(2);
 
@@ -29,7 +29,7 @@
     return number;
 }
 
-/// Whether the keeper has home shares of every workspace of which it should have a part.
+/// Returns whether the keeper holds home shares of every workspace that assigns it a fair share.
 bool holdsHomeShares(const core::limit_keeper &keeper)
 {
     if (!keeper.hasJoined)
@@ -95,7 +95,7 @@
                field::address(log_key::Address, net::toString(settings_.callerAddress)) });
     now_ = net::currentTime();
     cluster_.start(now_);
-    // An instance without any peer takes its shares too.
+    // An instance without peers must take its home shares as well.
     onMembersChanged();
     tick();
 }
@@ -119,8 +119,9 @@
     });
 }
 
-// Before its shares are taken and its peers are known an instance would refuse statements that are
-// inside their workspace's rate. Without the platform it can only wait for its peers' loans.
+// An instance that has not taken its shares or does not know its peers would refuse statements
+// within the rate of their workspace. While the platform is unreachable it can only borrow shares
+// from its peers, so the wait ends after readyTimeout.
 void gateway_driver::updateReady()
 {
     if (isReady_ || gateway_.config.version == 0)
@@ -140,7 +141,8 @@
 
 void gateway_driver::finishDrain()
 {
-    // The others take the shares back from an incarnation that could not return them.
+    // Shares that are not returned in time are reclaimed by the other instances when this
+    // incarnation has expired.
     if (shareReturnDeadline_ == core::noDeadline)
         shareReturnDeadline_ = now_ + shareReturnTimeout;
     if (hasLeft(gateway_.keeper) || now_ >= shareReturnDeadline_)
@@ -352,7 +354,8 @@
 
 void gateway_driver::send(const core::group_id &group, const core::publish_to_owners &view)
 {
-    // The owners of the other zones: the first in rendezvous order of each zone's instances.
+    // The receivers are the owners in the other zones: the first instance of each zone in
+    // rendezvous order.
     for (const core::instance_id &owner : rankOtherOwners(gateway_, group)) {
         const core::peer_instance &peer = gateway_.peers.at(owner);
         outputs_.toPeers(send_datagram{ peer.address, peer.incarnation, view.view });
--- a/src/daemon/log_event.cpp
+++ b/src/daemon/log_event.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The table of log events and the form of their lines.
+/// @brief Table of log events and formatting of log lines.
 
 #include <fuchsiagw/daemon/log_event.hpp>
 
@@ -20,7 +20,7 @@
 using event = log_event;
 using level = log_level;
 
-/// Names are bounded where they are set; the bound keeps a line small even if one is not.
+/// Bounds the length of a line even if a name was not checked where it was set.
 constexpr std::size_t maxValueBytes = 1024;
 
 constexpr auto rows = std::to_array<log_event_row>({
--- a/src/daemon/operator_service.cpp
+++ b/src/daemon/operator_service.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Submits, promotions, vouching and reports for operators.
+/// @brief Submits of release notes, promotions, vouching and status reports.
 
 #include <utility>
 
@@ -20,18 +20,18 @@
 using core::error_kind;
 using wire::admin_route;
 
-/// fuchsiagwctl waits 12 s for an answer.
+/// Below the 12 s that fuchsiagwctl waits for an answer.
 constexpr core::duration submitTimeout = std::chrono::seconds(10);
 constexpr core::duration submitAnswerTimeout = std::chrono::seconds(11);
-/// For a request to the platform that is under way at the deadline of its submit.
+/// Additional time for a platform request that is pending at the deadline of its submit.
 constexpr core::duration finalAnswerTimeout = std::chrono::milliseconds(500);
 constexpr core::duration statusTimeout = std::chrono::seconds(4);
 constexpr core::duration promotionAnswerTimeout =
         core::handPatience + std::chrono::milliseconds(500);
-/// Longer than the limit of a request to the platform. It covers one that a full ring has dropped.
+/// Exceeds the timeout of platform requests; it applies to requests dropped from a full queue.
 constexpr core::duration platformAnswerTimeout = std::chrono::seconds(4);
 constexpr core::duration rereadInterval = std::chrono::milliseconds(500);
-/// An owner that does not watch a group any more says nothing about members not heard since.
+/// Time for which an owner that no longer monitors a group reports the last state of its members.
 constexpr core::duration unmonitoredStateLifetime = std::chrono::seconds(5);
 
 using note_id = core::named_id<struct note_tag>;
@@ -92,7 +92,7 @@
     return answer;
 }
 
-/// Reads the version at the beginning of a note's row.
+/// Reads the configuration version at the start of a note's row.
 std::optional<core::configuration_version> readNoteVersion(std::string_view row)
 {
     core::configuration_version version = 0;
@@ -112,7 +112,7 @@
     return member.pause.failures > 0 ? "silent" : "live";
 }
 
-/// Names the instance of this zone that watches a group, for an operator.
+/// Describes, for an error text, the instance of this zone that monitors a group.
 std::string describeOwner(const core::gateway &gateway, const core::group_id &group,
                           core::time_point now)
 {
@@ -140,7 +140,7 @@
     const std::uint64_t ticket = request.ticket;
     const bool isLongRunning =
             request.route == admin_route::SubmitNote || request.route == admin_route::Promote;
-    // The process may end before the outcome is known.
+    // The process may stop before the outcome is known.
     if (gateway_.isDraining && isLongRunning) {
         answer(ticket, wire::answerError(error_kind::Draining));
         return;
@@ -227,7 +227,7 @@
 
 void operator_service::startNextSubmit(core::time_point now)
 {
-    // All submits have the same limit, so the first one's deadline comes first.
+    // All submits have the same timeout, so the queue is ordered by deadline.
     while (!queuedSubmits_.empty() && queuedSubmits_.front().deadline <= now) {
         answer(queuedSubmits_.front().ticket,
                wire::answerError(error_kind::PlatformUnavailable,
@@ -253,16 +253,18 @@
         return;
     const std::uint64_t attempt = nextAttempt_++;
     active.attempt = attempt;
-    // The submit has ended before its request gets the late answer, which knows less.
+    // The submit must end before its timeout answer is sent, because its own result is more
+    // precise.
     active.answerDeadline = std::min(now + platformAnswerTimeout,
                                      std::max(now, active.state.deadline) + finalAnswerTimeout);
     const core::submit_step step = active.action.step;
-    outputs_.toPlatform(makeOrder(active.action), [this, attempt,
-                                                   step](platform::platform_result &&result,
-                                                         core::time_point) {
-        if (activeSubmit_ && activeSubmit_->attempt == attempt)
-            onPlatformAnswer(toPlatformAnswer(step, std::move(result)), outputs_.turn().now);
-    });
+    outputs_.toPlatform(
+            makeOrder(active.action),
+            [this, attempt, step](platform::platform_result &&result, core::time_point) {
+                if (activeSubmit_ && activeSubmit_->attempt == attempt)
+                    onPlatformAnswer(daemon::toPlatformAnswer(step, std::move(result)),
+                                     outputs_.turn().now);
+            });
 }
 
 void operator_service::onPlatformAnswer(const core::platform_answer &result, core::time_point now)
@@ -281,8 +283,8 @@
     const active_submit ended = std::move(*activeSubmit_);
     const core::submit_result &result = ended.state.result;
     const core::release_note &note = ended.state.note;
-    // In this order: the version counts in this instance's reports before they stop to say that a
-    // submit is unsettled.
+    // The version must be in this instance's reports before the reports stop to announce an
+    // unresolved submit.
     if (result.newest)
         cluster_.takeIn({ {}, result.newest->version, result.newestName },
                         cluster_.codec().write(*result.newest), now);
@@ -325,7 +327,8 @@
     outputs_.toPlatform(platform::read_row{ std::string(core::configurationRowKey) },
                         [this, attemptAtRead = nextAttempt_](platform::platform_result &&result,
                                                              core::time_point) {
-                            // A read from before a further submit says nothing about that one.
+                            // A read that started before a later submit does not resolve that
+                            // submit.
                             if (attemptAtRead == nextAttempt_)
                                 onConfigurationRow(result, outputs_.turn().now);
                         });
@@ -343,7 +346,8 @@
         updateSubmitState();
         return;
     }
-    // The version that the submit may have made has to count in this instance's reports first.
+    // The version that the submit may have created must be installed before the submit counts as
+    // resolved.
     const core::fetch_source source{ {}, row.version, row.objectName };
     outputs_.toPlatform(platform::get_object{ row.objectName },
                         [this, source](platform::platform_result &&object, core::time_point) {
@@ -404,7 +408,7 @@
                     view == nullptr ? nullptr : core::findMember(*view, id);
             if (known == nullptr)
                 continue;
-            // A lost primary that was not heard since still looks like one.
+            // A primary that has failed without notice is still reported as primary.
             entry.role =
                     view->primary == id ? core::member_role::Primary : core::member_role::Replica;
             entry.applied = known->applied;
@@ -492,7 +496,7 @@
     });
 }
 
-// ---- freshness and state ----
+// ---- vouching and status ----
 
 void operator_service::vouch(const admin_request &request, core::time_point now)
 {
--- a/src/daemon/peer_body.cpp
+++ b/src/daemon/peer_body.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Kinds and decoding of datagrams.
+/// @brief Message kinds, validation and decoding of datagram bodies.
 
 #include <fuchsiagw/daemon/peer_body.hpp>
 
@@ -38,7 +38,7 @@
 
 using wire::peer_kind;
 
-/// In the order of the alternatives of peer_body.
+/// Kind of each alternative of peer_body, in the order of the variant.
 constexpr std::array<peer_kind, std::variant_size_v<peer_body>> kinds{
     peer_kind::Digest,       peer_kind::Probe,       peer_kind::GroupView,  peer_kind::LeaseRequest,
     peer_kind::LeasePromise, peer_kind::VoteRequest, peer_kind::ExpiryVote, peer_kind::LoanRequest,
--- a/src/daemon/peer_messenger.cpp
+++ b/src/daemon/peer_messenger.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Datagrams and links between daemons.
+/// @brief Handling of datagrams and link frames between daemons.
 
 #include <utility>
 
@@ -161,7 +161,7 @@
     core::statement_answer answer = order.answer;
     answer.id = order.request;
     if (wire::splitAnswer(answer, parts)) {
-        // The statement ran, but its rows do not fit into the bound of a message.
+        // The statement ran, but its rows exceed the size limit of a message.
         core::statement_answer refused;
         refused.id = order.request;
         refused.error = core::error_kind::OutcomeUnknown;
@@ -210,7 +210,8 @@
     }
     link_state &state = linkStates_[link];
     const bool isHello = opened.header.kind == peer_kind::Hello;
-    // Before its hello a peer is nobody, and afterwards the link belongs to one incarnation.
+    // The hello binds a link to the sender's incarnation; frames before it or from another
+    // incarnation are refused.
     if (!isHello && state.incarnation != opened.header.sender) {
         ++droppedMessages_;
         links_.close(link);
--- a/src/daemon/process.cpp
+++ b/src/daemon/process.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Wiring of the duties and the order of start and stop.
+/// @brief Threads of the daemon, queues between them, and the order of start and stop.
 
 #include <utility>
 
@@ -27,7 +27,7 @@
 
 constexpr std::size_t channelCapacity = 65536;
 constexpr core::duration drainPollInterval = std::chrono::milliseconds(50);
-/// An answer that was handed to the front duty still has to be written to its socket.
+/// Time for the caller server to write the last answers to their sockets.
 constexpr core::duration finalWriteDelay = std::chrono::milliseconds(200);
 
 void logThreadFailure(log_sink &log, const std::string &thread)
@@ -43,8 +43,8 @@
     return counts;
 }
 
-/// Everything that lives as long as the process. Members are ended in reverse order: the contexts
-/// of `root` outlive the rings and the duties that use them.
+/// Objects with the lifetime of the process. Members are destroyed in reverse order, so the
+/// contexts of `threads` outlive the queues and the objects that use them.
 struct daemon_process
 {
     const settings &values;
@@ -137,7 +137,7 @@
                              return frontToDecide.push(std::move(message));
                          });
     upstreamClient.emplace(upstreamContext, [this](upstream_event &&event) {
-        // The ring holds more than all connections and control requests can have under way.
+        // The queue holds more events than all connections and control requests can cause at once.
         static_cast<void>(upstreamToDecide.push(std::move(event)));
     });
     gatewayDriver.emplace(decideContext, values, log, outputs());
@@ -183,7 +183,7 @@
                           [this, incarnation] { peerMessenger->setIncarnation(incarnation); });
     };
     result.toAdmin = [this](admin_result &&message) {
-        // The admin duty has no more requests open than the ring holds.
+        // The admin server limits its open requests to the capacity of the queue.
         static_cast<void>(decideToAdmin.push(std::move(message)));
     };
     result.setReady = [this](bool ready) { callerServer->setReady(ready); };
@@ -209,7 +209,7 @@
 
 void daemon_process::drain()
 {
-    // Further signals do not shorten the stop.
+    // Further signals are ignored and do not shorten the drain.
     signals.async_wait([](const boost::system::error_code &, int) {});
     isStopping = true;
     logEvent(log, log_event::DrainStarted,
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reading and checking of the settings file, driven by one table of entries.
+/// @brief Table of the settings, and reading and validation of the file.
 
 #include <fuchsiagw/daemon/settings.hpp>
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Stores a scalar; returns the reason if it is not acceptable.
+/// Stores a value; returns the reason if the value is invalid, otherwise an empty text.
 using setter = std::function<std::string(const std::string &, settings &)>;
 
 struct entry
@@ -26,7 +26,7 @@
 };
 
 constexpr std::size_t keyHexDigits = 64;
-constexpr std::size_t maxNameLength = 64; // characters
+constexpr std::size_t maxNameLength = 64;
 
 bool isName(const std::string &text)
 {
--- a/src/daemon/supervisor.cpp
+++ b/src/daemon/supervisor.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The supervisor's restart rule.
+/// @brief Restart of failed threads.
 
 #include <utility>
 
@@ -23,16 +23,16 @@
 
 boost::asio::io_context &supervisor::add(const std::string &name)
 {
-    return workers_.emplace_back(name).context;
+    return threads_.emplace_back(name).context;
 }
 
 void supervisor::start()
 {
-    for (worker &each : workers_)
+    for (supervised_thread &each : threads_)
         each.thread = std::thread([this, &each] { run(each); });
 }
 
-void supervisor::run(worker &each)
+void supervisor::run(supervised_thread &each)
 {
     while (!isStopping_) {
         try {
@@ -48,7 +48,7 @@
     }
 }
 
-bool supervisor::recordFailure(worker &each) const
+bool supervisor::recordFailure(supervised_thread &each) const
 {
     const core::time_point now = net::currentTime();
     each.failures.push_back(now);
@@ -60,11 +60,11 @@
 void supervisor::stop()
 {
     isStopping_ = true;
-    for (worker &each : workers_) {
+    for (supervised_thread &each : threads_) {
         each.guard.reset();
         each.context.stop();
     }
-    for (worker &each : workers_) {
+    for (supervised_thread &each : threads_) {
         if (each.thread.joinable())
             each.thread.join();
     }
--- a/src/daemon/upstream_client.cpp
+++ b/src/daemon/upstream_client.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Connections and control requests to members over HTTP.
+/// @brief HTTP requests to members and their answers.
 
 #include <utility>
 
@@ -40,7 +40,7 @@
                        wire::toJson(wire::follow_request{ order.position.term, order.primary }));
 }
 
-/// Reads the answer to a control request; anything that is not one counts as no answer.
+/// Reads the answer to a control request; an unreadable answer counts as none.
 core::control_answer readControlAnswer(const core::control_call &order,
                                        const net::http_exchange &exchange)
 {
@@ -69,7 +69,7 @@
     result.wasSent = exchange.sent;
     result.wasSilent = exchange.error == std::errc::timed_out;
     core::execute_answer answer;
-    // An answer that can't be read says nothing about whether the statement ran.
+    // An unreadable answer leaves the outcome of the statement unknown.
     if (!exchange.error && !wire::fromJson(exchange.response.body, answer))
         result.answer = std::move(answer);
     return result;
@@ -102,7 +102,7 @@
     connection->connect(order.deadline,
                         [this, group, id = order.id, connection](std::error_code error) {
                             const auto entry = connections_.find({ group, id });
-                            // Closed while it was being opened.
+                            // The connection was closed before it was established.
                             if (entry == connections_.end() || entry->second != connection) {
                                 connection->close();
                                 return;
--- a/tests/doc-table.hpp
+++ b/tests/doc-table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reads the rows of a page's tables, so that tests can compare pages with the program.
+/// @brief Reads tables of documentation pages for comparison with the program.
 
 #pragma once
 
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-/// @return every table row whose first cell starts with a digit or a code mark, cells trimmed and
-/// without code marks; empty if the page is missing
+/// @return the cells of each table row whose first cell starts with a digit or a backtick, trimmed
+/// and without backticks; empty if the page does not exist
 inline std::vector<std::vector<std::string>> readDocRows(const std::string &page)
 {
     std::ifstream file(std::filesystem::path(FUCHSIAGW_SOURCE_DIR) / "docs" / page);
--- a/tests/unit-log-event.cpp
+++ b/tests/unit-log-event.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of log lines, of the sink and of the pages that list events and errors.
+/// @brief Tests of log lines, of the log sink and of the pages that list events and errors.
 
 #include "doc-table.hpp"
 
@@ -19,13 +19,13 @@
 using daemon::log_event;
 using daemon::log_key;
 
-// Guards against free text in a log line, which could be a key, a token or a parameter.
+// Guards against free text in log lines, which could disclose a key, a token or a parameter.
 static_assert(!std::is_constructible_v<field, log_key, std::string>);
 static_assert(!daemon::named_enum<std::string>);
 
 TEST_GROUP(log_event_list){};
 
-// Guards against a catalogue that operators read and the program does not follow.
+// Guards against an events page that differs from the events that the program writes.
 TEST(log_event_list, eventsPageMatchesTheTable)
 {
     const auto rows = readDocRows("events.md");
@@ -40,7 +40,7 @@
     }
 }
 
-// Guards against errors that callers can't look up.
+// Guards against an errors page that differs from the errors that the program returns.
 TEST(log_event_list, errorsPageMatchesTheTable)
 {
     const auto rows = readDocRows("errors.md");
@@ -57,7 +57,8 @@
     }
 }
 
-// Guards against two events that a reader can't tell apart and fields that no key names.
+// Guards against events with the same number or name and against permitted fields without a
+// log_key.
 TEST(log_event_list, numbersAscendNamesAreUniqueAndFieldsHaveKeys)
 {
     const std::set<std::string_view> keys(daemon::logKeyNames.begin(), daemon::logKeyNames.end());
@@ -79,6 +80,7 @@
 
 TEST_GROUP(log_line){};
 
+// Guards against a value that breaks a line into two lines or fields.
 TEST(log_line, escapesValues)
 {
     const std::string line = daemon::formatEvent(
@@ -91,7 +93,8 @@
                  line.c_str());
 }
 
-// Guards against a secret that is passed off as an address or as a field of another event.
+// Guards against a secret in a log line that was passed as an address or as a field that the event
+// does not permit.
 TEST(log_line, omitsUnlistedFieldsAndInvalidAddresses)
 {
     const std::string line = daemon::formatEvent(
@@ -130,21 +133,21 @@
     }
 };
 
-// Guards against lines lost at the end of the process.
+// Guards against the loss of buffered lines at the end of the process.
 TEST(log_sink, destructorWritesBufferedLines)
 {
     {
         daemon::log_sink sink({ .path = path, .level = daemon::log_level::Info });
         for (int i = 0; i < 100; ++i)
             logEvent(sink, log_event::SettingsRefused, {});
-        logEvent(sink, log_event::MemberProbed, {}); // below the level
+        logEvent(sink, log_event::MemberProbed, {}); // below the configured level
     }
     const auto written = lines();
     LONGS_EQUAL(100, written.size());
     STRCMP_CONTAINS("Z level=error event=108 name=settings_refused", written.back().c_str());
 }
 
-// Guards against a full ring that blocks a duty or loses lines without a count.
+// Guards against a full buffer that blocks the writing thread or drops lines without counting them.
 TEST(log_sink, writesOrCountsEveryLine)
 {
     constexpr std::uint64_t totalLines = 20'000;
@@ -175,7 +178,7 @@
     LONGS_EQUAL(lost, reported);
 }
 
-// Guards against an instance that runs without a log.
+// Guards against an instance that runs without a log because its file cannot be written.
 TEST(log_sink, constructorThrowsIfThePathIsNotWritable)
 {
     CHECK_THROWS(std::exception,
--- a/tests/unit-operator-desk.cpp
+++ b/tests/unit-operator-desk.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of operators' requests at one instance with a platform in memory.
+/// @brief Tests of operator requests to one instance with an in-memory platform.
 
 #include <fuchsiagw/daemon/admin_server.hpp>
 #include <fuchsiagw/daemon/log_sink.hpp>
@@ -123,7 +123,7 @@
                   now);
     }
 
-    /// Serves requests until the platform has nothing to do.
+    /// Serves platform requests, including those that answers cause, until none is pending.
     void serveAllPlatformCalls()
     {
         while (!calls.empty())
@@ -148,8 +148,8 @@
     }
 };
 
-// Guards against an answer before the version is in force here, and against a first note that an
-// instance without configuration can't submit.
+// Guards against a submit that is answered before the instance applies the new version, and against
+// an instance without a configuration that refuses the first note.
 TEST(operator_service, appliesTheFirstNoteBeforeItAnswers)
 {
     const auto ticket = sendRequest(wire::admin_route::SubmitNote, groupNote);
@@ -167,7 +167,7 @@
     CHECK_TRUE(bodyOf(status).at("in_force_here").get<bool>());
 }
 
-// Guards against a lost update: two operators change the same version.
+// Guards against a lost update when two operators submit notes with the same base version.
 TEST(operator_service, refusesANoteWithAnOutdatedBaseVersion)
 {
     const auto winner = sendRequest(wire::admin_route::SubmitNote, groupNote);
@@ -180,8 +180,8 @@
     LONGS_EQUAL(1, gateway.config.version);
 }
 
-// Guards against a note that is applied twice, or reported as failed, when the answer to its commit
-// is lost.
+// Guards against a note that is applied twice or reported as failed because the answer to its
+// commit was lost.
 TEST(operator_service, repeatsACommitWithALostAnswerUnderItsId)
 {
     const auto ticket = sendRequest(wire::admin_route::SubmitNote, groupNote);
@@ -198,7 +198,9 @@
     LONGS_EQUAL(1, testing::findRow(model, std::string(core::configurationRowKey))->version);
 }
 
-// Guards against a proof by reports that misses a version which only an unsettled submit made.
+// Guards against a freshness proof that misses a version: a submit with an unknown outcome may have
+// created one that no instance has applied, so reports must announce the submit until it is
+// resolved.
 TEST(operator_service, reportsTheSubmitAsUnresolvedUntilItsVersionIsApplied)
 {
     const auto ticket = sendRequest(wire::admin_route::SubmitNote, groupNote);
@@ -221,8 +223,8 @@
     LONGS_EQUAL(1, gateway.config.version);
 }
 
-// Guards against a submit that never ends because its request to the platform was dropped, and
-// against an unbounded queue behind it.
+// Guards against a submit that never ends because its platform request was dropped, and against
+// unbounded growth of the queue of later submits.
 TEST(operator_service, answersEverySubmitIfThePlatformDoesNotRespond)
 {
     std::vector<std::uint64_t> tickets;
@@ -238,7 +240,7 @@
     LONGS_EQUAL(0, gateway.config.version);
 }
 
-// Guards against a promotion by an instance that knows nothing of the group.
+// Guards against a promotion by an instance that does not monitor the members of the group.
 TEST(operator_service, refusesAPromotionOfAnUnmonitoredGroupAndNamesTheOwner)
 {
     static_cast<void>(sendRequest(wire::admin_route::SubmitNote, groupNote));
@@ -251,7 +253,7 @@
     LONGS_EQUAL(404, answers.at(sendRequest(wire::admin_route::Promote, "{}", "g9")).status);
 }
 
-// Guards against a command that hangs when no majority of members is in reach.
+// Guards against a promotion that is never answered because no majority of members is reachable.
 TEST(operator_service, reportsAnUnknownOutcomeIfNoMemberConfirmsThePromotion)
 {
     static_cast<void>(sendRequest(wire::admin_route::SubmitNote, groupNote));
@@ -265,7 +267,7 @@
     CHECK_EQUAL(std::string("unknown"), bodyOf(ticket).at("outcome").get<std::string>());
 }
 
-// Guards against a stop that cuts a submit off, or begins another one.
+// Guards against a planned stop that aborts the active submit or starts another one.
 TEST(operator_service, drainFinishesTheActiveSubmitAndRefusesFurtherOnes)
 {
     const auto accepted = sendRequest(wire::admin_route::SubmitNote, groupNote);
@@ -280,7 +282,7 @@
 
 TEST_GROUP(admin_access){};
 
-// Guards against the operators' API without the right secret.
+// Guards against access to the operators' interface without the correct secret.
 TEST(admin_access, requiresTheOperatorSecret)
 {
     const std::string hash = wire::hashKey("right");
--- a/tests/unit-settings.cpp
+++ b/tests/unit-settings.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the settings file and of the supervisor.
+/// @brief Tests of the settings file and of the supervisor of threads.
 
 #include <utility>
 
@@ -46,8 +46,7 @@
     CHECK_EQUAL(0x11, result.clusterKey[31]);
 }
 
-// Guards against a misspelt entry that is silently ignored; the reason must name file, line and
-// entry.
+// Guards against a misspelt entry that is ignored; the error must name file, line and entry.
 TEST(settings, reportsFileLineAndReason)
 {
     daemon::settings result;
@@ -71,7 +70,7 @@
     CHECK_FALSE(daemon::readSettings("no-such-file.yaml", result).empty());
 }
 
-// Guards against a settings page that differs from what the daemon accepts.
+// Guards against a settings page that differs from the entries that the daemon accepts.
 TEST(settings, settingsPageMatchesTheTable)
 {
     std::ifstream page(FUCHSIAGW_SOURCE_DIR "/docs/settings.md");
@@ -94,7 +93,8 @@
 
 TEST_GROUP(supervisor){};
 
-// Guards against one failed handler that ends its duty, and against a duty that fails for ever.
+// Guards against a thread that ends after one exception, and against a thread that is restarted
+// without limit.
 TEST(supervisor, restartsAThreadUntilItReachesTheFailureLimit)
 {
     std::atomic<int> failures{ 0 };
