--- a/include/fuchsiagw/daemon/peer_messenger.hpp
+++ b/include/fuchsiagw/daemon/peer_messenger.hpp
@@ -137,7 +137,7 @@
     /// @brief Binds the UDP and TCP sockets to the peer address.
     [[nodiscard]] std::error_code start();
 
-    void perform(peer_command &order);
+    void perform(peer_command &command);
 
     /// @brief Sends under another incarnation from now on. Peers close the links of the old one.
     void setIncarnation(core::incarnation_id self);
@@ -173,11 +173,11 @@
     void onConfigurationPart(net::link_id link, std::string_view body);
     void onClose(net::link_id link, const net::link_end &end);
 
-    void perform(const send_datagram &order);
-    void perform(const send_forward &order);
-    void perform(const send_forward_answer &order);
-    void perform(const fetch_configuration &order);
-    void perform(const send_configuration &order);
+    void perform(const send_datagram &command);
+    void perform(const send_forward &command);
+    void perform(const send_forward_answer &command);
+    void perform(const fetch_configuration &command);
+    void perform(const send_configuration &command);
 
     /// @return the open link to an address, or a new one; 0 if none can be opened
     [[nodiscard]] net::link_id linkTo(const std::string &address);
--- a/include/fuchsiagw/daemon/upstream_client.hpp
+++ b/include/fuchsiagw/daemon/upstream_client.hpp
@@ -66,10 +66,10 @@
 private:
     using connection_key = std::pair<core::group_id, core::connection_id>;
 
-    void open(const core::group_id &group, const core::open_connection &order);
-    void send(const core::group_id &group, const core::send_statement &order);
+    void open(const core::group_id &group, const core::open_connection &command);
+    void send(const core::group_id &group, const core::send_statement &command);
     void close(const core::group_id &group, core::connection_id id);
-    void control(const core::group_id &group, const core::control_call &order);
+    void control(const core::group_id &group, const core::control_call &command);
 
     boost::asio::io_context &context_;
     net::http_client controlClient_;
--- a/src/daemon/peer_messenger.cpp
+++ b/src/daemon/peer_messenger.cpp
@@ -64,9 +64,9 @@
     return { counters.bytesSent, counters.bytesReceived, droppedMessages_ };
 }
 
-void peer_messenger::perform(peer_command &order)
+void peer_messenger::perform(peer_command &command)
 {
-    if (const auto *sender = std::get_if<set_sender_info>(&order)) {
+    if (const auto *sender = std::get_if<set_sender_info>(&command)) {
         sender_ = sender->sender;
         return;
     }
@@ -75,17 +75,17 @@
                 if constexpr (!std::is_same_v<std::decay_t<decltype(each)>, set_sender_info>)
                     perform(each);
             },
-            order);
+            command);
 }
 
-void peer_messenger::perform(const send_datagram &order)
+void peer_messenger::perform(const send_datagram &command)
 {
     net::endpoint address;
     std::string message;
     const auto seal = [&](const auto &body) {
-        return codec_.seal(kindOf(order.body), order.receiver, body, message);
+        return codec_.seal(kindOf(command.body), command.receiver, body, message);
     };
-    if (net::parseEndpoint(order.address, address) || std::visit(seal, order.body))
+    if (net::parseEndpoint(command.address, address) || std::visit(seal, command.body))
         return;
     datagrams_.send(address, message);
 }
@@ -138,65 +138,67 @@
     static_cast<void>(sendFrame(link, 0, peer_kind::Hello, 0, sender_));
 }
 
-void peer_messenger::perform(const send_forward &order)
+void peer_messenger::perform(const send_forward &command)
 {
-    const net::link_id link = linkTo(order.address);
-    const auto message = wire::toForward(order.request, net::currentTime());
+    const net::link_id link = linkTo(command.address);
+    const auto message = wire::toForward(command.request, net::currentTime());
     if (link == 0
-        || !sendFrame(link, order.handle, peer_kind::ForwardRequest, order.receiver, message)) {
-        eventSink_(forward_failed{ order.handle, false });
+        || !sendFrame(link, command.handle, peer_kind::ForwardRequest, command.receiver, message)) {
+        eventSink_(forward_failed{ command.handle, false });
         return;
     }
-    linkStates_[link].forwards.insert(order.handle);
-    pendingForwards_[order.handle] = { link, order.request.id };
-    handlesByRequest_[order.request.id] = order.handle;
+    linkStates_[link].forwards.insert(command.handle);
+    pendingForwards_[command.handle] = { link, command.request.id };
+    handlesByRequest_[command.request.id] = command.handle;
 }
 
-void peer_messenger::perform(const send_forward_answer &order)
+void peer_messenger::perform(const send_forward_answer &command)
 {
-    const auto state = linkStates_.find(order.link);
+    const auto state = linkStates_.find(command.link);
     if (state == linkStates_.end())
         return;
     std::vector<wire::forward_answer> parts;
-    core::statement_answer answer = order.answer;
-    answer.id = order.request;
+    core::statement_answer answer = command.answer;
+    answer.id = command.request;
     if (wire::splitAnswer(answer, parts)) {
         // The statement ran, but its rows exceed the size limit of a message.
         core::statement_answer refused;
-        refused.id = order.request;
+        refused.id = command.request;
         refused.error = core::error_kind::OutcomeUnknown;
         static_cast<void>(wire::splitAnswer(refused, parts));
     }
     for (const wire::forward_answer &each : parts) {
-        if (!sendFrame(order.link, 0, peer_kind::ForwardAnswer, state->second.incarnation, each)) {
-            links_.close(order.link);
+        if (!sendFrame(command.link, 0, peer_kind::ForwardAnswer, state->second.incarnation,
+                       each)) {
+            links_.close(command.link);
             return;
         }
     }
 }
 
-void peer_messenger::perform(const fetch_configuration &order)
+void peer_messenger::perform(const fetch_configuration &command)
 {
-    const net::link_id link = linkTo(order.address);
-    const wire::configuration_request message{ order.version };
+    const net::link_id link = linkTo(command.address);
+    const wire::configuration_request message{ command.version };
     if (link == 0 || !sendFrame(link, 0, peer_kind::ConfigurationRequest, 0, message)) {
-        eventSink_(configuration_received{ order.peer, order.version, {} });
+        eventSink_(configuration_received{ command.peer, command.version, {} });
         return;
     }
     link_state &state = linkStates_[link];
-    state.configurationSource = order.peer;
-    state.configurationVersion = order.version;
+    state.configurationSource = command.peer;
+    state.configurationVersion = command.version;
     state.configurationParts = {};
 }
 
-void peer_messenger::perform(const send_configuration &order)
+void peer_messenger::perform(const send_configuration &command)
 {
-    const auto state = linkStates_.find(order.link);
+    const auto state = linkStates_.find(command.link);
     std::vector<wire::configuration_body> parts;
-    if (state == linkStates_.end() || wire::splitConfiguration(order.version, 0, order.text, parts))
+    if (state == linkStates_.end()
+        || wire::splitConfiguration(command.version, 0, command.text, parts))
         return;
     for (const wire::configuration_body &each : parts)
-        static_cast<void>(sendFrame(order.link, 0, peer_kind::ConfigurationBody,
+        static_cast<void>(sendFrame(command.link, 0, peer_kind::ConfigurationBody,
                                     state->second.incarnation, each));
 }
 
--- a/src/daemon/upstream_client.cpp
+++ b/src/daemon/upstream_client.cpp
@@ -20,35 +20,36 @@
     };
 }
 
-net::http_request controlRequest(const core::control_call &order)
+net::http_request controlRequest(const core::control_call &command)
 {
-    switch (order.kind) {
+    switch (command.kind) {
     case core::control_kind::Status:
         return { "GET", "/status", {}, {} };
     case core::control_kind::Wait: {
-        const auto held = std::chrono::duration_cast<std::chrono::milliseconds>(order.held);
-        return { "GET", wire::toTarget(wire::wait_request{ order.position, held }), {}, {} };
+        const auto held = std::chrono::duration_cast<std::chrono::milliseconds>(command.held);
+        return { "GET", wire::toTarget(wire::wait_request{ command.position, held }), {}, {} };
     }
     case core::control_kind::AcceptTerm:
-        return postRequest("/accept_term", wire::toJson(wire::term_request{ order.position.term }));
+        return postRequest("/accept_term",
+                           wire::toJson(wire::term_request{ command.position.term }));
     case core::control_kind::Lead:
-        return postRequest("/lead", wire::toJson(wire::term_request{ order.position.term }));
+        return postRequest("/lead", wire::toJson(wire::term_request{ command.position.term }));
     case core::control_kind::Follow:
         break;
     }
-    return postRequest("/follow",
-                       wire::toJson(wire::follow_request{ order.position.term, order.primary }));
+    return postRequest("/follow", wire::toJson(wire::follow_request{ command.position.term,
+                                                                     command.primary }));
 }
 
 /// Reads the answer to a control request; an unreadable answer counts as none.
-core::control_answer readControlAnswer(const core::control_call &order,
+core::control_answer readControlAnswer(const core::control_call &command,
                                        const net::http_exchange &exchange)
 {
     core::control_answer result;
-    result.number = order.number;
+    result.number = command.number;
     if (exchange.error || exchange.response.status != statusOk)
         return result;
-    if (order.kind == core::control_kind::AcceptTerm) {
+    if (command.kind == core::control_kind::AcceptTerm) {
         core::accept_term_answer answer;
         if (wire::fromJson(exchange.response.body, answer))
             return result;
@@ -90,17 +91,17 @@
         control(group, *call);
 }
 
-void upstream_client::open(const core::group_id &group, const core::open_connection &order)
+void upstream_client::open(const core::group_id &group, const core::open_connection &command)
 {
     net::endpoint address;
-    if (net::parseEndpoint(order.address, address)) {
-        eventSink_({ group, connect_finished{ order.id, false } });
+    if (net::parseEndpoint(command.address, address)) {
+        eventSink_({ group, connect_finished{ command.id, false } });
         return;
     }
     const auto connection = net::http_connection::create(context_, address);
-    connections_[{ group, order.id }] = connection;
-    connection->connect(order.deadline,
-                        [this, group, id = order.id, connection](std::error_code error) {
+    connections_[{ group, command.id }] = connection;
+    connection->connect(command.deadline,
+                        [this, group, id = command.id, connection](std::error_code error) {
                             const auto entry = connections_.find({ group, id });
                             // The connection was closed before it was established.
                             if (entry == connections_.end() || entry->second != connection) {
@@ -111,22 +112,22 @@
                                 connections_.erase(entry);
                             eventSink_({ group, connect_finished{ id, !error } });
                         });
-    connection->onClosedWhileIdle([this, group, id = order.id] {
+    connection->onClosedWhileIdle([this, group, id = command.id] {
         if (connections_.erase({ group, id }) != 0)
             eventSink_({ group, connection_closed{ id } });
     });
 }
 
-void upstream_client::send(const core::group_id &group, const core::send_statement &order)
+void upstream_client::send(const core::group_id &group, const core::send_statement &command)
 {
-    const auto entry = connections_.find({ group, order.id });
+    const auto entry = connections_.find({ group, command.id });
     if (entry == connections_.end()) {
-        eventSink_({ group, execute_finished{ order.id, std::nullopt, false, false } });
+        eventSink_({ group, execute_finished{ command.id, std::nullopt, false, false } });
         return;
     }
     const auto connection = entry->second;
-    connection->exchange(postRequest("/execute", wire::toJson(order.request)), order.deadline,
-                         [this, group, id = order.id](net::http_exchange &&exchange) {
+    connection->exchange(postRequest("/execute", wire::toJson(command.request)), command.deadline,
+                         [this, group, id = command.id](net::http_exchange &&exchange) {
                              const auto current = connections_.find({ group, id });
                              if (current == connections_.end())
                                  return;
@@ -146,17 +147,17 @@
     connection->close();
 }
 
-void upstream_client::control(const core::group_id &group, const core::control_call &order)
+void upstream_client::control(const core::group_id &group, const core::control_call &command)
 {
     net::endpoint address;
-    if (net::parseEndpoint(order.address, address)) {
-        eventSink_({ group, control_finished{ { order.number, std::nullopt, false } } });
+    if (net::parseEndpoint(command.address, address)) {
+        eventSink_({ group, control_finished{ { command.number, std::nullopt, false } } });
         return;
     }
     controlClient_.call(
-            address, controlRequest(order), order.deadline,
-            [this, group, order](net::http_exchange &&exchange) {
-                eventSink_({ group, control_finished{ readControlAnswer(order, exchange) } });
+            address, controlRequest(command), command.deadline,
+            [this, group, command](net::http_exchange &&exchange) {
+                eventSink_({ group, control_finished{ readControlAnswer(command, exchange) } });
             });
 }
 
