--- a/include/fuchsiagw/daemon/supervisor.hpp
+++ b/include/fuchsiagw/daemon/supervisor.hpp
@@ -36,7 +36,8 @@
 
 /// Runs threads and restarts them after exceptions.
 /// A handler that throws does not end its thread: the context continues with the next handler. A
-/// thread that fails maxFailures times within failureWindow is not restarted again.
+/// thread that fails maxFailures times within failureWindow is not restarted again, and the
+/// daemon stops the process.
 class supervisor
 {
 public:
@@ -62,6 +63,7 @@
 
 private:
     void run(supervised_thread &each);
+    /// @return whether the thread has reached maxFailures within failureWindow
     [[nodiscard]] bool recordFailure(supervised_thread &each) const;
 
     std::function<void(const std::string &, const std::string &)> onFailure_;
--- a/src/daemon/gateway_driver.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -141,8 +141,7 @@
 
 void gateway_driver::finishDrain()
 {
-    // Shares that are not returned in time are reclaimed by the other instances when this
-    // incarnation has expired.
+    // The other instances reclaim shares that an incarnation could not return in time.
     if (shareReturnDeadline_ == core::noDeadline)
         shareReturnDeadline_ = now_ + shareReturnTimeout;
     if (hasLeft(gateway_.keeper) || now_ >= shareReturnDeadline_)
