--- a/include/fuchsiagw/daemon/cluster.hpp
+++ b/include/fuchsiagw/daemon/cluster.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What this instance knows of the others, and how configurations and proofs reach it.
+/// @brief Membership of the cluster and distribution of configurations and freshness proofs.
 
 #pragma once
 
@@ -23,14 +23,16 @@
 
 struct cluster_outputs
 {
-    std::function<void(peer_order &&)> toPeers;
+    std::function<void(peer_command &&)> toPeers;
     std::function<void(platform::platform_order, platform_handler)> toPlatform;
-    std::function<void(const core::configuration &)> onConfiguration; ///< a newer one is taken in
-    std::function<void()> onMembers; ///< the known instances changed
+    std::function<void(const core::configuration &)>
+            onConfiguration; ///< called when a newer version is installed
+    std::function<void()>
+            onMembersChanged; ///< called when the set or state of known instances changes
 };
 
-/// Part of the decisions; lives on their thread. The state is public for reports, only the
-/// functions change it.
+/// Every function must be called on the thread of gateway_driver. Data members are public for
+/// status reports and are changed by the member functions only.
 class cluster
 {
 public:
@@ -39,27 +41,27 @@
     void start(core::time_point now);
     void tick(core::time_point now);
 
-    void onHeard(const peer_heard &event, core::time_point now);
+    void onHeard(const sender_info_received &event, core::time_point now);
     void onDigest(core::incarnation_id from, const digest &message, core::time_point now);
     void onProbe(core::incarnation_id from, const wire::probe_message &message,
                  core::time_point now);
-    void onConfigurationCame(const configuration_came &event, core::time_point now);
-    void onConfigurationWanted(const configuration_wanted &event);
+    void onConfigurationReceived(const configuration_received &event, core::time_point now);
+    void onConfigurationRequested(const configuration_requested &event);
     void onNoAnswer(const core::instance_id &instance, core::time_point now);
 
-    /// @brief Takes in a configuration that a submit of this instance has made.
+    /// @brief Installs a configuration version that a submit of this instance has created.
     void installVersion(const core::fetch_source &source, std::string_view body,
                         core::time_point now);
 
-    /// @brief Sets whether a version may exist that only a submit of this instance knows of, see
-    /// core::isUnresolved().
+    /// @brief Sets whether a submit of this instance may have created a version that no other
+    /// instance knows, see core::isUnresolved().
     void setUnresolvedSubmit(bool isUnresolved) { spread.hasUnresolvedSubmit = isUnresolved; }
 
-    /// @brief Tells the others what this instance is about to do.
+    /// @brief Sets the state of this instance and announces it to the instances of its zone.
     void setState(core::sender_state state, core::time_point now);
 
-    /// @return the live instances; those not heard yet have incarnation 0 and count for fair parts
-    /// only
+    /// @return the live instances. One that has not sent a message yet has incarnation 0; it counts
+    /// only when limits are divided between instances.
     [[nodiscard]] std::vector<core::peer_ref> livePeers() const;
 
     [[nodiscard]] const core::known_instance *find(core::incarnation_id incarnation) const;
@@ -69,15 +71,15 @@
     core::membership members;
     core::spread_state spread;
     core::config_store store;
-    core::instance_list list; ///< newest copy of the platform's list
+    core::instance_list list; ///< last instance list that the platform returned
     bool isPlatformReachable = false;
 
 private:
-    void readList(core::time_point now);
-    void takeList(core::instance_list &&newList, core::time_point now);
-    void listen(core::time_point now);
+    void requestInstanceList(core::time_point now);
+    void applyInstanceList(core::instance_list &&newList, core::time_point now);
+    void sendProbes(core::time_point now);
     void perform(std::vector<core::spread_action> &actions, core::time_point now);
-    void readVersion(std::uint64_t root, std::uint64_t roundNumber);
+    void readConfigurationRow(std::uint64_t root, std::uint64_t wave);
     void fetch(const core::fetch_source &source);
     void apply(const std::vector<core::membership_change> &changes, core::time_point now);
     void updatePeers();
@@ -89,8 +91,8 @@
     log_sink &log_;
     cluster_outputs outputs_;
     core::sender_state state_ = core::sender_state::Live;
-    core::time_point nextList_;
-    core::time_point nextSeedProbe_;
+    core::time_point nextListAt_;
+    core::time_point nextSeedProbeAt_;
     bool hasList_ = false;
 };
 
--- a/include/fuchsiagw/daemon/gateway_driver.hpp
+++ b/include/fuchsiagw/daemon/gateway_driver.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The duty that owns the decisions: it feeds events to core and hands its actions on.
+/// @brief Runs the gateway of core: passes events to it and carries out the actions it returns.
 
 #pragma once
 
@@ -22,7 +22,7 @@
 
 class log_sink;
 
-/// A request to the platform with the number under which its result comes back.
+/// A request to the platform; its result carries the same number.
 struct platform_request
 {
     std::uint64_t number = 0;
@@ -36,24 +36,24 @@
     platform::platform_result result;
 };
 
-/// Where the decisions' actions go; each function only pushes into a ring.
-struct decide_outputs
+/// Receivers of the gateway's actions; each function only enqueues a message for another thread.
+struct gateway_driver_outputs
 {
     std::function<void(core::caller_reply &&)> reply;
     std::function<void(core::group_action &&)> toUpstream;
     std::function<void(platform_request &&)> toPlatform;
-    std::function<void(peer_order &&)> toPeers;
+    std::function<void(peer_command &&)> toPeers;
     std::function<void(core::incarnation_id)> setIncarnation;
     std::function<void(bool)> setReady;
     std::function<void(admin_result &&)> toAdmin;
 };
 
-/// Lives on the thread of its context.
-class decide
+/// Every function must be called on the thread of the context, unless its comment says otherwise.
+class gateway_driver
 {
 public:
-    decide(boost::asio::io_context &context, const settings &values, log_sink &log,
-           decide_outputs outputs);
+    gateway_driver(boost::asio::io_context &context, const settings &values, log_sink &log,
+                   gateway_driver_outputs outputs);
 
     void start();
     void onCaller(core::caller_request &request);
@@ -62,22 +62,24 @@
     void onPeer(peer_event &event);
     void onAdmin(admin_request &request);
 
-    /// @return what the decisions count; one thread may read it
+    /// @return metrics of the gateway; one other thread may read them
     [[nodiscard]] snapshot_buffer<metrics> &published() { return meter_.published(); }
 
     [[nodiscard]] core::incarnation_id incarnation() const { return gateway_.incarnation; }
 
-    /// @brief Begins a planned stop; @p done is called once when nothing is left to answer.
+    /// @brief Starts a planned stop.
+    /// @param done is called once, when every request is answered and the shares are returned or
+    /// the time for their return is over
     void drain(std::function<void()> done);
 
 private:
-    struct pending_request
+    struct pending_platform_request
     {
         platform_handler done;
         core::time_point sentAt;
     };
 
-    /// Where the answer to a forward that was taken in goes.
+    /// Link and request to which the answer to a forwarded statement is sent.
     struct forward_origin
     {
         net::link_id link = 0;
@@ -92,43 +94,43 @@
     void log(const core::group_id &group, const core::route_decided &decided);
     void log(const core::group_id &group, const core::owner_notice &notice);
     void log(const core::caller_reply &reply);
-    void callPlatform(platform::platform_order order, platform_handler done);
-    void callKeeperOrder(core::limit_platform_call &&call);
-    void onMembers();
-    void claim(const core::group_id &group, core::term_number term);
+    void sendPlatformRequest(platform::platform_order order, platform_handler done);
+    void sendKeeperRequest(core::limit_platform_call &&call);
+    void onMembersChanged();
+    void recordPromotionClaim(const core::group_id &group, core::term_number term);
     void send(core::limit_message &&message);
     void send(core::forward_statement &&forward);
     void send(core::forward_result &&result);
     void send(const core::group_id &group, const core::publish_to_owners &view);
-    void take(peer_heard &event);
-    void take(peer_message &event);
-    void take(peer_forward &event);
-    void take(forward_answered &event);
-    void take(forward_lost &event);
-    void take(configuration_wanted &event);
-    void take(configuration_came &event);
+    void onEvent(sender_info_received &event);
+    void onEvent(datagram_received &event);
+    void onEvent(forward_received &event);
+    void onEvent(forward_answer_received &event);
+    void onEvent(forward_failed &event);
+    void onEvent(configuration_requested &event);
+    void onEvent(configuration_received &event);
     [[nodiscard]] core::gateway_turn turn();
 
     boost::asio::steady_timer timer_;
     const settings &settings_;
     log_sink &log_;
-    decide_outputs outputs_;
+    gateway_driver_outputs outputs_;
     core::random_engine random_;
     core::gateway gateway_;
     core::gateway_actions actions_;
     cluster cluster_;
-    operator_desk desk_;
+    operator_service operatorService_;
     decision_meter meter_;
     core::time_point now_;
     core::time_point startedAt_;
     bool isReady_ = false;
-    std::map<std::uint64_t, forward_origin> origins_; ///< of forwards taken in, by ticket
-    std::uint64_t nextOrigin_ = 1;
-    std::map<std::uint64_t, pending_request> requests_;
-    std::uint64_t nextRequest_ = 1;
-    std::function<void()> drained_;
+    std::map<std::uint64_t, forward_origin> forwardOrigins_; ///< of received forwards, by ticket
+    std::uint64_t nextForwardTicket_ = 1;
+    std::map<std::uint64_t, pending_platform_request> platformRequests_;
+    std::uint64_t nextPlatformRequest_ = 1;
+    std::function<void()> onDrained_;
     core::time_point shareReturnDeadline_ =
-            core::noDeadline; ///< set once nothing is left to answer
+            core::noDeadline; ///< set when the last request is answered
 };
 
 } // namespace fuchsiagw::daemon
--- a/include/fuchsiagw/daemon/peer_messenger.hpp
+++ b/include/fuchsiagw/daemon/peer_messenger.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The duty that exchanges messages with other daemons.
+/// @brief Exchange of datagrams and TCP frames with other daemons.
 
 #pragma once
 
@@ -18,11 +18,11 @@
 
 namespace fuchsiagw::daemon {
 
-/// What the decisions ask of the peer duty. Addresses are peer addresses.
+/// Commands from gateway_driver to peer_messenger. Addresses are peer addresses.
 struct send_datagram
 {
     std::string address;
-    core::incarnation_id receiver = 0; ///< 0: whoever has the address
+    core::incarnation_id receiver = 0; ///< 0: any incarnation at the address
     peer_body body;
 };
 
@@ -34,7 +34,7 @@
     core::statement_request request;
 };
 
-/// The answer to a forward that came over `link`.
+/// Answers a forwarded statement that was received over `link`.
 struct send_forward_answer
 {
     net::link_id link = 0;
@@ -56,87 +56,90 @@
     std::string text;
 };
 
-/// The sender information that goes out with every hello.
-struct set_sender
+/// Replaces the sender information that every hello message contains.
+struct set_sender_info
 {
     wire::sender_info sender;
 };
 
-using peer_order = std::variant<send_datagram, send_forward, send_forward_answer,
-                                fetch_configuration, send_configuration, set_sender>;
+using peer_command = std::variant<send_datagram, send_forward, send_forward_answer,
+                                  fetch_configuration, send_configuration, set_sender_info>;
 
-/// What the peer duty reports. Every sender's MAC and sequence number were right.
-struct peer_heard
+/// Events from peer_messenger to gateway_driver. The MAC and the sequence number of each message
+/// have been checked.
+struct sender_info_received
 {
     core::incarnation_id incarnation = 0;
     wire::sender_info sender;
 };
 
-struct peer_message
+struct datagram_received
 {
     core::incarnation_id from = 0;
     peer_body body;
     core::time_point arrivedAt;
 };
 
-struct peer_forward
+struct forward_received
 {
     net::link_id link = 0;
     core::instance_id from;
     core::statement_request request;
 };
 
-struct forward_answered
+struct forward_answer_received
 {
     std::uint64_t handle = 0;
     core::statement_answer answer;
 };
 
-struct forward_lost
+struct forward_failed
 {
     std::uint64_t handle = 0;
-    bool wasWritten = false; ///< false only if no byte of it has left
+    bool wasWritten = false; ///< false only if no byte of the request was written
 };
 
-struct configuration_wanted
+struct configuration_requested
 {
     net::link_id link = 0;
     core::configuration_version version = 0;
 };
 
-struct configuration_came
+struct configuration_received
 {
     core::instance_id peer;
-    core::configuration_version asked = 0;
-    std::string text; ///< empty: the peer could not be reached or has none
+    core::configuration_version requestedVersion = 0;
+    std::string text; ///< empty: the peer could not be reached or has no configuration
 };
 
-using peer_event = std::variant<peer_heard, peer_message, peer_forward, forward_answered,
-                                forward_lost, configuration_wanted, configuration_came>;
+using peer_event = std::variant<sender_info_received, datagram_received, forward_received,
+                                forward_answer_received, forward_failed, configuration_requested,
+                                configuration_received>;
 
-/// Bytes and drops since the start.
+/// Traffic counters since the start of the process.
 struct peer_traffic
 {
     std::uint64_t datagramBytesSent = 0;
     std::uint64_t datagramBytesReceived = 0;
-    std::uint64_t dropped = 0; ///< damaged, replayed or foreign messages
+    std::uint64_t droppedMessages =
+            0; ///< messages that are damaged, replayed or addressed to another receiver
 };
 
-/// Lives on the thread of its context.
-class peer_duty
+/// Every function must be called on the thread of the context.
+class peer_messenger
 {
 public:
     using event_sink = std::function<void(peer_event &&)>;
 
-    peer_duty(boost::asio::io_context &context, const settings &values, core::incarnation_id self,
-              event_sink sink);
+    peer_messenger(boost::asio::io_context &context, const settings &values,
+                   core::incarnation_id self, event_sink sink);
 
-    /// @brief Binds the UDP and TCP address.
+    /// @brief Binds the UDP and TCP sockets to the peer address.
     [[nodiscard]] std::error_code start();
 
-    void perform(peer_order &order);
+    void perform(peer_command &command);
 
-    /// @brief Goes on under another incarnation; links of the old one are closed by the peers.
+    /// @brief Sends under another incarnation from now on. Peers close the links of the old one.
     void setIncarnation(core::incarnation_id self);
 
     [[nodiscard]] peer_traffic traffic() const;
@@ -144,17 +147,18 @@
 private:
     struct link_state
     {
-        core::incarnation_id incarnation = 0; ///< 0 until its hello
+        core::incarnation_id incarnation = 0; ///< 0 until the hello is received
         core::instance_id instance;
-        bool isOpener = false;
-        std::set<std::uint64_t> forwards; ///< handles that wait for an answer
-        std::map<core::request_id, wire::part_joiner> answers;
-        core::instance_id configurationPeer; ///< a configuration was asked for
-        core::configuration_version configurationAsked = 0;
-        wire::part_joiner configuration;
+        bool isOutgoing = false;
+        std::set<std::uint64_t> forwards; ///< handles of forwards without an answer
+        std::map<core::request_id, wire::part_joiner> answerParts;
+        core::instance_id configurationSource; ///< peer of the open configuration request; empty if
+                                               ///< none is open
+        core::configuration_version configurationVersion = 0;
+        wire::part_joiner configurationParts;
     };
 
-    struct waiting_forward
+    struct pending_forward
     {
         net::link_id link = 0;
         core::request_id request;
@@ -164,35 +168,35 @@
     void onFrame(net::link_id link, std::string_view frame);
     void onHello(net::link_id link, core::incarnation_id incarnation, std::string_view body);
     void onForward(net::link_id link, std::string_view body);
-    void onForwardPart(net::link_id link, std::string_view body);
+    void onForwardAnswerPart(net::link_id link, std::string_view body);
     void onConfigurationRequest(net::link_id link, std::string_view body);
     void onConfigurationPart(net::link_id link, std::string_view body);
     void onClose(net::link_id link, const net::link_end &end);
 
-    void perform(const send_datagram &order);
-    void perform(const send_forward &order);
-    void perform(const send_forward_answer &order);
-    void perform(const fetch_configuration &order);
-    void perform(const send_configuration &order);
+    void perform(const send_datagram &command);
+    void perform(const send_forward &command);
+    void perform(const send_forward_answer &command);
+    void perform(const fetch_configuration &command);
+    void perform(const send_configuration &command);
 
-    /// @return 0 if no link can be had now
+    /// @return the open link to an address, or a new one; 0 if none can be opened
     [[nodiscard]] net::link_id linkTo(const std::string &address);
     template <typename type>
     [[nodiscard]] bool sendFrame(net::link_id link, net::frame_tag tag, wire::peer_kind kind,
                                  core::incarnation_id receiver, const type &body);
-    void sayHello(net::link_id link);
+    void sendHello(net::link_id link);
 
     wire::peer_keys keys_;
     wire::peer_codec codec_;
     wire::sender_info sender_;
-    net::endpoint listenAt_;
-    event_sink sink_;
+    net::endpoint listenAddress_;
+    event_sink eventSink_;
     net::udp_link datagrams_;
     net::tcp_links links_;
-    std::map<net::link_id, link_state> states_;
-    std::map<std::uint64_t, waiting_forward> forwards_; ///< by handle
-    std::map<core::request_id, std::uint64_t> handles_; ///< by request
-    std::uint64_t dropped_ = 0;
+    std::map<net::link_id, link_state> linkStates_;
+    std::map<std::uint64_t, pending_forward> pendingForwards_; ///< by handle
+    std::map<core::request_id, std::uint64_t> handlesByRequest_; ///< by request
+    std::uint64_t droppedMessages_ = 0;
 };
 
 } // namespace fuchsiagw::daemon
--- a/src/daemon/upstream_client.cpp
+++ b/src/daemon/upstream_client.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Connections and control requests to members over HTTP.
+/// @brief HTTP requests to members and their answers.
 
 #include <utility>
 
@@ -20,35 +20,36 @@
     };
 }
 
-net::http_request controlRequest(const core::control_call &order)
+net::http_request controlRequest(const core::control_call &command)
 {
-    switch (order.kind) {
+    switch (command.kind) {
     case core::control_kind::Status:
         return { "GET", "/status", {}, {} };
     case core::control_kind::Wait: {
-        const auto held = std::chrono::duration_cast<std::chrono::milliseconds>(order.held);
-        return { "GET", wire::toTarget(wire::wait_request{ order.position, held }), {}, {} };
+        const auto held = std::chrono::duration_cast<std::chrono::milliseconds>(command.held);
+        return { "GET", wire::toTarget(wire::wait_request{ command.position, held }), {}, {} };
     }
     case core::control_kind::AcceptTerm:
-        return postRequest("/accept_term", wire::toJson(wire::term_request{ order.position.term }));
+        return postRequest("/accept_term",
+                           wire::toJson(wire::term_request{ command.position.term }));
     case core::control_kind::Lead:
-        return postRequest("/lead", wire::toJson(wire::term_request{ order.position.term }));
+        return postRequest("/lead", wire::toJson(wire::term_request{ command.position.term }));
     case core::control_kind::Follow:
         break;
     }
-    return postRequest("/follow",
-                       wire::toJson(wire::follow_request{ order.position.term, order.primary }));
+    return postRequest("/follow", wire::toJson(wire::follow_request{ command.position.term,
+                                                                     command.primary }));
 }
 
-/// Reads the answer to a control request; anything that is not one counts as no answer.
-core::control_answer readControl(const core::control_call &order,
-                                 const net::http_exchange &exchange)
+/// Reads the answer to a control request; an unreadable answer counts as none.
+core::control_answer readControlAnswer(const core::control_call &command,
+                                       const net::http_exchange &exchange)
 {
     core::control_answer result;
-    result.number = order.number;
+    result.number = command.number;
     if (exchange.error || exchange.response.status != statusOk)
         return result;
-    if (order.kind == core::control_kind::AcceptTerm) {
+    if (command.kind == core::control_kind::AcceptTerm) {
         core::accept_term_answer answer;
         if (wire::fromJson(exchange.response.body, answer))
             return result;
@@ -62,14 +63,14 @@
     return result;
 }
 
-statement_executed readExecuted(core::connection_id id, const net::http_exchange &exchange)
+execute_finished readExecuteAnswer(core::connection_id id, const net::http_exchange &exchange)
 {
-    statement_executed result;
+    execute_finished result;
     result.id = id;
     result.wasSent = exchange.sent;
     result.wasSilent = exchange.error == std::errc::timed_out;
     core::execute_answer answer;
-    // An answer that can't be read says nothing about whether the statement ran.
+    // An unreadable answer leaves the outcome of the statement unknown.
     if (!exchange.error && !wire::fromJson(exchange.response.body, answer))
         result.answer = std::move(answer);
     return result;
@@ -77,7 +78,7 @@
 
 } // namespace
 
-void upstream::perform(const core::group_action &action)
+void upstream_client::perform(const core::group_action &action)
 {
     const core::group_id &group = action.group;
     if (const auto *opening = std::get_if<core::open_connection>(&action.action))
@@ -90,53 +91,53 @@
         control(group, *call);
 }
 
-void upstream::open(const core::group_id &group, const core::open_connection &order)
+void upstream_client::open(const core::group_id &group, const core::open_connection &command)
 {
     net::endpoint address;
-    if (net::parseEndpoint(order.address, address)) {
-        sink_({ group, connection_opened{ order.id, false } });
+    if (net::parseEndpoint(command.address, address)) {
+        eventSink_({ group, connect_finished{ command.id, false } });
         return;
     }
     const auto connection = net::http_connection::create(context_, address);
-    connections_[{ group, order.id }] = connection;
-    connection->connect(order.deadline,
-                        [this, group, id = order.id, connection](std::error_code error) {
+    connections_[{ group, command.id }] = connection;
+    connection->connect(command.deadline,
+                        [this, group, id = command.id, connection](std::error_code error) {
                             const auto entry = connections_.find({ group, id });
-                            // Closed while it was being opened.
+                            // The connection was closed before it was established.
                             if (entry == connections_.end() || entry->second != connection) {
                                 connection->close();
                                 return;
                             }
                             if (error)
                                 connections_.erase(entry);
-                            sink_({ group, connection_opened{ id, !error } });
+                            eventSink_({ group, connect_finished{ id, !error } });
                         });
-    connection->onClosedWhileIdle([this, group, id = order.id] {
+    connection->onClosedWhileIdle([this, group, id = command.id] {
         if (connections_.erase({ group, id }) != 0)
-            sink_({ group, connection_ended{ id } });
+            eventSink_({ group, connection_closed{ id } });
     });
 }
 
-void upstream::send(const core::group_id &group, const core::send_statement &order)
+void upstream_client::send(const core::group_id &group, const core::send_statement &command)
 {
-    const auto entry = connections_.find({ group, order.id });
+    const auto entry = connections_.find({ group, command.id });
     if (entry == connections_.end()) {
-        sink_({ group, statement_executed{ order.id, std::nullopt, false, false } });
+        eventSink_({ group, execute_finished{ command.id, std::nullopt, false, false } });
         return;
     }
     const auto connection = entry->second;
-    connection->exchange(postRequest("/execute", wire::toJson(order.request)), order.deadline,
-                         [this, group, id = order.id](net::http_exchange &&exchange) {
-                             const auto own = connections_.find({ group, id });
-                             if (own == connections_.end())
+    connection->exchange(postRequest("/execute", wire::toJson(command.request)), command.deadline,
+                         [this, group, id = command.id](net::http_exchange &&exchange) {
+                             const auto current = connections_.find({ group, id });
+                             if (current == connections_.end())
                                  return;
-                             if (!own->second->isOpen())
-                                 connections_.erase(own);
-                             sink_({ group, readExecuted(id, exchange) });
+                             if (!current->second->isOpen())
+                                 connections_.erase(current);
+                             eventSink_({ group, readExecuteAnswer(id, exchange) });
                          });
 }
 
-void upstream::close(const core::group_id &group, core::connection_id id)
+void upstream_client::close(const core::group_id &group, core::connection_id id)
 {
     const auto entry = connections_.find({ group, id });
     if (entry == connections_.end())
@@ -146,17 +147,18 @@
     connection->close();
 }
 
-void upstream::control(const core::group_id &group, const core::control_call &order)
+void upstream_client::control(const core::group_id &group, const core::control_call &command)
 {
     net::endpoint address;
-    if (net::parseEndpoint(order.address, address)) {
-        sink_({ group, control_answered{ { order.number, std::nullopt, false } } });
+    if (net::parseEndpoint(command.address, address)) {
+        eventSink_({ group, control_finished{ { command.number, std::nullopt, false } } });
         return;
     }
-    controls_.call(address, controlRequest(order), order.deadline,
-                   [this, group, order](net::http_exchange &&exchange) {
-                       sink_({ group, control_answered{ readControl(order, exchange) } });
-                   });
+    controlClient_.call(
+            address, controlRequest(command), command.deadline,
+            [this, group, command](net::http_exchange &&exchange) {
+                eventSink_({ group, control_finished{ readControlAnswer(command, exchange) } });
+            });
 }
 
 } // namespace fuchsiagw::daemon
