--- a/include/fuchsiagw/daemon/cluster.hpp
+++ b/include/fuchsiagw/daemon/cluster.hpp
@@ -24,7 +24,7 @@
 struct cluster_outputs
 {
     std::function<void(peer_command &&)> toPeers;
-    std::function<void(platform::platform_order, platform_handler)> toPlatform;
+    std::function<void(platform::platform_operation, platform_handler)> toPlatform;
     std::function<void(const core::configuration &)>
             onConfiguration; ///< called when a newer version is installed
     std::function<void()>
--- a/include/fuchsiagw/daemon/gateway_driver.hpp
+++ b/include/fuchsiagw/daemon/gateway_driver.hpp
@@ -26,7 +26,7 @@
 struct platform_request
 {
     std::uint64_t number = 0;
-    platform::platform_order order;
+    platform::platform_operation order;
     core::time_point deadline;
 };
 
@@ -94,7 +94,7 @@
     void log(const core::group_id &group, const core::route_decided &decided);
     void log(const core::group_id &group, const core::owner_notice &notice);
     void log(const core::caller_reply &reply);
-    void sendPlatformRequest(platform::platform_order order, platform_handler done);
+    void sendPlatformRequest(platform::platform_operation order, platform_handler done);
     void sendKeeperRequest(core::limit_platform_call &&call);
     void onMembersChanged();
     void recordPromotionClaim(const core::group_id &group, core::term_number term);
--- a/include/fuchsiagw/daemon/peer_messenger.hpp
+++ b/include/fuchsiagw/daemon/peer_messenger.hpp
@@ -151,11 +151,11 @@
         core::instance_id instance;
         bool isOutgoing = false;
         std::set<std::uint64_t> forwards; ///< handles of forwards without an answer
-        std::map<core::request_id, wire::part_joiner> answerParts;
+        std::map<core::request_id, wire::part_assembler> answerParts;
         core::instance_id configurationSource; ///< peer of the open configuration request; empty if
                                                ///< none is open
         core::configuration_version configurationVersion = 0;
-        wire::part_joiner configurationParts;
+        wire::part_assembler configurationParts;
     };
 
     struct pending_forward
--- a/src/daemon/gateway_driver.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -55,7 +55,7 @@
                                  net::currentTime()))
     , cluster_(gateway_, values, log,
                cluster_outputs{ outputs_.toPeers,
-                                [this](platform::platform_order order, platform_handler done) {
+                                [this](platform::platform_operation order, platform_handler done) {
                                     sendPlatformRequest(std::move(order), std::move(done));
                                 },
                                 [this](const core::configuration &config) {
@@ -66,7 +66,7 @@
     , operatorService_(gateway_, cluster_, values, log,
                        operator_service_outputs{
                                outputs_.toAdmin,
-                               [this](platform::platform_order order, platform_handler done) {
+                               [this](platform::platform_operation order, platform_handler done) {
                                    sendPlatformRequest(std::move(order), std::move(done));
                                },
                                [this] { return turn(); } })
@@ -192,7 +192,7 @@
     flush();
 }
 
-void gateway_driver::sendPlatformRequest(platform::platform_order order, platform_handler done)
+void gateway_driver::sendPlatformRequest(platform::platform_operation order, platform_handler done)
 {
     meter_.onPlatformRequest();
     const std::uint64_t number = nextPlatformRequest_++;
--- a/src/daemon/peer_messenger.cpp
+++ b/src/daemon/peer_messenger.cpp
@@ -141,7 +141,7 @@
 void peer_messenger::perform(const send_forward &command)
 {
     const net::link_id link = linkTo(command.address);
-    const auto message = wire::toForward(command.request, net::currentTime());
+    const auto message = wire::makeForwardRequest(command.request, net::currentTime());
     if (link == 0
         || !sendFrame(link, command.handle, peer_kind::ForwardRequest, command.receiver, message)) {
         eventSink_(forward_failed{ command.handle, false });
@@ -278,7 +278,7 @@
     if (isDamaged || handle == handlesByRequest_.end())
         return;
     link_state &state = linkStates_[link];
-    wire::part_joiner &joiner = state.answerParts[message.id];
+    wire::part_assembler &joiner = state.answerParts[message.id];
     if (joiner.add(message.part, message.parts, message.content)) {
         links_.close(link);
         return;
--- a/src/daemon/store_client.cpp
+++ b/src/daemon/store_client.cpp
@@ -412,8 +412,8 @@
         return;
     }
     call(store_purpose::Promotion,
-         adapter::readRow(wire::automationTable, std::string(wire::promotionSwitch)), callTimeout,
-         [this, service](int status, const std::string &body) {
+         adapter::readRow(wire::automationTable, std::string(wire::promotionSwitchKey)),
+         callTimeout, [this, service](int status, const std::string &body) {
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
              if (!rows) {
                  callbacks_.onTokenAcquired(service, 0);
@@ -441,7 +441,7 @@
 
 void store_client::applyPromotionSwitch(const adapter::store_rows &rows)
 {
-    const adapter::store_row *row = findRow(rows, wire::automationTable, wire::promotionSwitch);
+    const adapter::store_row *row = findRow(rows, wire::automationTable, wire::promotionSwitchKey);
     switchVersion_ = row == nullptr ? 0 : row->version;
     promotionsAllowed_ = row == nullptr || wire::readSwitch(row->value).allowed;
 }
@@ -469,7 +469,7 @@
     // the operator's change of the switch was acknowledged.
     adapter::row_change switchUnchanged;
     switchUnchanged.table = wire::automationTable;
-    switchUnchanged.key = wire::promotionSwitch;
+    switchUnchanged.key = wire::promotionSwitchKey;
     switchUnchanged.expectedVersion = switchVersion_;
     switchUnchanged.checkedOnly = true;
     call(store_purpose::Promotion,
