--- a/include/fuchsiagw/daemon/cluster.hpp
+++ b/include/fuchsiagw/daemon/cluster.hpp
@@ -24,7 +24,7 @@
 struct cluster_outputs
 {
     std::function<void(peer_order &&)> toPeers;
-    std::function<void(platform::platform_order, platform_handler)> toPlatform;
+    std::function<void(platform::platform_operation, platform_handler)> toPlatform;
     std::function<void(const core::configuration &)> onConfiguration; ///< a newer one is taken in
     std::function<void()> onMembers; ///< the known instances changed
 };
--- a/include/fuchsiagw/daemon/decide.hpp
+++ b/include/fuchsiagw/daemon/decide.hpp
@@ -26,7 +26,7 @@
 struct platform_request
 {
     std::uint64_t number = 0;
-    platform::platform_order order;
+    platform::platform_operation order;
     core::time_point deadline;
 };
 
@@ -92,7 +92,7 @@
     void log(const core::group_id &group, const core::route_decided &decided);
     void log(const core::group_id &group, const core::owner_notice &notice);
     void log(const core::caller_reply &reply);
-    void callPlatform(platform::platform_order order, platform_handler done);
+    void callPlatform(platform::platform_operation order, platform_handler done);
     void callKeeperOrder(core::limit_platform_call &&call);
     void onMembers();
     void claim(const core::group_id &group, core::term_number term);
--- a/include/fuchsiagw/daemon/operator_desk.hpp
+++ b/include/fuchsiagw/daemon/operator_desk.hpp
@@ -43,7 +43,7 @@
 struct operator_desk_outputs
 {
     std::function<void(admin_result &&)> answer;
-    std::function<void(platform::platform_order, platform_handler)> toPlatform;
+    std::function<void(platform::platform_operation, platform_handler)> toPlatform;
     std::function<core::gateway_turn()> turn; ///< its actions are carried out after the call
 };
 
--- a/include/fuchsiagw/daemon/peer_duty.hpp
+++ b/include/fuchsiagw/daemon/peer_duty.hpp
@@ -148,10 +148,10 @@
         core::instance_id instance;
         bool isOpener = false;
         std::set<std::uint64_t> forwards; ///< handles that wait for an answer
-        std::map<core::request_id, wire::part_joiner> answers;
+        std::map<core::request_id, wire::part_assembler> answers;
         core::instance_id configurationPeer; ///< a configuration was asked for
         core::configuration_version configurationAsked = 0;
-        wire::part_joiner configuration;
+        wire::part_assembler configuration;
     };
 
     struct waiting_forward
--- a/include/fuchsiagw/detail/json_value.hpp
+++ b/include/fuchsiagw/detail/json_value.hpp
@@ -252,7 +252,7 @@
     // A name that comes twice would let two parsers of one body see different values.
     bool hasRepeatedName = false;
     std::vector<std::set<std::string>> namesOfOpenObjects;
-    const auto noteNames = [&](int, nlohmann::json::parse_event_t event, nlohmann::json &name) {
+    const auto recordNames = [&](int, nlohmann::json::parse_event_t event, nlohmann::json &name) {
         if (event == nlohmann::json::parse_event_t::object_start)
             namesOfOpenObjects.emplace_back();
         else if (event == nlohmann::json::parse_event_t::object_end)
@@ -262,7 +262,7 @@
             hasRepeatedName = true;
         return true;
     };
-    const nlohmann::json source = nlohmann::json::parse(text, noteNames, false);
+    const nlohmann::json source = nlohmann::json::parse(text, recordNames, false);
     if (source.is_discarded() || hasRepeatedName)
         return core::error_kind::MalformedBody;
     message parsed;
--- a/include/fuchsiagw/detail/strict_json.hpp
+++ b/include/fuchsiagw/detail/strict_json.hpp
@@ -48,12 +48,13 @@
     void integer(std::string_view name, std::uint32_t &out);
     void boolean(std::string_view name, bool &out);
     /// Calls @p each with the name, value and path of every field of a required object.
-    void objectOf(std::string_view name,
-                  const std::function<void(const std::string &, const nlohmann::json &,
-                                           const std::string &)> &each);
+    void forEachField(std::string_view name,
+                      const std::function<void(const std::string &, const nlohmann::json &,
+                                               const std::string &)> &each);
     /// Calls @p each with the value and path of every element of a required array.
-    void arrayOf(std::string_view name,
-                 const std::function<void(const nlohmann::json &, const std::string &)> &each);
+    void
+    forEachElement(std::string_view name,
+                   const std::function<void(const nlohmann::json &, const std::string &)> &each);
 
     [[nodiscard]] std::string pathOf(std::string_view name) const;
     /// Refuses every field that was not asked for.
--- a/include/fuchsiagw/platform/platform_client.hpp
+++ b/include/fuchsiagw/platform/platform_client.hpp
@@ -37,8 +37,8 @@
 struct list_instances
 { };
 
-using platform_order = std::variant<read_row, scan_rows, core::transact_request, put_object,
-                                    get_object, list_instances>;
+using platform_operation = std::variant<read_row, scan_rows, core::transact_request, put_object,
+                                        get_object, list_instances>;
 
 /// Invariant: unless isAnswered, nothing is known about whether the request took effect.
 struct platform_result
@@ -56,14 +56,14 @@
 
 /// @brief Makes one request. @p done is called once, at the deadline at the latest.
 /// @complexity linear in the size of the request
-void request(net::http_client &client, const net::endpoint &platform, const platform_order &order,
-             core::time_point deadline, platform_handler done);
+void request(net::http_client &client, const net::endpoint &platform,
+             const platform_operation &order, core::time_point deadline, platform_handler done);
 
 /// @return the HTTP request of an order
-[[nodiscard]] net::http_request toHttp(const platform_order &order);
+[[nodiscard]] net::http_request toHttp(const platform_operation &order);
 
 /// @brief Reads the answer to an order; anything unexpected counts as no answer.
-[[nodiscard]] platform_result readResult(const platform_order &order,
+[[nodiscard]] platform_result readResult(const platform_operation &order,
                                          net::http_exchange &&exchange);
 
 } // namespace fuchsiagw::platform
--- a/include/fuchsiagw/wire/admin_json.hpp
+++ b/include/fuchsiagw/wire/admin_json.hpp
@@ -34,7 +34,7 @@
 };
 
 /// Invariant: `error` is empty exactly if `route` and `argument` are valid.
-struct admin_match
+struct admin_route_match
 {
     std::optional<core::error_kind> error; ///< UnknownRoute or MethodNotAllowed
     admin_route route = admin_route::Status;
@@ -83,12 +83,12 @@
 
 /// @return the route of a request, without its query
 /// @complexity linear in the size of @p target
-[[nodiscard]] admin_match matchAdminRoute(std::string_view method, std::string_view target);
+[[nodiscard]] admin_route_match matchAdminRoute(std::string_view method, std::string_view target);
 
 /// @brief Compares the secret of `Authorization: Bearer <secret>` in constant time.
 /// @param header value of the Authorization header
 /// @param secretHash BLAKE2b-256 of the operators' secret in hexadecimal
-[[nodiscard]] bool isOperator(std::string_view header, std::string_view secretHash);
+[[nodiscard]] bool isOperatorAuthorized(std::string_view header, std::string_view secretHash);
 
 /// @return the error body that docs/errors.md describes
 /// @param problem replaces the general sentence if it is not empty
--- a/include/fuchsiagw/wire/automation_json.hpp
+++ b/include/fuchsiagw/wire/automation_json.hpp
@@ -10,7 +10,7 @@
 
 inline constexpr const char *automationTable = "automation";
 /// Key of the row; a missing row allows promotions.
-inline constexpr std::string_view promotionSwitch = "promotion";
+inline constexpr std::string_view promotionSwitchKey = "promotion";
 
 struct automation_switch
 {
--- a/include/fuchsiagw/wire/caller_json.hpp
+++ b/include/fuchsiagw/wire/caller_json.hpp
@@ -94,7 +94,7 @@
 [[nodiscard]] std::optional<std::string> keyFromAuthorization(std::string_view value);
 
 /// The session that a request names. Invariant: a token is given only if named.
-struct named_session
+struct requested_session
 {
     bool named = false;
     std::string token; ///< empty although named: no usable token was sent
@@ -103,8 +103,8 @@
 /// @brief Finds the session token of a request; the header prevails over the cookie.
 /// @param header value of `Fuchsiagw-Session`, nullopt if the header is missing
 /// @param cookies value of `Cookie`, empty if missing; differing cookies give no usable token
-[[nodiscard]] named_session sessionFromHeaders(std::optional<std::string_view> header,
-                                               std::string_view cookies);
+[[nodiscard]] requested_session sessionFromHeaders(std::optional<std::string_view> header,
+                                                   std::string_view cookies);
 
 /// @return value of `Set-Cookie` that hands @p token to the caller
 [[nodiscard]] std::string sessionCookie(std::string_view token);
--- a/include/fuchsiagw/wire/configuration_json.hpp
+++ b/include/fuchsiagw/wire/configuration_json.hpp
@@ -26,9 +26,9 @@
 
 /// @brief Names a document by its content, so that an object never has two contents.
 /// @return BLAKE2b-256 of @p text in lower-case hexadecimal
-[[nodiscard]] std::string digestOf(std::string_view text);
+[[nodiscard]] std::string contentHashOf(std::string_view text);
 
-/// @return the first 64 bits of digestOf() as a number, for the messages between instances
+/// @return the first 64 bits of contentHashOf() as a number, for the messages between instances
 [[nodiscard]] std::uint64_t contentTagOf(std::string_view text);
 
 } // namespace fuchsiagw::wire
--- a/include/fuchsiagw/wire/peer_message.hpp
+++ b/include/fuchsiagw/wire/peer_message.hpp
@@ -121,7 +121,8 @@
 /// datagrams are lost, and some later ones. Names in every digest would be a third of the traffic.
 /// @param receiver 0 if it is not known
 /// @param sent digests sent to this incarnation so far
-[[nodiscard]] constexpr bool mustIntroduce(core::incarnation_id receiver, std::uint64_t sent)
+[[nodiscard]] constexpr bool mustIncludeSenderNames(core::incarnation_id receiver,
+                                                    std::uint64_t sent)
 {
     constexpr std::uint64_t always = 3;
     constexpr std::uint64_t every = 16;
@@ -223,13 +224,13 @@
 };
 
 /// Leaves room in a frame of 1 MiB for the other fields.
-inline constexpr std::size_t partBytes = 786'432;
+inline constexpr std::size_t maxPartBytes = 786'432;
 /// Bound of a message that travels in parts: 15 MiB.
-inline constexpr std::uint32_t maxParts = 20;
+inline constexpr std::uint32_t maxPartCount = 20;
 
 /// @brief Makes the message that forwards a request.
-[[nodiscard]] forward_request toForward(const core::statement_request &request,
-                                        core::time_point now);
+[[nodiscard]] forward_request makeForwardRequest(const core::statement_request &request,
+                                                 core::time_point now);
 
 /// @brief Makes the request that the receiver of a forwarded one carries out.
 /// @param now when the message arrived
@@ -237,7 +238,7 @@
 
 /// @brief Cuts an answer into parts.
 /// @param[out] parts the messages to send, in order
-/// @return MessageTooLarge if it exceeds maxParts or has more than 262,144 rows and cells; the
+/// @return MessageTooLarge if it exceeds maxPartCount or has more than 262,144 rows and cells; the
 /// caller must then be told `unknown` for a write, since it may have run
 [[nodiscard]] std::error_code splitAnswer(const core::statement_answer &answer,
                                           std::vector<forward_answer> &parts);
@@ -248,7 +249,7 @@
                                                  std::vector<configuration_body> &parts);
 
 /// Puts the parts of one message together. Invariant: `next` parts are in `content`.
-struct part_joiner
+struct part_assembler
 {
     std::string content;
     std::uint32_t next = 0;
--- a/include/fuchsiagw/wire/replay_window.hpp
+++ b/include/fuchsiagw/wire/replay_window.hpp
@@ -55,9 +55,9 @@
     };
 
     std::unordered_map<core::incarnation_id, sender_state> senders_;
-    core::time_point nextSweep_ = core::time_point::min(); ///< no room before
+    core::time_point nextEvictionAt_ = core::time_point::min(); ///< no room before
 
-    [[nodiscard]] bool makeRoom(core::time_point now);
+    [[nodiscard]] bool evictIdleSenders(core::time_point now);
 };
 
 } // namespace fuchsiagw::wire
--- a/include/fuchsiagw/wire/vouch.hpp
+++ b/include/fuchsiagw/wire/vouch.hpp
@@ -30,10 +30,10 @@
 /// @brief Signs a statement.
 /// @param secretHash BLAKE2b-256 of the operators' secret in hexadecimal
 /// @return a MAC in hexadecimal
-[[nodiscard]] std::string signStatement(std::string_view secretHash,
-                                        const core::instance_id &instance,
-                                        std::string_view challenge,
-                                        core::configuration_version version);
+[[nodiscard]] std::string computeVouchMac(std::string_view secretHash,
+                                          const core::instance_id &instance,
+                                          std::string_view challenge,
+                                          core::configuration_version version);
 
 /// @brief Issues a challenge and answers `POST /v1/admin/vouch/challenge`.
 [[nodiscard]] admin_answer answerChallenge(vouch_challenges &challenges,
--- a/src/ctl/instance_commands.cpp
+++ b/src/ctl/instance_commands.cpp
@@ -112,8 +112,8 @@
     }
     const json statement = { { "challenge", challenge },
                              { "version", version },
-                             { "mac", wire::signStatement(context.secretHash(), { instance },
-                                                          challenge, version) } };
+                             { "mac", wire::computeVouchMac(context.secretHash(), { instance },
+                                                            challenge, version) } };
     result = callAdmin(context.transport, address, "POST", "/v1/admin/vouch", statement.dump(),
                        false);
     return result.code;
--- a/src/ctl/store_switch.cpp
+++ b/src/ctl/store_switch.cpp
@@ -25,7 +25,7 @@
 
 switch_state readState(const command_context &context)
 {
-    const std::string key(wire::promotionSwitch);
+    const std::string key(wire::promotionSwitchKey);
     const net::http_exchange exchange =
             callStore(context, adapter::readRow(wire::automationTable, key));
     switch_state state;
@@ -54,12 +54,12 @@
 
 exit_code setStoreSwitch(const command_context &context, const std::string &name, bool isOn)
 {
-    if (name != wire::promotionSwitch && name != "all")
+    if (name != wire::promotionSwitchKey && name != "all")
         return refuseUsage(context, "there is no switch '" + name
                                             + "' in the store; the switches are all and promotion");
     adapter::row_change change;
     change.table = wire::automationTable;
-    change.key = wire::promotionSwitch;
+    change.key = wire::promotionSwitchKey;
     change.value = wire::toJson({ isOn });
     const net::http_exchange exchange = callStore(context, adapter::changeRows({ change }));
     if (exchange.error && !exchange.sent)
--- a/src/daemon/admin.cpp
+++ b/src/daemon/admin.cpp
@@ -47,9 +47,9 @@
 std::optional<wire::admin_answer> refuseAdmin(const net::http_request &request,
                                               std::string_view secretHash, admin_request &into)
 {
-    if (!wire::isOperator(net::findHeader(request.headers, "Authorization"), secretHash))
+    if (!wire::isOperatorAuthorized(net::findHeader(request.headers, "Authorization"), secretHash))
         return wire::answerError(core::error_kind::OperatorDenied);
-    wire::admin_match match = wire::matchAdminRoute(request.method, request.target);
+    wire::admin_route_match match = wire::matchAdminRoute(request.method, request.target);
     if (match.error)
         return wire::answerError(*match.error);
     into.route = match.route;
--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -63,7 +63,8 @@
 
 core::configuration_codec cluster::codec() const
 {
-    return { wire::writeConfiguration, wire::readConfiguration, wire::digestOf, wire::writeNote };
+    return { wire::writeConfiguration, wire::readConfiguration, wire::contentHashOf,
+             wire::writeNote };
 }
 
 wire::sender_info cluster::senderInfo() const
--- a/src/daemon/decide.cpp
+++ b/src/daemon/decide.cpp
@@ -55,7 +55,7 @@
                                  net::currentTime()))
     , cluster_(gateway_, values, log,
                cluster_outputs{ outputs_.toPeers,
-                                [this](platform::platform_order order, platform_handler done) {
+                                [this](platform::platform_operation order, platform_handler done) {
                                     callPlatform(std::move(order), std::move(done));
                                 },
                                 [this](const core::configuration &config) {
@@ -64,11 +64,12 @@
                                 },
                                 [this] { onMembers(); } })
     , desk_(gateway_, cluster_, values, log,
-            operator_desk_outputs{ outputs_.toAdmin,
-                                   [this](platform::platform_order order, platform_handler done) {
-                                       callPlatform(std::move(order), std::move(done));
-                                   },
-                                   [this] { return turn(); } })
+            operator_desk_outputs{
+                    outputs_.toAdmin,
+                    [this](platform::platform_operation order, platform_handler done) {
+                        callPlatform(std::move(order), std::move(done));
+                    },
+                    [this] { return turn(); } })
     , meter_(gateway_)
     , now_(net::currentTime())
     , startedAt_(now_)
@@ -190,7 +191,7 @@
     flush();
 }
 
-void decide::callPlatform(platform::platform_order order, platform_handler done)
+void decide::callPlatform(platform::platform_operation order, platform_handler done)
 {
     meter_.onPlatformRequest();
     const std::uint64_t number = nextRequest_++;
--- a/src/daemon/front.cpp
+++ b/src/daemon/front.cpp
@@ -108,7 +108,7 @@
                  core::caller_request &into)
 {
     const std::string_view cookies = net::findHeader(request.headers, "Cookie");
-    const wire::named_session named =
+    const wire::requested_session named =
             wire::sessionFromHeaders(headerOf(request, "Fuchsiagw-Session"), cookies);
     into.hasSessionToken = named.named;
     core::session known;
--- a/src/daemon/operator_desk.cpp
+++ b/src/daemon/operator_desk.cpp
@@ -57,7 +57,7 @@
     return isUnknown ? operator_outcome::Unknown : operator_outcome::Refused;
 }
 
-platform::platform_order orderOf(const core::submit_action &action)
+platform::platform_operation orderOf(const core::submit_action &action)
 {
     switch (action.step) {
     case core::submit_step::ReadRow:
--- a/src/daemon/peer_duty.cpp
+++ b/src/daemon/peer_duty.cpp
@@ -141,7 +141,7 @@
 void peer_duty::perform(const send_forward &order)
 {
     const net::link_id link = linkTo(order.address);
-    const auto message = wire::toForward(order.request, net::currentTime());
+    const auto message = wire::makeForwardRequest(order.request, net::currentTime());
     if (link == 0
         || !sendFrame(link, order.handle, peer_kind::ForwardRequest, order.receiver, message)) {
         sink_(forward_lost{ order.handle, false });
@@ -274,7 +274,7 @@
     if (isDamaged || handle == handles_.end())
         return;
     link_state &state = states_[link];
-    wire::part_joiner &joiner = state.answers[message.id];
+    wire::part_assembler &joiner = state.answers[message.id];
     if (joiner.add(message.part, message.parts, message.content)) {
         links_.close(link);
         return;
--- a/src/daemon/store_desk.cpp
+++ b/src/daemon/store_desk.cpp
@@ -404,7 +404,7 @@
         return;
     }
     call(store_purpose::Promotion,
-         adapter::readRow(wire::automationTable, std::string(wire::promotionSwitch)), callLimit,
+         adapter::readRow(wire::automationTable, std::string(wire::promotionSwitchKey)), callLimit,
          [this, service](int status, const std::string &body) {
              const auto rows = status == statusOk ? adapter::decodeRows(body) : std::nullopt;
              if (!rows) {
@@ -433,7 +433,7 @@
 
 void store_desk::takeSwitch(const adapter::store_rows &rows)
 {
-    const adapter::store_row *row = findRow(rows, wire::automationTable, wire::promotionSwitch);
+    const adapter::store_row *row = findRow(rows, wire::automationTable, wire::promotionSwitchKey);
     switchVersion_ = row == nullptr ? 0 : row->version;
     promotionsAllowed_ = row == nullptr || wire::readSwitch(row->value).allowed;
 }
@@ -459,7 +459,7 @@
     // change of it was acknowledged.
     adapter::row_change switchUnchanged;
     switchUnchanged.table = wire::automationTable;
-    switchUnchanged.key = wire::promotionSwitch;
+    switchUnchanged.key = wire::promotionSwitchKey;
     switchUnchanged.expectedVersion = switchVersion_;
     switchUnchanged.checkedOnly = true;
     call(store_purpose::Promotion,
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -21,7 +21,7 @@
     return status == statusOk || status == statusCreated || status == statusNoContent;
 }
 
-struct http_of
+struct http_request_builder
 {
     net::http_request operator()(const read_row &order) const
     {
@@ -81,19 +81,19 @@
     }
 };
 
-bool mayBeMissing(const platform_order &order)
+bool mayBeMissing(const platform_operation &order)
 {
     return std::holds_alternative<read_row>(order) || std::holds_alternative<get_object>(order);
 }
 
 } // namespace
 
-net::http_request toHttp(const platform_order &order)
+net::http_request toHttp(const platform_operation &order)
 {
-    return std::visit(http_of{}, order);
+    return std::visit(http_request_builder{}, order);
 }
 
-platform_result readResult(const platform_order &order, net::http_exchange &&exchange)
+platform_result readResult(const platform_operation &order, net::http_exchange &&exchange)
 {
     platform_result result;
     if (exchange.error)
@@ -110,8 +110,8 @@
     return result;
 }
 
-void request(net::http_client &client, const net::endpoint &platform, const platform_order &order,
-             core::time_point deadline, platform_handler done)
+void request(net::http_client &client, const net::endpoint &platform,
+             const platform_operation &order, core::time_point deadline, platform_handler done)
 {
     client.call(platform, toHttp(order), deadline,
                 [order, done = std::move(done)](net::http_exchange &&exchange) {
--- a/src/wire/admin_json.cpp
+++ b/src/wire/admin_json.cpp
@@ -95,9 +95,9 @@
 
 } // namespace
 
-admin_match matchAdminRoute(std::string_view method, std::string_view target)
+admin_route_match matchAdminRoute(std::string_view method, std::string_view target)
 {
-    admin_match match;
+    admin_route_match match;
     match.error = error_kind::UnknownRoute;
     std::string_view path = target.substr(0, target.find('?'));
     if (!path.starts_with(adminPrefix))
@@ -114,7 +114,7 @@
     return match;
 }
 
-bool isOperator(std::string_view header, std::string_view secretHash)
+bool isOperatorAuthorized(std::string_view header, std::string_view secretHash)
 {
     if (!header.starts_with(bearerPrefix))
         return false;
--- a/src/wire/caller_json.cpp
+++ b/src/wire/caller_json.cpp
@@ -28,7 +28,7 @@
 /// Deeper bodies are refused. No route needs more than 2.
 constexpr std::size_t maxDepth = 8;
 constexpr std::size_t maxFields = 16; ///< of a body; no route has more than 7
-constexpr std::size_t maxEchoedBytes = 64; ///< of a caller's field name in a problem text
+constexpr std::size_t maxQuotedNameBytes = 64; ///< of a caller's field name in a problem text
 
 struct other_value
 { };
@@ -108,7 +108,7 @@
     /// A caller's name as it may stand in a problem text.
     static std::string echo(const std::string &text)
     {
-        std::string result = text.substr(0, maxEchoedBytes);
+        std::string result = text.substr(0, maxQuotedNameBytes);
         std::replace_if(
                 result.begin(), result.end(),
                 [](unsigned char each) { return each < 0x20 || each > 0x7e || each == '\''; }, '?');
@@ -481,9 +481,10 @@
     return std::string(key);
 }
 
-named_session sessionFromHeaders(std::optional<std::string_view> header, std::string_view cookies)
+requested_session sessionFromHeaders(std::optional<std::string_view> header,
+                                     std::string_view cookies)
 {
-    named_session session;
+    requested_session session;
     if (header) {
         session.named = true;
         const std::string_view token = trim(*header);
--- a/src/wire/configuration_json.cpp
+++ b/src/wire/configuration_json.cpp
@@ -52,21 +52,22 @@
     object_reader fields(value, path, problem);
     fields.number("rate", settings.rate);
     fields.number("burst", settings.burst);
-    fields.arrayOf("groups", [&](const json &each, const std::string &at) {
+    fields.forEachElement("groups", [&](const json &each, const std::string &at) {
         if (each.is_string())
             settings.groups.push_back({ each.get<std::string>() });
         else
             problem.set(error_kind::WrongType, at, "must be a string");
     });
-    fields.objectOf("read_classes",
-                    [&](const std::string &name, const json &each, const std::string &at) {
-                        object_reader inner(each, at, problem);
-                        std::uint32_t age = 0;
-                        inner.integer("max_age_ms", age);
-                        inner.finish();
-                        settings.readClasses[name].maxAge = std::chrono::milliseconds(age);
-                    });
-    fields.objectOf("keys", [&](const std::string &hash, const json &each, const std::string &at) {
+    fields.forEachField("read_classes",
+                        [&](const std::string &name, const json &each, const std::string &at) {
+                            object_reader inner(each, at, problem);
+                            std::uint32_t age = 0;
+                            inner.integer("max_age_ms", age);
+                            inner.finish();
+                            settings.readClasses[name].maxAge = std::chrono::milliseconds(age);
+                        });
+    fields.forEachField("keys", [&](const std::string &hash, const json &each,
+                                    const std::string &at) {
         const auto name = std::find(core::keyStateNames.begin(), core::keyStateNames.end(),
                                     each.is_string() ? each.get<std::string>() : std::string());
         if (name == core::keyStateNames.end())
@@ -84,14 +85,15 @@
     object_reader fields(value, path, problem);
     fields.integer("slots", settings.slots);
     fields.integer("connections", settings.connections);
-    fields.objectOf("members", [&](const std::string &id, const json &each, const std::string &at) {
-        core::member_settings member;
-        object_reader inner(each, at, problem);
-        inner.text("zone", member.zone.value);
-        inner.text("address", member.address);
-        inner.finish();
-        settings.members[{ id }] = std::move(member);
-    });
+    fields.forEachField("members",
+                        [&](const std::string &id, const json &each, const std::string &at) {
+                            core::member_settings member;
+                            object_reader inner(each, at, problem);
+                            inner.text("zone", member.zone.value);
+                            inner.text("address", member.address);
+                            inner.finish();
+                            settings.members[{ id }] = std::move(member);
+                        });
     fields.finish();
     return settings;
 }
@@ -101,32 +103,33 @@
     core::configuration config;
     object_reader fields(document, "", problem);
     fields.integer("version", config.version);
-    fields.objectOf("workspaces",
-                    [&](const std::string &id, const json &each, const std::string &at) {
-                        config.workspaces[{ id }] = readWorkspace(each, at, problem);
-                    });
-    fields.objectOf("groups", [&](const std::string &id, const json &each, const std::string &at) {
-        config.groups[{ id }] = readGroup(each, at, problem);
-    });
-    fields.objectOf("switches",
-                    [&](const std::string &name, const json &each, const std::string &at) {
-                        const auto known = std::find(core::automaticActionNames.begin(),
-                                                     core::automaticActionNames.end(), name);
-                        if (known == core::automaticActionNames.end())
-                            problem.set(error_kind::UnknownField, at, "there is no such switch");
-                        else if (!each.is_boolean())
-                            problem.set(error_kind::WrongType, at, "must be true or false");
-                        else
-                            config.switches[static_cast<core::automatic_action>(
-                                    known - core::automaticActionNames.begin())] = each.get<bool>();
-                    });
-    fields.objectOf("retired_keys",
-                    [&](const std::string &hash, const json &each, const std::string &at) {
-                        if (each.is_string())
-                            config.retiredKeys[hash] = { each.get<std::string>() };
-                        else
-                            problem.set(error_kind::WrongType, at, "must be a workspace's name");
-                    });
+    fields.forEachField("workspaces",
+                        [&](const std::string &id, const json &each, const std::string &at) {
+                            config.workspaces[{ id }] = readWorkspace(each, at, problem);
+                        });
+    fields.forEachField("groups",
+                        [&](const std::string &id, const json &each, const std::string &at) {
+                            config.groups[{ id }] = readGroup(each, at, problem);
+                        });
+    fields.forEachField(
+            "switches", [&](const std::string &name, const json &each, const std::string &at) {
+                const auto known = std::find(core::automaticActionNames.begin(),
+                                             core::automaticActionNames.end(), name);
+                if (known == core::automaticActionNames.end())
+                    problem.set(error_kind::UnknownField, at, "there is no such switch");
+                else if (!each.is_boolean())
+                    problem.set(error_kind::WrongType, at, "must be true or false");
+                else
+                    config.switches[static_cast<core::automatic_action>(
+                            known - core::automaticActionNames.begin())] = each.get<bool>();
+            });
+    fields.forEachField(
+            "retired_keys", [&](const std::string &hash, const json &each, const std::string &at) {
+                if (each.is_string())
+                    config.retiredKeys[hash] = { each.get<std::string>() };
+                else
+                    problem.set(error_kind::WrongType, at, "must be a workspace's name");
+            });
     fields.finish();
     return config;
 }
@@ -175,7 +178,7 @@
     return {};
 }
 
-std::string digestOf(std::string_view text)
+std::string contentHashOf(std::string_view text)
 {
     return hashKey(text);
 }
@@ -183,7 +186,7 @@
 std::uint64_t contentTagOf(std::string_view text)
 {
     constexpr std::size_t digits = 16;
-    return std::stoull(digestOf(text).substr(0, digits), nullptr, 16);
+    return std::stoull(contentHashOf(text).substr(0, digits), nullptr, 16);
 }
 
 } // namespace fuchsiagw::wire
--- a/src/wire/note_json.cpp
+++ b/src/wire/note_json.cpp
@@ -128,7 +128,7 @@
     }
     case section_kind::Workspace: {
         core::workspace_section value;
-        fields.arrayOf("groups", [&](const json &each, const std::string &at) {
+        fields.forEachElement("groups", [&](const json &each, const std::string &at) {
             if (each.is_string())
                 value.groups.push_back({ each.get<std::string>() });
             else
@@ -192,7 +192,7 @@
     const auto readList = [&](std::string_view name, bool hasValue, const auto &add) {
         if (fields.find(name) == nullptr)
             return;
-        fields.arrayOf(name, [&](const json &each, const std::string &at) {
+        fields.forEachElement(name, [&](const json &each, const std::string &at) {
             readElement(each, at, hasValue, problem, add);
         });
     };
@@ -263,8 +263,8 @@
 
 const core::configuration_codec &configurationCodec()
 {
-    static const core::configuration_codec codec{ writeConfiguration, readConfiguration, digestOf,
-                                                  writeNote };
+    static const core::configuration_codec codec{ writeConfiguration, readConfiguration,
+                                                  contentHashOf, writeNote };
     return codec;
 }
 
--- a/src/wire/peer_codec.cpp
+++ b/src/wire/peer_codec.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::uint8_t formatVersion = 1;
 constexpr std::size_t macBytes = crypto_auth_BYTES;
-constexpr std::size_t keyNumberAt = 1; ///< after the version
+constexpr std::size_t keyNumberOffset = 1; ///< after the version
 constexpr std::size_t minHeaderBytes = 6; ///< one byte for each field
 static_assert(peerKeySize == crypto_auth_KEYBYTES);
 
@@ -93,7 +93,7 @@
         return error_kind::MessageDamaged;
     const std::string_view content = message.substr(0, message.size() - macBytes);
     const std::string_view mac = message.substr(content.size());
-    const auto key = keys_.keys.find(static_cast<std::uint8_t>(content[keyNumberAt]));
+    const auto key = keys_.keys.find(static_cast<std::uint8_t>(content[keyNumberOffset]));
     // Nothing else is read before the MAC is known to be right.
     if (key == keys_.keys.end()
         || crypto_auth_verify(asBytes(mac), asBytes(content), content.size(), key->second.data())
--- a/src/wire/peer_message.cpp
+++ b/src/wire/peer_message.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// A deadline that is farther away is sent as this.
-constexpr core::duration longestRemaining = std::chrono::hours(1);
+constexpr core::duration maxRemaining = std::chrono::hours(1);
 
 /// What the parts of an answer contain together.
 struct answer_content
@@ -48,23 +48,23 @@
 std::error_code split(std::string_view content, const adder &add)
 {
     const std::size_t count =
-            std::max<std::size_t>(1, (content.size() + partBytes - 1) / partBytes);
-    if (count > maxParts)
+            std::max<std::size_t>(1, (content.size() + maxPartBytes - 1) / maxPartBytes);
+    if (count > maxPartCount)
         return core::error_kind::MessageTooLarge;
     for (std::size_t part = 0; part < count; ++part)
         add(static_cast<std::uint32_t>(part), static_cast<std::uint32_t>(count),
-            std::string(content.substr(part * partBytes, partBytes)));
+            std::string(content.substr(part * maxPartBytes, maxPartBytes)));
     return {};
 }
 
 } // namespace
 
-forward_request toForward(const core::statement_request &request, core::time_point now)
+forward_request makeForwardRequest(const core::statement_request &request, core::time_point now)
 {
     const core::duration left =
             request.deadline == core::noDeadline
-                    ? longestRemaining
-                    : std::clamp(request.deadline - now, core::duration(0), longestRemaining);
+                    ? maxRemaining
+                    : std::clamp(request.deadline - now, core::duration(0), maxRemaining);
     return { request.id,
              request.workspace,
              request.group,
@@ -93,9 +93,9 @@
     request.transaction = forward.transaction;
     request.minPosition = forward.minPosition;
     request.isSessionUnusable = forward.isSessionUnusable;
-    request.deadline = now
-                       + std::clamp(core::duration(forward.remainingMicros), core::duration(0),
-                                    longestRemaining);
+    request.deadline =
+            now
+            + std::clamp(core::duration(forward.remainingMicros), core::duration(0), maxRemaining);
     return request;
 }
 
@@ -129,11 +129,11 @@
     });
 }
 
-std::error_code part_joiner::add(std::uint32_t part, std::uint32_t of, const std::string &piece)
+std::error_code part_assembler::add(std::uint32_t part, std::uint32_t of, const std::string &piece)
 {
     const bool isFirst = parts == 0;
-    if (of == 0 || of > maxParts || part != next || part >= of || (!isFirst && of != parts)
-        || piece.size() > partBytes)
+    if (of == 0 || of > maxPartCount || part != next || part >= of || (!isFirst && of != parts)
+        || piece.size() > maxPartBytes)
         return core::error_kind::MessageDamaged;
     parts = of;
     ++next;
--- a/src/wire/replay_window.cpp
+++ b/src/wire/replay_window.cpp
@@ -33,7 +33,7 @@
 {
     auto known = senders_.find(sender);
     if (known == senders_.end()) {
-        if (senders_.size() >= maxSenders && !makeRoom(now))
+        if (senders_.size() >= maxSenders && !evictIdleSenders(now))
             return false;
         known = senders_.emplace(sender, sender_state{ {}, now }).first;
     }
@@ -41,9 +41,9 @@
     return known->second.window.accept(sequence);
 }
 
-bool replay_window::makeRoom(core::time_point now)
+bool replay_window::evictIdleSenders(core::time_point now)
 {
-    if (now < nextSweep_)
+    if (now < nextEvictionAt_)
         return false;
     core::time_point oldest = core::noDeadline;
     std::erase_if(senders_, [&oldest, now](const auto &entry) {
@@ -55,7 +55,7 @@
     });
     if (senders_.size() < maxSenders)
         return true;
-    nextSweep_ = oldest + forgetAfter;
+    nextEvictionAt_ = oldest + forgetAfter;
     return false;
 }
 
--- a/src/wire/strict_json.cpp
+++ b/src/wire/strict_json.cpp
@@ -142,7 +142,7 @@
         problem_.set(error_kind::WrongType, pathOf(name), "must be true or false");
 }
 
-void object_reader::objectOf(
+void object_reader::forEachField(
         std::string_view name,
         const std::function<void(const std::string &, const json &, const std::string &)> &each)
 {
@@ -157,8 +157,8 @@
         each(item.key(), item.value(), pathOf(name) + "." + item.key());
 }
 
-void object_reader::arrayOf(std::string_view name,
-                            const std::function<void(const json &, const std::string &)> &each)
+void object_reader::forEachElement(
+        std::string_view name, const std::function<void(const json &, const std::string &)> &each)
 {
     const json *field = require(name);
     if (field == nullptr)
--- a/src/wire/vouch.cpp
+++ b/src/wire/vouch.cpp
@@ -16,7 +16,7 @@
 using core::error_kind;
 using nlohmann::json;
 
-constexpr std::size_t maxOpen = 16;
+constexpr std::size_t maxOpenChallenges = 16;
 constexpr std::size_t challengeBytes = 16;
 constexpr std::string_view context = "fuchsiagw vouch key ";
 
@@ -30,8 +30,8 @@
 
 } // namespace
 
-std::string signStatement(std::string_view secretHash, const core::instance_id &instance,
-                          std::string_view challenge, core::configuration_version version)
+std::string computeVouchMac(std::string_view secretHash, const core::instance_id &instance,
+                            std::string_view challenge, core::configuration_version version)
 {
     const std::string keyText = std::string(context) + std::string(secretHash);
     std::array<unsigned char, crypto_auth_KEYBYTES> key{};
@@ -53,7 +53,7 @@
     randombytes_buf(bytes.data(), bytes.size());
     challenges.open.push_back(
             { hex(bytes.data(), bytes.size()), spread.root, spread.roundNumber, now });
-    if (challenges.open.size() > maxOpen)
+    if (challenges.open.size() > maxOpenChallenges)
         challenges.open.pop_front();
     const json body = { { "instance", spread.self.instance.value },
                         { "challenge", challenges.open.back().text },
@@ -86,7 +86,7 @@
         return answerError(error_kind::InvalidValue,
                            "challenge: not issued or already used; ask for a new one");
     const std::string expected =
-            signStatement(secretHash, spread.self.instance, issued->text, version);
+            computeVouchMac(secretHash, spread.self.instance, issued->text, version);
     if (mac.size() != expected.size()
         || sodium_memcmp(mac.data(), expected.data(), mac.size()) != 0)
         return answerError(error_kind::OperatorDenied, "mac: does not fit the statement");
--- a/testing/process_harness.cpp
+++ b/testing/process_harness.cpp
@@ -227,7 +227,7 @@
             };
     }
     const std::string body = wire::writeConfiguration(config);
-    const std::string object = core::objectNameOf(config.version, wire::digestOf(body));
+    const std::string object = core::objectNameOf(config.version, wire::contentHashOf(body));
     core::transact_request order;
     order.id = "seed";
     order.checks = { { std::string(core::configurationRowKey), 0 } };
--- a/tests/unit-caller-json.cpp
+++ b/tests/unit-caller-json.cpp
@@ -223,7 +223,7 @@
 {
     const auto check = [](std::optional<std::string_view> header, std::string_view cookies,
                           bool named, const char *token) {
-        const wire::named_session session = wire::sessionFromHeaders(header, cookies);
+        const wire::requested_session session = wire::sessionFromHeaders(header, cookies);
         CHECK_EQUAL(named, session.named);
         STRCMP_EQUAL(token, session.token.c_str());
     };
--- a/tests/unit-ctl.cpp
+++ b/tests/unit-ctl.cpp
@@ -102,7 +102,7 @@
         if (isDown)
             return {};
         sentBodies += body;
-        const wire::admin_match match = wire::matchAdminRoute(method, target);
+        const wire::admin_route_match match = wire::matchAdminRoute(method, target);
         CHECK_FALSE(match.error.has_value());
         wire::admin_answer answer;
         const auto note = notes.find(match.argument);
@@ -290,13 +290,13 @@
     const auto challenge =
             nlohmann::json::parse(daemon.handle("POST", "/v1/admin/vouch/challenge", "{}").body);
     const std::string text = challenge.at("challenge");
-    const std::string mac = wire::signStatement(wire::hashKey(secret), { "i2" }, text, 4);
+    const std::string mac = wire::computeVouchMac(wire::hashKey(secret), { "i2" }, text, 4);
     const nlohmann::json forged{ { "challenge", text }, { "version", 4 }, { "mac", mac } };
     LONGS_EQUAL(403, daemon.handle("POST", "/v1/admin/vouch", forged.dump()).status);
     const nlohmann::json valid{ { "challenge", text },
                                 { "version", 4 },
-                                { "mac",
-                                  wire::signStatement(wire::hashKey(secret), { "i1" }, text, 4) } };
+                                { "mac", wire::computeVouchMac(wire::hashKey(secret), { "i1" },
+                                                               text, 4) } };
     LONGS_EQUAL(200, daemon.handle("POST", "/v1/admin/vouch", valid.dump()).status);
     LONGS_EQUAL(400, daemon.handle("POST", "/v1/admin/vouch", valid.dump()).status);
 }
@@ -322,9 +322,9 @@
     for (const char *target : { "/v1/admin/", "/v1/admin/groups//promote", "/v1/admin/notes/a/b",
                                 "/v1/admin/notes/", "/v1/statements" })
         CHECK_TRUE(wire::matchAdminRoute("GET", target).error == core::error_kind::UnknownRoute);
-    CHECK_TRUE(wire::isOperator("Bearer " + secret, wire::hashKey(secret)));
+    CHECK_TRUE(wire::isOperatorAuthorized("Bearer " + secret, wire::hashKey(secret)));
     for (const char *header : { "", "Bearer ", "Bearer operator", "operators", "bearer operators" })
-        CHECK_FALSE(wire::isOperator(header, wire::hashKey(secret)));
+        CHECK_FALSE(wire::isOperatorAuthorized(header, wire::hashKey(secret)));
 }
 
 TEST_GROUP(note_file){};
--- a/tests/unit-fuzz.cpp
+++ b/tests/unit-fuzz.cpp
@@ -162,8 +162,8 @@
         largestAllocation = 0;
         if (const auto key = keyFromAuthorization(text))
             CHECK_TRUE(!key->empty() && isClean(*key));
-        const named_session cookie = sessionFromHeaders(std::nullopt, text);
-        const named_session header = sessionFromHeaders(text, "");
+        const requested_session cookie = sessionFromHeaders(std::nullopt, text);
+        const requested_session header = sessionFromHeaders(text, "");
         checkAllocation(text.size(), 2);
         CHECK_TRUE(isClean(cookie.token) && isClean(header.token));
         CHECK_TRUE(header.named && (cookie.named || cookie.token.empty()));
@@ -231,7 +231,7 @@
         }
         forward_answer part;
         if (!readBody(body, part)) {
-            part_joiner joiner;
+            part_assembler joiner;
             static_cast<void>(joiner.add(part.part, part.parts, part.content));
         }
         core::statement_answer made;
--- a/tests/unit-operator-desk.cpp
+++ b/tests/unit-operator-desk.cpp
@@ -30,7 +30,7 @@
         R"({"id":"second","base":0,"changed":[{"section":"switch","switch":"loans","on":false}]})";
 
 platform::platform_result perform(testing::platform_model &model,
-                                  const platform::platform_order &order, core::time_point now)
+                                  const platform::platform_operation &order, core::time_point now)
 {
     platform::platform_result result;
     result.isAnswered = true;
@@ -55,7 +55,7 @@
 {
     struct call
     {
-        platform::platform_order order;
+        platform::platform_operation order;
         platform_handler done;
     };
 
@@ -77,13 +77,13 @@
         values.instance = { "i1" };
         values.zone = { "z" };
         gateway = core::makeGateway({ 7, values.instance, values.zone }, {}, now);
-        const auto toPlatform = [this](platform::platform_order order, platform_handler done) {
+        const auto toPlatform = [this](platform::platform_operation order, platform_handler done) {
             calls.push_back({ std::move(order), std::move(done) });
         };
         instances.emplace(
                 gateway, values, log,
                 cluster_outputs{ [](peer_order &&) {},
-                                 [](platform::platform_order, platform_handler) {},
+                                 [](platform::platform_operation, platform_handler) {},
                                  [this](const core::configuration &config) {
                                      core::gateway_turn turn{ gateway, now, random, actions };
                                      core::applyConfiguration(turn, config);
--- a/tests/unit-peer-codec.cpp
+++ b/tests/unit-peer-codec.cpp
@@ -97,7 +97,7 @@
     std::size_t bytes = 0;
     for (std::uint64_t second = 0; second < seconds; ++second) {
         digest_message<core::spread_message> digest;
-        if (mustIntroduce(neighbour, second))
+        if (mustIncludeSenderNames(neighbour, second))
             digest.sender = { { "entry-0123456789" },
                               { "andina-guatavita" },
                               "192.168.100.200:65535" };
@@ -114,7 +114,8 @@
         bytes += message.size() + headers;
     }
     CHECK_TRUE(9 * 2 * bytes / seconds <= 3'000);
-    CHECK_TRUE(mustIntroduce(0, 5) && mustIntroduce(neighbour, 2) && !mustIntroduce(neighbour, 5));
+    CHECK_TRUE(mustIncludeSenderNames(0, 5) && mustIncludeSenderNames(neighbour, 2)
+               && !mustIncludeSenderNames(neighbour, 5));
 }
 
 // Guards against a field that is lost on the way to the owner of a group.
@@ -123,14 +124,14 @@
     const forward_request forward = anyForward();
     const core::statement_request request = toRequest(forward, now);
     CHECK_TRUE(request.deadline == now + core::duration(9));
-    const forward_request again = toForward(request, now);
+    const forward_request again = makeForwardRequest(request, now);
     CHECK_TRUE(writeBody(forward) == writeBody(again));
     forward_request read;
     CHECK_FALSE(readBody(writeBody(forward), read));
     CHECK_TRUE(writeBody(read) == writeBody(forward));
-    LONGS_EQUAL(0, toForward(request, now + 1h).remainingMicros);
+    LONGS_EQUAL(0, makeForwardRequest(request, now + 1h).remainingMicros);
     const core::statement_request endless;
-    CHECK_TRUE(toRequest(toForward(endless, now), now).deadline < core::noDeadline);
+    CHECK_TRUE(toRequest(makeForwardRequest(endless, now), now).deadline < core::noDeadline);
 }
 
 // Guards against a message that takes effect although a byte of it was changed on the way.
@@ -285,7 +286,7 @@
     std::vector<forward_answer> parts;
     CHECK_FALSE(splitAnswer(answer, parts));
     CHECK_TRUE(parts.size() > 1);
-    part_joiner joiner;
+    part_assembler joiner;
     for (const forward_answer &part : parts) {
         std::string message;
         CHECK_FALSE(sender.seal(peer_kind::ForwardAnswer, 22, part, message));
@@ -311,8 +312,8 @@
                                          { { 0, 2 }, { 1, 3 } },
                                          { { 1, 2 }, { 1, 2 } },
                                          { { 0, 0 }, { 0, 0 } },
-                                         { { 0, maxParts + 1 }, { 1, 2 } } }) {
-        part_joiner joiner;
+                                         { { 0, maxPartCount + 1 }, { 1, 2 } } }) {
+        part_assembler joiner;
         const std::error_code one = joiner.add(first.first, first.second, "a");
         const std::error_code two = joiner.add(second.first, second.second, "b");
         CHECK_TRUE(one || two);
