--- a/include/fuchsiagw/wire/peer_codec.hpp
+++ b/include/fuchsiagw/wire/peer_codec.hpp
@@ -1,11 +1,10 @@
 /// @file
-/// @brief Seals and opens messages between daemons.
+/// @brief Authenticates messages between daemons and rejects replays.
 ///
 /// A message is the compact form (see detail/compact_archive.hpp) of header and body, followed by a
-/// MAC over all of it.
-/// The header holds format version, key number, sender and receiver incarnation, sequence number
-/// and kind. The receiver's incarnation keeps a message from taking effect at an instance that
-/// happens to have the address of another one.
+/// MAC over both. The header holds format version, key number, sender and receiver incarnation,
+/// sequence number and kind. The receiver's incarnation prevents an instance that was assigned the
+/// address of another one from accepting messages that are meant for the other one.
 
 #pragma once
 
@@ -27,15 +26,16 @@
 inline constexpr std::size_t peerKeySize = 32; ///< bytes
 using peer_key = std::array<unsigned char, peerKeySize>;
 
-/// Keys of the deployment. A rotation first adds the new key everywhere, then makes it current, and
-/// then removes the old key.
+/// Keys of the deployment. A rotation first adds the new key at every instance, then makes it
+/// current, and then removes the old key.
 struct peer_keys
 {
     std::map<std::uint8_t, peer_key> keys; ///< by key number
     std::uint8_t current = 0; ///< key of sent messages; must be in `keys`
 };
 
-/// @brief Derives a key for messages from a shared secret, apart from every other use of it.
+/// @brief Derives the key of messages from a shared secret. The context of the derivation keeps the
+/// key independent of other keys that are derived from the secret.
 /// @complexity linear in the size of @p secret
 [[nodiscard]] peer_key derivePeerKey(std::string_view secret);
 
@@ -52,8 +52,8 @@
     std::uint8_t version = 0;
     std::uint8_t keyNumber = 0;
     core::incarnation_id sender = 0;
-    core::incarnation_id receiver = 0; ///< 0: whoever has the address
-    std::uint64_t sequence = 0; ///< from 1, for each transport
+    core::incarnation_id receiver = 0; ///< 0: any instance at the address
+    std::uint64_t sequence = 0; ///< from 1, counted per transport
     peer_kind kind = peer_kind::Hello;
 
     template <typename archive>
@@ -63,14 +63,15 @@
     }
 };
 
-/// A message whose MAC, size and sequence number are right. It refers to the bytes it came from.
+/// A message whose MAC, size and sequence number were checked. It refers to the bytes of the
+/// received message.
 struct opened_message
 {
     peer_header header;
     std::string_view body;
 };
 
-/// @brief Writes a body in the form that readBody() reads.
+/// @brief Serializes a body; readBody() reads it.
 template <typename type>
 [[nodiscard]] std::string writeBody(const type &body)
 {
@@ -79,9 +80,9 @@
     return archive.take();
 }
 
-/// @brief Reads a body.
+/// @brief Deserializes a body.
 /// @param result unspecified on an error
-/// @return MessageDamaged if @p bytes are anything but the whole of one @p type
+/// @return MessageDamaged unless @p bytes are exactly one valid @p type
 /// @complexity linear in the size of @p bytes, in time and memory
 template <typename type>
 [[nodiscard]] std::error_code readBody(std::string_view bytes, type &result)
@@ -92,19 +93,19 @@
         if (archive.rest().empty() && isValid(result))
             return {};
     } catch (const std::exception &) {
-        // The archive reports input that does not fit by throwing.
+        // compact_input throws on malformed input.
     }
     return core::error_kind::MessageDamaged;
 }
 
-/// One instance's end of all exchanges. Used by one thread.
+/// Seals and opens the messages of one instance. Not thread-safe.
 class peer_codec
 {
 public:
     /// @param self this instance's incarnation, not 0
     peer_codec(core::incarnation_id self, peer_keys keys);
 
-    /// @brief Seals a message.
+    /// @brief Serializes a message and adds its header and MAC.
     /// @param receiver incarnation of the receiver; 0 if it is not known yet
     /// @param[out] message set only on success
     /// @return MessageTooLarge if it exceeds the bound of its transport
@@ -116,9 +117,9 @@
         return sealBytes(kind, receiver, writeBody(body), message);
     }
 
-    /// @brief Checks a message and takes its sequence number.
+    /// @brief Verifies a message and records its sequence number.
     /// @param message must outlive @p result
-    /// @return MessageTooLarge, MessageDamaged (no message of this format or kind), MessageForeign
+    /// @return MessageTooLarge, MessageDamaged (unknown format or kind), MessageForeign
     /// (wrong MAC, unknown key, own message, or for another receiver) or MessageReplayed
     /// @complexity linear in the size of the message
     [[nodiscard]] std::error_code open(std::string_view message, peer_transport transport,
@@ -133,7 +134,8 @@
     core::incarnation_id self_;
     peer_keys keys_;
     std::array<std::uint64_t, 2> lastSequence_{}; ///< by transport
-    std::array<replay_window, 2> windows_; ///< by transport, since frames may be late
+    std::array<replay_window, 2>
+            windows_; ///< by transport, since frames may arrive later than datagrams
 
     [[nodiscard]] std::error_code sealBytes(peer_kind kind, core::incarnation_id receiver,
                                             std::string_view body, std::string &message);
--- a/include/fuchsiagw/wire/peer_message.hpp
+++ b/include/fuchsiagw/wire/peer_message.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief What daemons say to each other.
+/// @brief Messages between the daemons of a deployment.
 ///
 /// Times are sent as remaining microseconds, because instances share no clock. The receiver counts
-/// them from the time when it sent its question, or from arrival where that only makes a deadline
-/// later for the side that does not rely on it.
+/// a remaining time from when it sent its request. It counts from the arrival of the message only
+/// where the later deadline that results concerns the side that does not rely on the deadline.
 
 #pragma once
 
@@ -25,9 +25,9 @@
 
 namespace fuchsiagw::wire {
 
-/// The numbers are part of the protocol.
+/// Kinds of messages. Their numbers are part of the protocol.
 enum class peer_kind : std::uint8_t {
-    Hello = 1, ///< TCP: sender_info, first message on each link in both directions
+    Hello = 1, ///< TCP: sender_info, first message on each connection, in both directions
     Digest = 2, ///< UDP: digest_message
     Probe = 3, ///< UDP: probe_message
     GroupView = 4, ///< UDP: core::published_view
@@ -49,7 +49,7 @@
     Stream,
 };
 
-/// One row of the list of kinds.
+/// Name and transport of a message kind.
 struct peer_kind_row
 {
     peer_kind kind;
@@ -93,11 +93,12 @@
 
 using core::sender_state;
 
-/// Who sends. The incarnation stands in the header. Names and address may be left out together: the
-/// receiver of an earlier message knows them by the incarnation.
+/// Identity and state of a sender, whose incarnation is in the header. Instance name, zone and
+/// address may be omitted together: a receiver that got them in an earlier message finds them by
+/// the incarnation.
 struct sender_info
 {
-    core::instance_id instance; ///< empty: zone and address are not sent either
+    core::instance_id instance; ///< empty: zone and address are omitted too
     core::zone_name zone;
     std::string address; ///< IP number and port of the sender's peer address
     sender_state state = sender_state::Live;
@@ -117,19 +118,21 @@
     }
 };
 
-/// @brief Tells whether a digest must name its sender: the first ones to each incarnation, since
-/// datagrams are lost, and some later ones. Names in every digest would be a third of the traffic.
-/// @param receiver 0 if it is not known
+/// @brief Tells whether a digest must include the names and address of its sender.
+///
+/// Several digests to each incarnation include them, because a datagram may be lost: the first ones
+/// and every 16th. In every digest they would be a third of the traffic.
+/// @param receiver incarnation of the receiver, 0 if it is not known
 /// @param sent digests sent to this incarnation so far
 [[nodiscard]] constexpr bool mustIncludeSenderNames(core::incarnation_id receiver,
                                                     std::uint64_t sent)
 {
-    constexpr std::uint64_t always = 3;
-    constexpr std::uint64_t every = 16;
-    return receiver == 0 || sent < always || sent % every == 0;
+    constexpr std::uint64_t initialCount = 3;
+    constexpr std::uint64_t repeatPeriod = 16;
+    return receiver == 0 || sent < initialCount || sent % repeatPeriod == 0;
 }
 
-/// @tparam report_type what the tree over which configuration spreads needs to say
+/// @tparam report_type state that neighbours of the configuration tree exchange
 template <typename report_type>
 struct digest_message
 {
@@ -143,11 +146,11 @@
     }
 };
 
-/// Asks an instance that was silent for a sign of life, or gives one.
+/// Liveness probe of an instance that sent nothing for some time, or the answer to a probe.
 struct probe_message
 {
     sender_info sender;
-    bool isAnswer = false; ///< an answer is not answered
+    bool isAnswer = false; ///< answers are not acknowledged
 
     template <typename archive>
     void serialize(archive &ar)
@@ -156,7 +159,7 @@
     }
 };
 
-/// A statement that the owner of the group or of the transaction shall carry out.
+/// A statement that is forwarded to the owner of its group or transaction for execution.
 struct forward_request
 {
     core::request_id id;
@@ -181,12 +184,13 @@
     }
 };
 
-/// One part of an answer. Answers may exceed one frame, so they travel in parts over one link.
+/// One part of an answer. An answer may exceed a frame, so its parts are sent in order over one
+/// connection.
 struct forward_answer
 {
     core::request_id id; ///< of the request
     std::uint32_t part = 0; ///< from 0, in order
-    std::uint32_t parts = 1;
+    std::uint32_t parts = 1; ///< number of all parts
     std::string content;
 
     template <typename archive>
@@ -196,9 +200,10 @@
     }
 };
 
+/// Asks a neighbour for a configuration.
 struct configuration_request
 {
-    std::uint64_t version = 0; ///< wanted, or newer; 0: whatever is in force
+    std::uint64_t version = 0; ///< oldest acceptable version; 0: the version in force
 
     template <typename archive>
     void serialize(archive &ar)
@@ -207,11 +212,12 @@
     }
 };
 
-/// One part of a configuration in the JSON form of the object store.
+/// One part of a configuration, in the JSON form of the object store.
 struct configuration_body
 {
-    std::uint64_t version = 0; ///< 0: none is in force
-    std::uint64_t tag = 0; ///< tells two contents of one version apart
+    std::uint64_t version = 0; ///< 0: no configuration is in force
+    std::uint64_t tag =
+            0; ///< hash of the content, distinguishes two contents with the same version
     std::uint32_t part = 0; ///< from 0, in order
     std::uint32_t parts = 1;
     std::string content;
@@ -223,52 +229,54 @@
     }
 };
 
-/// Leaves room in a frame of 1 MiB for the other fields.
+/// Bound on the content of one part. Leaves room in a frame of 1 MiB for the other fields.
 inline constexpr std::size_t maxPartBytes = 786'432;
-/// Bound of a message that travels in parts: 15 MiB.
+/// Bound on the parts of one message, which limits it to 15 MiB.
 inline constexpr std::uint32_t maxPartCount = 20;
 
-/// @brief Makes the message that forwards a request.
+/// @brief Converts a request to the message that forwards it.
 [[nodiscard]] forward_request makeForwardRequest(const core::statement_request &request,
                                                  core::time_point now);
 
-/// @brief Makes the request that the receiver of a forwarded one carries out.
+/// @brief Converts a forwarded request to the one that the receiver executes.
 /// @param now when the message arrived
 [[nodiscard]] core::statement_request toRequest(forward_request forward, core::time_point now);
 
-/// @brief Cuts an answer into parts.
+/// @brief Splits an answer into parts.
 /// @param[out] parts the messages to send, in order
-/// @return MessageTooLarge if it exceeds maxPartCount or has more than 262,144 rows and cells; the
-/// caller must then be told `unknown` for a write, since it may have run
+/// @return MessageTooLarge if it exceeds maxPartCount or has more than 262,144 rows and cells; a
+/// write must then be answered with the outcome `unknown`, since it may have been executed
 [[nodiscard]] std::error_code splitAnswer(const core::statement_answer &answer,
                                           std::vector<forward_answer> &parts);
 
-/// @brief Cuts the text of a configuration into parts; see splitAnswer().
+/// @brief Splits the text of a configuration into parts; see splitAnswer().
 [[nodiscard]] std::error_code splitConfiguration(std::uint64_t version, std::uint64_t tag,
                                                  std::string_view text,
                                                  std::vector<configuration_body> &parts);
 
-/// Puts the parts of one message together. Invariant: `next` parts are in `content`.
+/// Reassembles a message from its parts. Invariant: `content` holds the first `nextPart` parts.
 struct part_assembler
 {
     std::string content;
-    std::uint32_t next = 0;
-    std::uint32_t parts = 0; ///< 0: none has come
-
-    /// @brief Takes the next part.
-    /// @return MessageDamaged unless it follows the last one within the bounds
-    [[nodiscard]] std::error_code add(std::uint32_t part, std::uint32_t of,
+    std::uint32_t nextPart = 0;
+    std::uint32_t parts = 0; ///< number of all parts; 0: none has arrived
+
+    /// @brief Appends the next part.
+    /// @param part number of the part, from 0
+    /// @param partCount number of all parts
+    /// @return MessageDamaged unless the part follows the previous one within the bounds
+    [[nodiscard]] std::error_code add(std::uint32_t part, std::uint32_t partCount,
                                       const std::string &piece);
-    [[nodiscard]] bool isComplete() const { return parts > 0 && next == parts; }
+    [[nodiscard]] bool isComplete() const { return parts > 0 && nextPart == parts; }
 };
 
-/// @brief Reads the content of an answer whose parts are complete.
+/// @brief Reads an answer from its reassembled content.
 /// @return MessageDamaged if it is not an answer to @p id
 [[nodiscard]] std::error_code readAnswer(const core::request_id &id, std::string_view content,
                                          core::statement_answer &answer);
 
-/// @brief Tells whether a value that was read is one that the program can hold. Types with
-/// enumerations or bounds overload it.
+/// @brief Tells whether a decoded value is in the range of its type. Types with enumerations or
+/// bounds have overloads.
 template <typename type>
 [[nodiscard]] bool isValid(const type & /*value*/)
 {
--- a/include/fuchsiagw/wire/replay_window.hpp
+++ b/include/fuchsiagw/wire/replay_window.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Recognises messages that came before, by the sender's sequence numbers.
+/// @brief Replay protection by the sequence numbers of each sender.
 
 #pragma once
 
@@ -13,49 +13,53 @@
 
 namespace fuchsiagw::wire {
 
-/// Sequence numbers of one sender. A number that is older than the window counts as a replay.
+/// Sliding window over the sequence numbers of one sender. A number below the window counts as a
+/// replay.
 class sequence_window
 {
 public:
-    /// Numbers that may arrive out of order. At 100 messages/s this is more than 40 s.
+    /// Size of the window, more than 40 s of reordering at 100 messages/s.
     static constexpr std::size_t size = 4096;
 
-    /// @brief Takes a number, which starts at 1.
-    /// @return false if it came before or is older than the window
-    /// @complexity linear in the numbers that were skipped, at most size
+    /// @brief Records a sequence number; they start at 1.
+    /// @return false if the number was recorded before or is below the window
+    /// @complexity linear in the skipped numbers, at most size
     [[nodiscard]] bool accept(std::uint64_t sequence);
 
 private:
     std::uint64_t newest_ = 0;
-    std::bitset<size> seen_; ///< bit n % size stands for number n; only the last `size` numbers
+    std::bitset<size> seen_; ///< bit n % size is set if number n of the last `size` was received
 };
 
-/// One window for each sender's incarnation. A restarted sender has a new one.
+/// One window per incarnation of a sender. A restarted sender has a new incarnation.
 class replay_window
 {
 public:
-    /// More than all daemons of a deployment with those replaced lately.
+    /// Exceeds the number of daemons of a deployment, including recently replaced ones.
     static constexpr std::size_t maxSenders = 4096;
-    /// A sender silent for so long makes room for a new one; its network copies have died out.
-    static constexpr core::duration forgetAfter = std::chrono::seconds(60);
+    /// Idle time after which a sender may be evicted for a new one: no copies of its messages are
+    /// in the network any more.
+    static constexpr core::duration senderIdleTimeout = std::chrono::seconds(60);
 
-    /// @brief Takes the number of a message whose MAC was right.
-    /// @return false if it is a replay, or if maxSenders others were all heard within forgetAfter
-    /// @complexity constant; linear in the senders when it makes room
+    /// @brief Records the sequence number of a message whose MAC was verified.
+    /// @return false for a replay, or if the sender is new and maxSenders others sent messages
+    /// within senderIdleTimeout
+    /// @complexity constant; linear in the senders when idle ones are evicted
     [[nodiscard]] bool accept(core::incarnation_id sender, std::uint64_t sequence,
                               core::time_point now);
 
-    [[nodiscard]] std::size_t senders() const { return senders_.size(); }
+    [[nodiscard]] std::size_t senderCount() const { return senders_.size(); }
 
 private:
     struct sender_state
     {
         sequence_window window;
-        core::time_point heardAt;
+        core::time_point lastReceivedAt;
     };
 
     std::unordered_map<core::incarnation_id, sender_state> senders_;
-    core::time_point nextEvictionAt_ = core::time_point::min(); ///< no room before
+    core::time_point nextEvictionAt_ =
+            core::time_point::min(); ///< no sender can be evicted earlier
 
     [[nodiscard]] bool evictIdleSenders(core::time_point now);
 };
--- a/src/wire/peer_codec.cpp
+++ b/src/wire/peer_codec.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Messages between daemons: header, MAC and checks.
+/// @brief Header, MAC and verification of messages between daemons.
 
 #include <fuchsiagw/wire/peer_codec.hpp>
 
@@ -23,7 +23,7 @@
     return reinterpret_cast<const unsigned char *>(text.data());
 }
 
-/// Splits a message into header and body.
+/// Splits the authenticated content of a message into header and body.
 bool readHeader(std::string_view content, opened_message &opened)
 {
     try {
@@ -94,7 +94,7 @@
     const std::string_view content = message.substr(0, message.size() - macBytes);
     const std::string_view mac = message.substr(content.size());
     const auto key = keys_.keys.find(static_cast<std::uint8_t>(content[keyNumberOffset]));
-    // Nothing else is read before the MAC is known to be right.
+    // No other field is read before the MAC is verified.
     if (key == keys_.keys.end()
         || crypto_auth_verify(asBytes(mac), asBytes(content), content.size(), key->second.data())
                    != 0)
--- a/src/wire/peer_message.cpp
+++ b/src/wire/peer_message.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Forwarded statements and messages that travel in parts.
+/// @brief Conversion of forwarded statements and splitting of large messages.
 
 #include <fuchsiagw/wire/peer_message.hpp>
 
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// A deadline that is farther away is sent as this.
+/// Bound on a remaining time, also used for a request without a deadline.
 constexpr core::duration maxRemaining = std::chrono::hours(1);
 
-/// What the parts of an answer contain together.
+/// Content of an answer before it is split into parts.
 struct answer_content
 {
     core::request_id id;
-    std::int32_t error = 0; ///< number of the error; 0: success
+    std::int32_t error = 0; ///< number of the error kind; 0: success
     std::string problem;
     std::vector<std::vector<std::string>> rows;
     core::log_position position;
@@ -43,7 +43,7 @@
     });
 }
 
-/// Calls @p add with the number of each part, the number of all parts and the part itself.
+/// Calls @p add with the index of each part, the number of parts and the part's content.
 template <typename adder>
 std::error_code split(std::string_view content, const adder &add)
 {
@@ -61,7 +61,7 @@
 
 forward_request makeForwardRequest(const core::statement_request &request, core::time_point now)
 {
-    const core::duration left =
+    const core::duration remaining =
             request.deadline == core::noDeadline
                     ? maxRemaining
                     : std::clamp(request.deadline - now, core::duration(0), maxRemaining);
@@ -76,7 +76,7 @@
              request.transaction,
              request.minPosition,
              request.isSessionUnusable,
-             left.count() };
+             remaining.count() };
 }
 
 core::statement_request toRequest(forward_request forward, core::time_point now)
@@ -115,28 +115,30 @@
         elements += row.size();
     if (elements > detail::maxListElements)
         return core::error_kind::MessageTooLarge;
-    return split(writeBody(content), [&](std::uint32_t part, std::uint32_t of, std::string piece) {
-        parts.push_back({ answer.id, part, of, std::move(piece) });
-    });
+    return split(writeBody(content),
+                 [&](std::uint32_t part, std::uint32_t partCount, std::string piece) {
+                     parts.push_back({ answer.id, part, partCount, std::move(piece) });
+                 });
 }
 
 std::error_code splitConfiguration(std::uint64_t version, std::uint64_t tag, std::string_view text,
                                    std::vector<configuration_body> &parts)
 {
     parts.clear();
-    return split(text, [&](std::uint32_t part, std::uint32_t of, std::string piece) {
-        parts.push_back({ version, tag, part, of, std::move(piece) });
+    return split(text, [&](std::uint32_t part, std::uint32_t partCount, std::string piece) {
+        parts.push_back({ version, tag, part, partCount, std::move(piece) });
     });
 }
 
-std::error_code part_assembler::add(std::uint32_t part, std::uint32_t of, const std::string &piece)
+std::error_code part_assembler::add(std::uint32_t part, std::uint32_t partCount,
+                                    const std::string &piece)
 {
     const bool isFirst = parts == 0;
-    if (of == 0 || of > maxPartCount || part != next || part >= of || (!isFirst && of != parts)
-        || piece.size() > maxPartBytes)
+    if (partCount == 0 || partCount > maxPartCount || part != nextPart || part >= partCount
+        || (!isFirst && partCount != parts) || piece.size() > maxPartBytes)
         return core::error_kind::MessageDamaged;
-    parts = of;
-    ++next;
+    parts = partCount;
+    ++nextPart;
     content += piece;
     return {};
 }
--- a/src/wire/replay_window.cpp
+++ b/src/wire/replay_window.cpp
@@ -31,14 +31,14 @@
 bool replay_window::accept(core::incarnation_id sender, std::uint64_t sequence,
                            core::time_point now)
 {
-    auto known = senders_.find(sender);
-    if (known == senders_.end()) {
+    auto found = senders_.find(sender);
+    if (found == senders_.end()) {
         if (senders_.size() >= maxSenders && !evictIdleSenders(now))
             return false;
-        known = senders_.emplace(sender, sender_state{ {}, now }).first;
+        found = senders_.emplace(sender, sender_state{ {}, now }).first;
     }
-    known->second.heardAt = now;
-    return known->second.window.accept(sequence);
+    found->second.lastReceivedAt = now;
+    return found->second.window.accept(sequence);
 }
 
 bool replay_window::evictIdleSenders(core::time_point now)
@@ -47,15 +47,15 @@
         return false;
     core::time_point oldest = core::noDeadline;
     std::erase_if(senders_, [&oldest, now](const auto &entry) {
-        const core::time_point heardAt = entry.second.heardAt;
-        if (heardAt + forgetAfter <= now)
+        const core::time_point lastReceivedAt = entry.second.lastReceivedAt;
+        if (lastReceivedAt + senderIdleTimeout <= now)
             return true;
-        oldest = std::min(oldest, heardAt);
+        oldest = std::min(oldest, lastReceivedAt);
         return false;
     });
     if (senders_.size() < maxSenders)
         return true;
-    nextEvictionAt_ = oldest + forgetAfter;
+    nextEvictionAt_ = oldest + senderIdleTimeout;
     return false;
 }
 
--- a/src/wire/session_token.cpp
+++ b/src/wire/session_token.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Session tokens.
+/// @brief Encoding and verification of session tokens.
 
 #include <fuchsiagw/wire/session_token.hpp>
 
@@ -17,10 +17,10 @@
 constexpr unsigned char formatVersion = 1;
 constexpr unsigned char partialFlag = 1;
 constexpr std::size_t macSize = crypto_auth_BYTES;
-constexpr std::size_t positionSize = 8; ///< bytes of one number
+constexpr std::size_t numberSize = 8; ///< bytes of a term or index
 constexpr std::size_t maxTokenBytes =
         3 + 1 + core::maxNameLength + 1
-        + core::maxSessionGroups * (1 + core::maxNameLength + 2 * positionSize) + macSize;
+        + core::maxSessionGroups * (1 + core::maxNameLength + 2 * numberSize) + macSize;
 static_assert(tokenKeySize == crypto_auth_KEYBYTES);
 static_assert((maxTokenBytes * 4 + 2) / 3 == maxTokenLength);
 
@@ -37,7 +37,7 @@
         bytes.push_back(static_cast<char>((number >> shift) & 0xffU));
 }
 
-std::string macOf(std::string_view bytes, const token_key &key)
+std::string computeMac(std::string_view bytes, const token_key &key)
 {
     std::string mac(macSize, '\0');
     crypto_auth(reinterpret_cast<unsigned char *>(mac.data()),
@@ -45,16 +45,16 @@
     return mac;
 }
 
-/// Reads fields from the front; `ok` turns false at the first field that does not fit.
+/// Reads fields from the front; `isValid` becomes false at the first malformed field.
 struct byte_reader
 {
     std::string_view rest;
-    bool ok = true;
+    bool isValid = true;
 
     unsigned char byte()
     {
         if (rest.empty()) {
-            ok = false;
+            isValid = false;
             return 0;
         }
         const auto value = static_cast<unsigned char>(rest.front());
@@ -66,7 +66,7 @@
     {
         const std::size_t size = byte();
         if (size > core::maxNameLength || size > rest.size()) {
-            ok = false;
+            isValid = false;
             return {};
         }
         std::string value(rest.substr(0, size));
@@ -77,7 +77,7 @@
     std::uint64_t number()
     {
         std::uint64_t value = 0;
-        for (std::size_t i = 0; i < positionSize; ++i)
+        for (std::size_t i = 0; i < numberSize; ++i)
             value = value << 8 | byte();
         return value;
     }
@@ -92,16 +92,16 @@
     const std::size_t count = reader.byte();
     if (flags > partialFlag || count > core::maxSessionGroups)
         return false;
-    for (std::size_t i = 0; i < count && reader.ok; ++i) {
+    for (std::size_t i = 0; i < count && reader.isValid; ++i) {
         core::session_entry entry;
         entry.group.value = reader.text();
         entry.position.term = reader.number();
         entry.position.index = reader.number();
         for (const core::session_entry &each : state.entries)
-            reader.ok = reader.ok && each.group != entry.group;
+            reader.isValid = reader.isValid && each.group != entry.group;
         state.entries.push_back(std::move(entry));
     }
-    return reader.ok && reader.rest.empty();
+    return reader.isValid && reader.rest.empty();
 }
 
 } // namespace
@@ -135,13 +135,13 @@
         putNumber(bytes, each.position.term);
         putNumber(bytes, each.position.index);
     }
-    bytes += macOf(bytes, keys.keys.at(keys.current));
+    bytes += computeMac(bytes, keys.keys.at(keys.current));
 
     constexpr int variant = sodium_base64_VARIANT_URLSAFE_NO_PADDING;
     std::string text(sodium_base64_encoded_len(bytes.size(), variant), '\0');
     sodium_bin2base64(text.data(), text.size(),
                       reinterpret_cast<const unsigned char *>(bytes.data()), bytes.size(), variant);
-    text.pop_back(); // the terminating zero
+    text.pop_back(); // sodium_bin2base64 writes a terminating zero
     return text;
 }
 
--- a/src/wire/vouch.cpp
+++ b/src/wire/vouch.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Challenges and signed statements of operators.
+/// @brief Challenges to operators and verification of their answers.
 
 #include <fuchsiagw/wire/vouch.hpp>
 
@@ -18,13 +18,13 @@
 
 constexpr std::size_t maxOpenChallenges = 16;
 constexpr std::size_t challengeBytes = 16;
-constexpr std::string_view context = "fuchsiagw vouch key ";
+constexpr std::string_view keyContext = "fuchsiagw vouch key ";
 
 std::string hex(const unsigned char *bytes, std::size_t size)
 {
     std::string text(2 * size + 1, '\0');
     sodium_bin2hex(text.data(), text.size(), bytes, size);
-    text.pop_back(); // the terminating zero
+    text.pop_back(); // sodium_bin2hex writes a terminating zero
     return text;
 }
 
@@ -33,7 +33,7 @@
 std::string computeVouchMac(std::string_view secretHash, const core::instance_id &instance,
                             std::string_view challenge, core::configuration_version version)
 {
-    const std::string keyText = std::string(context) + std::string(secretHash);
+    const std::string keyText = std::string(keyContext) + std::string(secretHash);
     std::array<unsigned char, crypto_auth_KEYBYTES> key{};
     crypto_generichash(key.data(), key.size(),
                        reinterpret_cast<const unsigned char *>(keyText.data()), keyText.size(),
@@ -94,11 +94,11 @@
                           issued->issuedAt);
     challenges.open.erase(issued);
     const bool isProven = core::isProven(proofs, now);
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
+    const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
             isProven ? core::proofExpiresAt(proofs) - now : core::duration::zero());
     const json answer = { { "accepted", true },
                           { "proven", isProven },
-                          { "proven_ms", left.count() },
+                          { "proven_ms", remaining.count() },
                           { "version", proofs.held } };
     return { 200, answer.dump() };
 }
--- a/tests/unit-replay-window.cpp
+++ b/tests/unit-replay-window.cpp
@@ -67,11 +67,11 @@
     for (core::incarnation_id sender = 1; sender <= replay_window::maxSenders; ++sender)
         CHECK_TRUE(window->accept(sender, 1, now));
     CHECK_FALSE(window->accept(replay_window::maxSenders + 1, 1, now));
-    now += replay_window::forgetAfter - core::duration(1);
+    now += replay_window::senderIdleTimeout - core::duration(1);
     CHECK_TRUE(window->accept(1, 2, now));
     CHECK_FALSE(window->accept(replay_window::maxSenders + 1, 1, now));
     now += core::duration(1);
     CHECK_TRUE(window->accept(replay_window::maxSenders + 1, 1, now));
     CHECK_FALSE(window->accept(1, 2, now));
-    LONGS_EQUAL(2, window->senders());
+    LONGS_EQUAL(2, window->senderCount());
 }
