--- a/include/fuchsiagw/detail/compact_archive.hpp
+++ b/include/fuchsiagw/detail/compact_archive.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// @brief A compact binary form for cereal, read from memory and never beyond its end.
+/// @brief Compact binary archives for cereal.
 ///
-/// Numbers of more than one byte are written as groups of 7 bits, least significant first, signed
-/// ones with the sign in the lowest bit. Most numbers between daemons are small, and the traffic
-/// for control is bounded. cereal's own input archives allocate what a length field claims before
-/// they read. This one checks every length against the bytes that are left and lets lists grow
-/// element by element, so that a damaged message can't cause a large allocation.
+/// Integers of more than one byte are written as variable-length groups of 7 bits, least
+/// significant first; signed ones are zigzag-encoded, with the sign in the lowest bit. This saves
+/// bandwidth, since control traffic is bounded and most numbers in it are small. cereal's own input
+/// archives allocate the size in a length field before they read the elements. compact_input checks
+/// every length against the remaining bytes and appends list elements one by one, so that a damaged
+/// message can't cause a large allocation.
 
 #pragma once
 
@@ -24,7 +25,8 @@
 
 namespace fuchsiagw::detail {
 
-/// Elements of all lists of one message. Even an empty string takes 32 bytes of memory.
+/// Bound on the elements of all lists of one message. It limits memory, since a string that is one
+/// byte in a message takes 32 bytes of memory.
 inline constexpr std::size_t maxListElements = 262'144;
 
 class compact_output : public cereal::OutputArchive<compact_output, cereal::AllowEmptyClassElision>
@@ -49,7 +51,8 @@
     std::string bytes_;
 };
 
-/// Throws cereal::Exception where the input does not fit; callers turn it into an error code.
+/// Reads from memory. Throws cereal::Exception on malformed input; callers convert it to an error
+/// code.
 class compact_input : public cereal::InputArchive<compact_input, cereal::AllowEmptyClassElision>
 {
 public:
@@ -62,7 +65,7 @@
     {
         return static_cast<std::uint8_t>(takeBytes(1).front());
     }
-    /// Only the shortest form of a number is accepted.
+    /// Accepts only the shortest encoding of a number.
     [[nodiscard]] std::uint64_t takeNumber()
     {
         std::uint64_t number = 0;
@@ -86,7 +89,7 @@
         rest_.remove_prefix(size);
         return taken;
     }
-    /// Counts one more element of a list.
+    /// Counts a list element against maxListElements.
     void countElement()
     {
         if (++elements_ > maxListElements)
@@ -169,7 +172,7 @@
     tag.size = size;
 }
 
-// Text only: lists of numbers are written one by one, see below.
+// BinaryData is used for text only; lists of numbers are written element by element, see below.
 template <typename type>
 void save(compact_output &archive, const cereal::BinaryData<type> &data)
 {
--- a/include/fuchsiagw/detail/json_value.hpp
+++ b/include/fuchsiagw/detail/json_value.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Strict conversion between plain structs and JSON from one list of fields per struct.
+/// @brief Strict conversion between plain structs and JSON, from one list of fields per struct.
 
 #pragma once
 
@@ -21,14 +21,14 @@
 
 namespace fuchsiagw::detail {
 
-/// @brief Lists the fields of a struct for both directions.
+/// @brief Lists the fields of a struct for reading and writing.
 ///
 /// A specialization has `template <typename archive, typename record> static void visit(archive &,
-/// record &)`, which calls the archive with the name and the member of each field.
+/// record &)`, which calls the archive with name and member of each field.
 template <typename type>
 struct json_fields;
 
-/// @brief Gives the table of names of an enumeration as `static constexpr const auto &table`.
+/// @brief Provides the names of an enumeration as `static constexpr const auto &table`.
 template <typename type>
 struct json_names;
 
@@ -36,7 +36,7 @@
 template <typename type>
 struct json_value;
 
-/// Reads the fields of one JSON object. The first error is kept, later fields are then skipped.
+/// Reads the fields of one JSON object. Keeps the first error and skips the fields after it.
 class json_object_reader
 {
 public:
@@ -54,7 +54,7 @@
             return;
         const auto found = object_.find(name);
         if (found != object_.end()) {
-            ++known_;
+            ++readCount_;
             error_ = json_value<type>::read(*found, value);
         } else if constexpr (requires { value.reset(); }) {
             value.reset();
@@ -66,14 +66,14 @@
     /// @return the first error, or UnknownField if the object has more fields than were read
     [[nodiscard]] std::error_code finish() const
     {
-        if (!error_ && known_ != object_.size())
+        if (!error_ && readCount_ != object_.size())
             return core::error_kind::UnknownField;
         return error_;
     }
 
 private:
     const nlohmann::json &object_;
-    std::size_t known_ = 0;
+    std::size_t readCount_ = 0;
     std::error_code error_;
 };
 
@@ -141,7 +141,7 @@
     static nlohmann::json write(bool value) { return value; }
 };
 
-/// Negative numbers, fractions and numbers above 64 bits have the wrong type.
+/// Negative numbers, fractions and numbers of more than 64 bits are of the wrong type.
 template <>
 struct json_value<std::uint64_t>
 {
@@ -178,7 +178,7 @@
     static nlohmann::json write(const core::named_id<tag> &value) { return value.value; }
 };
 
-/// A field of this type may be missing; `null` has the wrong type.
+/// A field of this type may be missing, but must not be `null`.
 template <typename item>
 struct json_value<std::optional<item>>
 {
@@ -233,7 +233,7 @@
 
 /// @brief Writes a message as JSON without spaces.
 ///
-/// A JSON text must be valid UTF-8; bytes that are not are replaced by U+FFFD.
+/// Bytes that are not valid UTF-8 are replaced by U+FFFD, since JSON allows no others.
 /// @complexity linear in the size of the message
 template <typename message>
 [[nodiscard]] std::string writeJson(const message &value)
@@ -242,23 +242,23 @@
                                                   nlohmann::json::error_handler_t::replace);
 }
 
-/// @brief Parses a message; every listed field must be there exactly once and no other;
-/// a std::optional may be missing.
+/// @brief Parses a message. Every listed field must occur exactly once, and no other field may
+/// occur; a std::optional field may be missing.
 /// @param value unchanged on error
 /// @complexity linear in the size of @p text
 template <typename message>
 [[nodiscard]] std::error_code readJson(std::string_view text, message &value)
 {
-    // A name that comes twice would let two parsers of one body see different values.
+    // Two parsers of one body could read different values of a repeated name.
     bool hasRepeatedName = false;
-    std::vector<std::set<std::string>> namesOfOpenObjects;
+    std::vector<std::set<std::string>> openObjectNames;
     const auto recordNames = [&](int, nlohmann::json::parse_event_t event, nlohmann::json &name) {
         if (event == nlohmann::json::parse_event_t::object_start)
-            namesOfOpenObjects.emplace_back();
+            openObjectNames.emplace_back();
         else if (event == nlohmann::json::parse_event_t::object_end)
-            namesOfOpenObjects.pop_back();
+            openObjectNames.pop_back();
         else if (event == nlohmann::json::parse_event_t::key
-                 && !namesOfOpenObjects.back().insert(name.get<std::string>()).second)
+                 && !openObjectNames.back().insert(name.get<std::string>()).second)
             hasRepeatedName = true;
         return true;
     };
--- a/include/fuchsiagw/detail/member_fields.hpp
+++ b/include/fuchsiagw/detail/member_fields.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Fields and names that several JSON messages about members share.
+/// @brief Field lists and names that several JSON messages about members share.
 
 #pragma once
 
--- a/include/fuchsiagw/detail/strict_json.hpp
+++ b/include/fuchsiagw/detail/strict_json.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reads JSON documents of operators strictly, with problems that name the field's path.
+/// @brief Strict reader of operators' JSON documents, whose errors name the path of the field.
 
 #pragma once
 
@@ -15,31 +15,31 @@
 
 namespace fuchsiagw::detail {
 
-/// The first problem of a document.
+/// The first error in a document.
 struct json_problem
 {
     std::error_code error;
     std::string text; ///< path of the field, then what is wrong with it
 
     [[nodiscard]] bool exists() const { return static_cast<bool>(error); }
-    /// Keeps the first problem only.
+    /// Records a problem unless there is one already.
     void set(core::error_kind kind, const std::string &path, const std::string &what);
 };
 
-/// @brief Parses one JSON document of at most 1 MiB without repeated names in an object.
+/// @brief Parses one JSON document of at most 1 MiB. An object must not repeat a name.
 /// @return whether it succeeded; otherwise @p problem is set
 /// @complexity linear in the size of @p text
 bool parseStrict(std::string_view text, nlohmann::json &document, json_problem &problem);
 
-/// Reads the fields of one object. Every name that is not asked for is an unknown field.
+/// Reads the fields of one object. finish() reports each field that was not read as unknown.
 class object_reader
 {
 public:
     object_reader(const nlohmann::json &value, std::string path, json_problem &problem);
 
-    /// @return the field, or nullptr if it is missing
+    /// @return the field, or nullptr if the object does not have it
     [[nodiscard]] const nlohmann::json *find(std::string_view name);
-    /// @return the field, or nullptr after a problem
+    /// @return the field, or nullptr if it is missing, which is recorded as a problem
     [[nodiscard]] const nlohmann::json *require(std::string_view name);
 
     void text(std::string_view name, std::string &out);
@@ -57,14 +57,14 @@
                    const std::function<void(const nlohmann::json &, const std::string &)> &each);
 
     [[nodiscard]] std::string pathOf(std::string_view name) const;
-    /// Refuses every field that was not asked for.
+    /// Records a problem for a field that was not read.
     void finish();
 
 private:
     const nlohmann::json &value_;
     std::string path_;
     json_problem &problem_;
-    std::set<std::string, std::less<>> known_;
+    std::set<std::string, std::less<>> requestedNames_;
 };
 
 } // namespace fuchsiagw::detail
--- a/include/fuchsiagw/platform/platform_client.hpp
+++ b/include/fuchsiagw/platform/platform_client.hpp
@@ -40,10 +40,11 @@
 using platform_operation = std::variant<read_row, scan_rows, core::transact_request, put_object,
                                         get_object, list_instances>;
 
-/// Invariant: unless isAnswered, nothing is known about whether the request took effect.
+/// Result of an operation. Invariant: unless isAnswered, it is unknown whether the operation took
+/// effect.
 struct platform_result
 {
-    bool isAnswered = false; ///< a whole and valid answer came
+    bool isAnswered = false; ///< a complete and valid answer was received
     bool isFound = false; ///< the row or object exists; the object was stored
     core::table_row row;
     core::scan_answer scan;
@@ -54,16 +55,16 @@
 
 using platform_handler = std::function<void(platform_result &&)>;
 
-/// @brief Makes one request. @p done is called once, at the deadline at the latest.
+/// @brief Sends one request and calls @p done exactly once, at the deadline at the latest.
 /// @complexity linear in the size of the request
 void request(net::http_client &client, const net::endpoint &platform,
-             const platform_operation &order, core::time_point deadline, platform_handler done);
+             const platform_operation &operation, core::time_point deadline, platform_handler done);
 
-/// @return the HTTP request of an order
-[[nodiscard]] net::http_request toHttp(const platform_operation &order);
+/// @return the HTTP request of an operation
+[[nodiscard]] net::http_request toHttp(const platform_operation &operation);
 
-/// @brief Reads the answer to an order; anything unexpected counts as no answer.
-[[nodiscard]] platform_result readResult(const platform_operation &order,
+/// @brief Reads the answer to an operation; an unexpected one is treated as no answer.
+[[nodiscard]] platform_result readResult(const platform_operation &operation,
                                          net::http_exchange &&exchange);
 
 } // namespace fuchsiagw::platform
--- a/include/fuchsiagw/wire/admin_json.hpp
+++ b/include/fuchsiagw/wire/admin_json.hpp
@@ -1,7 +1,8 @@
 /// @file
 /// @brief The operators' API on the admin port: routes, and requests and answers as JSON.
 ///
-/// Every function is pure; the daemon calls the one of the matched route and sends its answer.
+/// The functions have no side effects. The daemon calls the one of the matched route and sends its
+/// answer.
 /// docs/OPERATIONS.md lists the routes.
 
 #pragma once
@@ -33,12 +34,13 @@
     Status, ///< GET /v1/admin/status
 };
 
-/// Invariant: `error` is empty exactly if `route` and `argument` are valid.
+/// Result of the routing. Invariant: `error` is empty if and only if `route` and `argument` are
+/// valid.
 struct admin_route_match
 {
     std::optional<core::error_kind> error; ///< UnknownRoute or MethodNotAllowed
     admin_route route = admin_route::Status;
-    std::string argument; ///< note or group
+    std::string argument; ///< note or group id, empty if the route has none
 };
 
 struct admin_answer
@@ -47,7 +49,7 @@
     std::string body; ///< JSON
 };
 
-/// A group as the owners know it.
+/// State of a database group, as its owners report it.
 struct group_report
 {
     struct member
@@ -57,35 +59,37 @@
         std::string address;
         core::member_role role = core::member_role::Replica;
         core::log_position applied;
-        std::string state; ///< for people: live, leaving, silent, behind
+        std::string state; ///< shown to operators: live, leaving, silent or behind
     };
     core::group_id group;
-    core::member_id primary; ///< empty: none known
+    core::member_id primary; ///< empty: not known
     core::term_number term = 0;
     std::vector<member> members;
 };
 
-/// What one instance says about itself.
+/// State of one instance, as it reports it.
 struct status_report
 {
     core::tree_node self;
     std::string state; ///< starting, serving or draining
     core::configuration_version version = 0;
-    core::configuration_version everywhere = 0; ///< 0: not known
+    /// Every listed instance has this version or a newer one in force; 0: not known.
+    core::configuration_version everywhere = 0;
     core::proof_source proof = core::proof_source::None;
     std::optional<std::int64_t> proofAgeMs; ///< empty: no proof
     bool isProven = false;
     bool isPlatformReachable = false;
-    core::instance_id parent; ///< empty: root of its tree
+    core::instance_id parent; ///< empty: the instance is the root of its tree
     std::size_t children = 0;
-    std::size_t listed = 0; ///< entry instances on its list
+    std::size_t listed = 0; ///< entry instances on the instance's list
 };
 
-/// @return the route of a request, without its query
+/// @return the route of a request; the query of @p target is ignored
 /// @complexity linear in the size of @p target
 [[nodiscard]] admin_route_match matchAdminRoute(std::string_view method, std::string_view target);
 
-/// @brief Compares the secret of `Authorization: Bearer <secret>` in constant time.
+/// @brief Tells whether `Authorization: Bearer <secret>` has the operators' secret. The hashes are
+/// compared in constant time.
 /// @param header value of the Authorization header
 /// @param secretHash BLAKE2b-256 of the operators' secret in hexadecimal
 [[nodiscard]] bool isOperatorAuthorized(std::string_view header, std::string_view secretHash);
@@ -97,16 +101,17 @@
 /// @return the newest configuration that the instance holds, in canonical form
 [[nodiscard]] admin_answer answerConfiguration(const core::config_store &store);
 
-/// @brief Checks a note against the configuration in force without submitting it.
+/// @brief Validates a note against the configuration in force without submitting it.
 [[nodiscard]] admin_answer answerCheck(const core::config_store &store, std::string_view body);
 
-/// @brief Answers a submit that has ended. Call it after the result's `newest` is taken in.
+/// @brief Answers a submit that has ended. Call it after the result's `newest` is installed in
+/// @p store.
 [[nodiscard]] admin_answer answerSubmit(const core::config_store &store,
                                         const core::release_note &note,
                                         const core::submit_result &result);
 
 /// @brief Answers whether a note was applied.
-/// @param version that the note made, from the platform; empty if the note is not known there
+/// @param version the version that the note created; empty if the platform does not know the note
 /// @param everywhere spread_state::everywhere
 [[nodiscard]] admin_answer answerNoteStatus(const std::string &id,
                                             std::optional<core::configuration_version> version,
--- a/include/fuchsiagw/wire/automation_json.hpp
+++ b/include/fuchsiagw/wire/automation_json.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The operators' switch of automatic promotions, as a row of the platform's store.
+/// @brief Switch by which operators allow automatic promotions, a row of the platform's store.
 
 #pragma once
 
@@ -19,7 +19,7 @@
 
 [[nodiscard]] std::string toJson(const automation_switch &value);
 
-/// @return a row that can't be read counts as switched off
+/// @return the switch; `allowed` is false if @p row is malformed
 [[nodiscard]] automation_switch readSwitch(const std::string &row);
 
 } // namespace fuchsiagw::wire
--- a/include/fuchsiagw/wire/caller_json.hpp
+++ b/include/fuchsiagw/wire/caller_json.hpp
@@ -21,16 +21,17 @@
 inline constexpr std::size_t maxBodyBytes = 1'048'576;
 inline constexpr std::size_t maxStatementBytes = 262'144;
 inline constexpr std::size_t maxParameters = 64;
-/// All parameters together. Statement and parameters must fit into one frame between daemons.
+/// Bound on the sum of all parameters. A statement and its parameters must fit into one frame
+/// between daemons.
 inline constexpr std::size_t maxParameterBytes = 524'288;
 inline constexpr std::size_t maxIdempotencyKeyBytes = 128;
 inline constexpr std::size_t maxKeyBytes = 256; ///< of a workspace's key
 inline constexpr std::chrono::milliseconds minTimeLimit{ 1 };
 inline constexpr std::chrono::milliseconds maxTimeLimit{ 60'000 };
-/// Longer than the bound of a failover (5 s), so that a waiting write outlives one.
+/// Exceeds the bound on a failover (5 s), so that a write that waits for one does not time out.
 inline constexpr std::chrono::milliseconds defaultTimeLimit{ 10'000 };
 
-/// A caller's body after parsing. Fields that a route does not have keep their default.
+/// Parsed body of a request. Fields that a route does not accept keep their defaults.
 struct parsed_statement
 {
     core::group_id group;
@@ -68,8 +69,8 @@
 [[nodiscard]] std::error_code parseRollback(std::string_view body, parsed_statement &parsed,
                                             std::string &problem);
 
-/// @brief Makes the request that the decisions see.
-/// @param workspace found from the caller's key
+/// @brief Converts a parsed body to the request that is admitted and routed.
+/// @param workspace workspace of the caller's key
 /// @param now when the body arrived
 [[nodiscard]] core::statement_request toRequest(parsed_statement parsed, core::request_id id,
                                                 core::workspace_id workspace, core::time_point now);
@@ -77,8 +78,8 @@
 /// @brief Writes the body of a successful answer.
 [[nodiscard]] std::string answerBody(const core::statement_answer &answer);
 
-/// @brief Writes the body of a refusal or failure.
-/// @param problem what to change; the sentence of the error's table if empty
+/// @brief Writes the body of an error answer.
+/// @param problem what to change; if empty, the general sentence of the error kind is sent
 [[nodiscard]] std::string errorBody(core::error_kind kind, std::string_view problem,
                                     const core::request_id &id);
 
@@ -89,24 +90,25 @@
 /// @return nullopt if @p text is anything else
 [[nodiscard]] std::optional<core::transaction_id> transactionFromText(std::string_view text);
 
-/// @brief Takes the key out of the value of the header `Authorization`.
+/// @brief Extracts the key from the value of the header `Authorization`.
 /// @return nullopt unless the scheme is Bearer and the key has 1 to maxKeyBytes token68 characters
 [[nodiscard]] std::optional<std::string> keyFromAuthorization(std::string_view value);
 
-/// The session that a request names. Invariant: a token is given only if named.
+/// Session token of a request. Invariant: `token` is empty unless `named`.
 struct requested_session
 {
-    bool named = false;
-    std::string token; ///< empty although named: no usable token was sent
+    bool named = false; ///< the request has a session header or cookie
+    std::string token; ///< empty if `named`: the token that was sent is malformed or ambiguous
 };
 
-/// @brief Finds the session token of a request; the header prevails over the cookie.
+/// @brief Finds the session token of a request; the header takes precedence over the cookie.
 /// @param header value of `Fuchsiagw-Session`, nullopt if the header is missing
-/// @param cookies value of `Cookie`, empty if missing; differing cookies give no usable token
+/// @param cookies value of `Cookie`, empty if missing; session cookies with different values are
+/// ambiguous, and no token is returned
 [[nodiscard]] requested_session sessionFromHeaders(std::optional<std::string_view> header,
                                                    std::string_view cookies);
 
-/// @return value of `Set-Cookie` that hands @p token to the caller
+/// @return value of `Set-Cookie` that stores @p token at the caller
 [[nodiscard]] std::string sessionCookie(std::string_view token);
 
 } // namespace fuchsiagw::wire
--- a/include/fuchsiagw/wire/configuration_json.hpp
+++ b/include/fuchsiagw/wire/configuration_json.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The configuration as a JSON document, as the platform's object and the admin API have it.
+/// @brief JSON form of the configuration, in the platform's object store and in the admin API.
 
 #pragma once
 
@@ -11,11 +11,12 @@
 
 namespace fuchsiagw::wire {
 
-/// @brief Writes a configuration canonically: equal configurations give equal bytes.
+/// @brief Writes a configuration in canonical form: equal configurations have equal bytes.
 /// @complexity linear in the size of the configuration
 [[nodiscard]] std::string writeConfiguration(const core::configuration &config);
 
-/// @brief Reads what writeConfiguration() wrote, strictly, and checks its invariants.
+/// @brief Reads the form that writeConfiguration() writes, strictly, and checks the invariants of
+/// the configuration.
 /// @param text the document
 /// @param config set only on success
 /// @param problem path of the field and what is wrong with it
@@ -24,7 +25,8 @@
 [[nodiscard]] std::error_code readConfiguration(std::string_view text, core::configuration &config,
                                                 std::string &problem);
 
-/// @brief Names a document by its content, so that an object never has two contents.
+/// @brief Hashes a document. The hash is part of the object's name, so that an object never has two
+/// contents.
 /// @return BLAKE2b-256 of @p text in lower-case hexadecimal
 [[nodiscard]] std::string contentHashOf(std::string_view text);
 
--- a/include/fuchsiagw/wire/instance_row.hpp
+++ b/include/fuchsiagw/wire/instance_row.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// @brief The row of the platform's store in which a daemon with the session interface says that it
-/// takes part.
+/// @brief Row of the platform's store by which a daemon with the session interface registers.
 
 #pragma once
 
@@ -17,11 +16,12 @@
     std::string address; ///< IP number
     std::string zone;
     std::uint64_t incarnation = 0; ///< of the process that wrote the row
-    std::int64_t part = 0; ///< of every limit, in millionths
+    std::int64_t part = 0; ///< the instance's fraction of every limit, in millionths
 };
 
 [[nodiscard]] std::string toJson(const instance_row &row);
-/// @return nothing if it is no object; fields of another type are taken as empty
+/// @return nullopt unless @p text is a JSON object; a field that is missing or has the wrong type
+/// is left empty
 [[nodiscard]] std::optional<instance_row> readInstanceRow(const std::string &text);
 
 } // namespace fuchsiagw::wire
--- a/include/fuchsiagw/wire/key_hash.hpp
+++ b/include/fuchsiagw/wire/key_hash.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Callers' keys: creation, and the hash under which the configuration knows them.
+/// @brief Creation of callers' keys, and the hash by which the configuration identifies a key.
 
 #pragma once
 
@@ -10,10 +10,11 @@
 
 namespace fuchsiagw::wire {
 
-/// Prefix of every key, so that scanners of source code recognise a leaked one.
+/// Prefix of every key, by which secret scanners recognise a leaked key.
 inline constexpr std::string_view keyPrefix = "fgw_";
 
-/// @brief Hashes a key. A key has 256 random bits, so a plain hash can't be searched.
+/// @brief Hashes a key. A fast hash without a salt is sufficient, because a key has 256 random bits
+/// and can't be found by a search.
 /// @return BLAKE2b-256 in 64 lower-case hexadecimal digits
 /// @complexity linear in the size of @p key
 [[nodiscard]] core::key_hash hashKey(std::string_view key);
--- a/include/fuchsiagw/wire/member_json.hpp
+++ b/include/fuchsiagw/wire/member_json.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief JSON form of the protocol to a member of a database group.
 ///
-/// Every body is one JSON object that has exactly the fields of its struct. A parser that fails
+/// Every body is one JSON object with exactly the fields of its struct. On an error, fromJson()
 /// leaves its result unchanged and returns MalformedBody, WrongType, UnknownField, MissingField or
 /// InvalidValue. No function throws.
 
@@ -36,7 +36,8 @@
 /// Query of `GET /wait`.
 struct wait_request
 {
-    core::log_position until; ///< its term is the accepted term under which the log must reach it
+    core::log_position until; ///< awaited position; its term is the accepted term under which the
+                              ///< log must reach the index
     std::chrono::milliseconds wait{ 0 };
 
     friend bool operator==(const wait_request &, const wait_request &) = default;
@@ -46,7 +47,7 @@
 [[nodiscard]] std::string toJson(const core::execute_answer &answer);
 
 /// @brief Answer to `GET /status` and `GET /wait`, and to `POST /lead` and `POST /follow`, whose
-/// success shows in the role and the term.
+/// success is visible in the role and the term.
 [[nodiscard]] std::string toJson(const core::member_status &status);
 [[nodiscard]] std::string toJson(const core::accept_term_answer &answer);
 [[nodiscard]] std::string toJson(const term_request &request);
--- a/include/fuchsiagw/wire/note_json.hpp
+++ b/include/fuchsiagw/wire/note_json.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// @brief Release notes and differences as JSON.
+/// @brief JSON form of release notes and of differences between configurations.
 ///
-/// A note is `{id, base, added, changed, withdrawn}`; the lists may be left out when empty. An
-/// element names its section by `section` (`group`, `member`, `workspace`, `rate`, `key`,
+/// A note is `{id, base, added, changed, withdrawn}`; empty lists may be omitted. An
+/// element identifies its section by `section` (`group`, `member`, `workspace`, `rate`, `key`,
 /// `read_class` or `switch`) and the fields of that kind. docs/release-notes.md has examples.
 
 #pragma once
@@ -33,11 +33,11 @@
 [[nodiscard]] std::error_code readNote(std::string_view text, core::release_note &note,
                                        std::string &problem);
 
-/// @brief Reads what writeChanges() wrote; otherwise as readNote().
+/// @brief Reads the form that writeChanges() writes; parameters and errors are as for readNote().
 [[nodiscard]] std::error_code readChanges(std::string_view text, core::section_changes &changes,
                                           std::string &problem);
 
-/// @return the text forms that core::config_store needs
+/// @return the serialization functions that core::config_store calls
 [[nodiscard]] const core::configuration_codec &configurationCodec();
 
 } // namespace fuchsiagw::wire
--- a/include/fuchsiagw/wire/platform_json.hpp
+++ b/include/fuchsiagw/wire/platform_json.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief JSON form and request targets of the protocol to the platform.
 ///
-/// Every body is one JSON object that has exactly the fields of its struct. A parser that fails
+/// Every body is one JSON object with exactly the fields of its struct. On an error, fromJson()
 /// leaves its result unchanged and returns MalformedBody, WrongType, UnknownField, MissingField or
 /// InvalidValue. No function throws.
 
@@ -34,7 +34,8 @@
 /// @complexity linear in the length of @p name
 [[nodiscard]] bool isPlatformName(std::string_view name);
 
-/// The targets percent-encode everything but letters, digits and `-._~/`.
+/// @brief Makes the target of a table row. This and the following functions percent-encode
+/// everything but letters, digits and `-._~/`.
 /// @return `/table/{key}`
 [[nodiscard]] std::string tableTarget(std::string_view key);
 
@@ -47,12 +48,12 @@
 /// @return `/instances/{instance}`
 [[nodiscard]] std::string instanceTarget(const core::instance_id &instance);
 
-/// @brief Decodes the name that one of the functions above put after @p prefix.
+/// @brief Decodes the name after @p prefix in a target that one of the functions above made.
 /// @param target request target
 /// @param prefix for instance `/table/` or `/scan?prefix=`
 /// @param name decoded name; unchanged on error
-/// @return UnknownRoute if @p target does not begin with @p prefix, InvalidValue for a damaged
-/// percent-encoding or a name that isPlatformName() refuses; the empty prefix of a scan is allowed
+/// @return UnknownRoute if @p target does not begin with @p prefix, InvalidValue for a malformed
+/// percent-encoding or a name that isPlatformName() rejects; the empty prefix of a scan is allowed
 [[nodiscard]] std::error_code nameFromTarget(std::string_view target, std::string_view prefix,
                                              std::string &name);
 
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief HTTP form of the requests to the platform.
+/// @brief HTTP requests to the platform and parsing of its answers.
 
 #include <utility>
 
@@ -23,99 +23,100 @@
 
 struct http_request_builder
 {
-    net::http_request operator()(const read_row &order) const
+    net::http_request operator()(const read_row &operation) const
     {
-        return { "GET", wire::tableTarget(order.key), {}, {} };
+        return { "GET", wire::tableTarget(operation.key), {}, {} };
     }
-    net::http_request operator()(const scan_rows &order) const
+    net::http_request operator()(const scan_rows &operation) const
     {
-        return { "GET", wire::scanTarget(order.prefix), {}, {} };
+        return { "GET", wire::scanTarget(operation.prefix), {}, {} };
     }
-    net::http_request operator()(const core::transact_request &order) const
+    net::http_request operator()(const core::transact_request &operation) const
     {
         return {
-            "POST", "/transact", { { "Content-Type", "application/json" } }, wire::toJson(order)
+            "POST", "/transact", { { "Content-Type", "application/json" } }, wire::toJson(operation)
         };
     }
-    net::http_request operator()(const put_object &order) const
+    net::http_request operator()(const put_object &operation) const
     {
-        return { "PUT", wire::objectTarget(order.name), {}, order.body };
+        return { "PUT", wire::objectTarget(operation.name), {}, operation.body };
     }
-    net::http_request operator()(const get_object &order) const
+    net::http_request operator()(const get_object &operation) const
     {
-        return { "GET", wire::objectTarget(order.name), {}, {} };
+        return { "GET", wire::objectTarget(operation.name), {}, {} };
     }
-    net::http_request operator()(const list_instances & /*order*/) const
+    net::http_request operator()(const list_instances & /*operation*/) const
     {
         return { "GET", "/instances", {}, {} };
     }
 };
 
-/// Reads a successful body into the field of the result that belongs to the order.
+/// Parses the body of a successful answer into the result's field of the operation.
 struct body_reader
 {
     std::string &body;
     platform_result &result;
 
-    std::error_code operator()(const read_row & /*order*/) const
+    std::error_code operator()(const read_row & /*operation*/) const
     {
         return wire::fromJson(body, result.row);
     }
-    std::error_code operator()(const scan_rows & /*order*/) const
+    std::error_code operator()(const scan_rows & /*operation*/) const
     {
         return wire::fromJson(body, result.scan);
     }
-    std::error_code operator()(const core::transact_request & /*order*/) const
+    std::error_code operator()(const core::transact_request & /*operation*/) const
     {
         return wire::fromJson(body, result.transaction);
     }
-    std::error_code operator()(const put_object & /*order*/) const { return {}; }
-    std::error_code operator()(const get_object & /*order*/) const
+    std::error_code operator()(const put_object & /*operation*/) const { return {}; }
+    std::error_code operator()(const get_object & /*operation*/) const
     {
         result.object = std::move(body);
         return {};
     }
-    std::error_code operator()(const list_instances & /*order*/) const
+    std::error_code operator()(const list_instances & /*operation*/) const
     {
         return wire::fromJson(body, result.instances);
     }
 };
 
-bool mayBeMissing(const platform_operation &order)
+bool mayBeMissing(const platform_operation &operation)
 {
-    return std::holds_alternative<read_row>(order) || std::holds_alternative<get_object>(order);
+    return std::holds_alternative<read_row>(operation)
+           || std::holds_alternative<get_object>(operation);
 }
 
 } // namespace
 
-net::http_request toHttp(const platform_operation &order)
+net::http_request toHttp(const platform_operation &operation)
 {
-    return std::visit(http_request_builder{}, order);
+    return std::visit(http_request_builder{}, operation);
 }
 
-platform_result readResult(const platform_operation &order, net::http_exchange &&exchange)
+platform_result readResult(const platform_operation &operation, net::http_exchange &&exchange)
 {
     platform_result result;
     if (exchange.error)
         return result;
     net::http_response &response = exchange.response;
-    if (response.status == statusNotFound && mayBeMissing(order)) {
+    if (response.status == statusNotFound && mayBeMissing(operation)) {
         result.isAnswered = true;
         return result;
     }
     if (!isSuccess(response.status))
         return result;
-    result.isAnswered = !std::visit(body_reader{ response.body, result }, order);
+    result.isAnswered = !std::visit(body_reader{ response.body, result }, operation);
     result.isFound = result.isAnswered;
     return result;
 }
 
 void request(net::http_client &client, const net::endpoint &platform,
-             const platform_operation &order, core::time_point deadline, platform_handler done)
+             const platform_operation &operation, core::time_point deadline, platform_handler done)
 {
-    client.call(platform, toHttp(order), deadline,
-                [order, done = std::move(done)](net::http_exchange &&exchange) {
-                    done(readResult(order, std::move(exchange)));
+    client.call(platform, toHttp(operation), deadline,
+                [operation, done = std::move(done)](net::http_exchange &&exchange) {
+                    done(readResult(operation, std::move(exchange)));
                 });
 }
 
--- a/src/wire/admin_json.cpp
+++ b/src/wire/admin_json.cpp
@@ -22,8 +22,8 @@
 struct route_row
 {
     std::string_view method;
-    std::string_view before; ///< path after adminPrefix up to the argument
-    std::string_view after; ///< path after the argument
+    std::string_view pathPrefix; ///< path between adminPrefix and the argument
+    std::string_view pathSuffix; ///< path after the argument
     bool hasArgument;
     admin_route route;
 };
@@ -44,12 +44,12 @@
 bool matchesPath(const route_row &row, std::string_view path, std::string &argument)
 {
     if (!row.hasArgument)
-        return path == row.before;
-    if (path.size() <= row.before.size() + row.after.size() || !path.starts_with(row.before)
-        || !path.ends_with(row.after))
+        return path == row.pathPrefix;
+    if (path.size() <= row.pathPrefix.size() + row.pathSuffix.size()
+        || !path.starts_with(row.pathPrefix) || !path.ends_with(row.pathSuffix))
         return false;
-    path.remove_prefix(row.before.size());
-    path.remove_suffix(row.after.size());
+    path.remove_prefix(row.pathPrefix.size());
+    path.remove_suffix(row.pathSuffix.size());
     argument = path;
     return core::isName(path);
 }
@@ -79,9 +79,10 @@
     return { core::answerOf(kind).httpStatus, dump(body) };
 }
 
-/// Says what an operator needs for the next try: what changed meanwhile, or the exact list.
-void explain(const core::config_store &store, const core::release_note &note,
-             const core::note_problem &problem, json &body)
+/// Adds what an operator needs to correct a rejected note: the changes since its base version, or
+/// the exact list of differences.
+void addConflictDetails(const core::config_store &store, const core::release_note &note,
+                        const core::note_problem &problem, json &body)
 {
     body["newest_version"] = store.current->version;
     if (problem.kind == error_kind::NoteNotExact)
@@ -143,7 +144,7 @@
     core::note_problem problem;
     if (core::applyNote(*store.current, note, result, problem)) {
         json refusal = errorOf(problem.kind, problem.text);
-        explain(store, note, problem, refusal);
+        addConflictDetails(store, note, problem, refusal);
         return refuse(problem.kind, refusal);
     }
     return { 200, dump({ { "valid", true }, { "note", note.id }, { "version", result.version } }) };
@@ -159,7 +160,7 @@
                              { "applied_before", result.wasAppliedBefore } }) };
     const error_kind kind = core::kindOf(result.error);
     json body = errorOf(kind, result.problem.text);
-    explain(store, note, result.problem, body);
+    addConflictDetails(store, note, result.problem, body);
     return refuse(kind, body);
 }
 
--- a/src/wire/automation_json.cpp
+++ b/src/wire/automation_json.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief JSON of the operators' switch.
+/// @brief JSON form of the switch of automatic promotions.
 
 #include <fuchsiagw/wire/automation_json.hpp>
 
--- a/src/wire/caller_json.cpp
+++ b/src/wire/caller_json.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Strict parsing of callers' bodies and writing of answers.
+/// @brief Strict parsing of request bodies and headers, and writing of answers.
 
 #include <fuchsiagw/wire/caller_json.hpp>
 
@@ -25,21 +25,21 @@
 using core::error_kind;
 using core::statement_kind;
 
-/// Deeper bodies are refused. No route needs more than 2.
+/// Bound on the nesting of a body; no route needs more than 2.
 constexpr std::size_t maxDepth = 8;
-constexpr std::size_t maxFields = 16; ///< of a body; no route has more than 7
-constexpr std::size_t maxQuotedNameBytes = 64; ///< of a caller's field name in a problem text
+constexpr std::size_t maxFields = 16; ///< fields of a body; no route has more than 7
+constexpr std::size_t maxQuotedNameBytes = 64; ///< bytes of a caller's field name in a problem text
 
-struct other_value
+struct unsupported_value
 { };
 
-/// A list that holds only strings.
+/// A list whose elements are all strings.
 using string_list = std::vector<std::string>;
-using field_value = std::variant<other_value, std::string, std::int64_t, string_list>;
+using field_value = std::variant<unsupported_value, std::string, std::int64_t, string_list>;
 using field_map = std::map<std::string, field_value>;
 
-/// Collects the fields of one JSON object from the parser's events. Only the values that a route
-/// can use are kept, so that the memory used stays below the size of the body.
+/// Collects the fields of one JSON object from SAX events. It stores only values of types that a
+/// route can use, so that its memory stays below the size of the body.
 class field_collector
 {
 public:
@@ -48,17 +48,17 @@
     field_map fields;
     std::string problem; ///< set if the body is not acceptable JSON
 
-    bool null() { return other(); }
-    bool boolean(bool /*value*/) { return other(); }
+    bool null() { return unsupportedValue(); }
+    bool boolean(bool /*value*/) { return unsupportedValue(); }
     bool number_integer(json::number_integer_t value) { return integer(value); }
     bool number_unsigned(json::number_unsigned_t value)
     {
-        constexpr std::uint64_t greatest = std::numeric_limits<std::int64_t>::max();
-        return integer(static_cast<std::int64_t>(std::min<std::uint64_t>(value, greatest)));
+        constexpr std::uint64_t maxNumber = std::numeric_limits<std::int64_t>::max();
+        return integer(static_cast<std::int64_t>(std::min<std::uint64_t>(value, maxNumber)));
     }
     bool number_float(json::number_float_t /*value*/, const std::string & /*text*/)
     {
-        return other();
+        return unsupportedValue();
     }
     bool string(std::string &value)
     {
@@ -68,13 +68,13 @@
             std::get<string_list>(fields[name_]).push_back(std::move(value));
         return depth_ > 0 || fail("The body must be one JSON object.");
     }
-    bool binary(json::binary_t & /*value*/) { return other(); }
+    bool binary(json::binary_t & /*value*/) { return unsupportedValue(); }
 
     bool start_object(std::size_t /*size*/)
     {
         if (depth_ > 0)
-            other();
-        return descend();
+            unsupportedValue();
+        return enterNested();
     }
     bool key(std::string &value)
     {
@@ -83,11 +83,11 @@
         name_ = std::move(value);
         if (fields.size() >= maxFields)
             return fail("The body has too many fields; send only those that the route knows.");
-        if (!fields.emplace(name_, other_value{}).second)
-            return fail("The field '" + echo(name_) + "' is given twice; send it once.");
+        if (!fields.emplace(name_, unsupported_value{}).second)
+            return fail("The field '" + sanitizedName(name_) + "' is given twice; send it once.");
         return true;
     }
-    bool end_object() { return ascend(); }
+    bool end_object() { return leaveNested(); }
     bool start_array(std::size_t /*size*/)
     {
         if (depth_ == 0)
@@ -95,18 +95,18 @@
         if (depth_ == 1)
             fields[name_] = string_list{};
         else
-            other();
-        return descend();
+            unsupportedValue();
+        return enterNested();
     }
-    bool end_array() { return ascend(); }
+    bool end_array() { return leaveNested(); }
     bool parse_error(std::size_t position, const std::string & /*token*/,
                      const json::exception & /*error*/)
     {
         return fail("The body is not valid JSON at byte " + std::to_string(position) + ".");
     }
 
-    /// A caller's name as it may stand in a problem text.
-    static std::string echo(const std::string &text)
+    /// @return a caller's field name, shortened and sanitized for use in a problem text
+    static std::string sanitizedName(const std::string &text)
     {
         std::string result = text.substr(0, maxQuotedNameBytes);
         std::replace_if(
@@ -117,7 +117,7 @@
 
 private:
     std::size_t depth_ = 0;
-    std::string name_; ///< of the field that is being read
+    std::string name_; ///< name of the current field
 
     bool fail(std::string text)
     {
@@ -129,31 +129,32 @@
     bool integer(std::int64_t value)
     {
         if (depth_ != 1)
-            return other();
+            return unsupportedValue();
         fields[name_] = value;
         return true;
     }
-    /// A value that no field can take. In a list it spoils the whole list.
-    bool other()
+    /// Records a value of a type that no field accepts. An element of such a type invalidates its
+    /// whole list.
+    bool unsupportedValue()
     {
         if (depth_ == 0)
             return fail("The body must be one JSON object.");
-        fields[name_] = other_value{};
+        fields[name_] = unsupported_value{};
         return true;
     }
-    bool descend()
+    bool enterNested()
     {
         return ++depth_ <= maxDepth
                || fail("The body is nested too deeply; no field needs nesting.");
     }
-    bool ascend()
+    bool leaveNested()
     {
         --depth_;
         return true;
     }
 };
 
-/// Reads one body field by field. The first error stands.
+/// Reads one body field by field and keeps the first error.
 class body_reader
 {
 public:
@@ -173,21 +174,21 @@
             fields_ = std::move(collector.fields);
     }
 
-    /// Refuses every field that is not in @p names.
+    /// Rejects every field that is not in @p names.
     void allow(std::initializer_list<std::string_view> names)
     {
         for (const auto &[name, value] : fields_) {
             if (std::find(names.begin(), names.end(), name) == names.end()) {
                 refuse(error_kind::UnknownField,
-                       "The field '" + field_collector::echo(name)
+                       "The field '" + field_collector::sanitizedName(name)
                                + "' is not known to this route; remove it.");
                 return;
             }
         }
     }
 
-    /// Takes a string of @p least to @p most bytes; printable ASCII if @p isPrintable.
-    std::string takeString(const std::string &name, bool isRequired, std::size_t most,
+    /// Reads a string of 1 to @p maxBytes bytes; only printable ASCII if @p isPrintable.
+    std::string takeString(const std::string &name, bool isRequired, std::size_t maxBytes,
                            bool isPrintable)
     {
         const field_value *value = find(name, isRequired);
@@ -198,12 +199,12 @@
             refuse(error_kind::WrongType, "The field '" + name + "' must be a string.");
             return {};
         }
-        const bool isAllowed = std::all_of(text->begin(), text->end(), [](unsigned char each) {
-            return each >= 0x20 && each <= 0x7e;
-        });
-        if (text->empty() || text->size() > most || (isPrintable && !isAllowed)) {
+        const bool hasOnlyPrintable =
+                std::all_of(text->begin(), text->end(),
+                            [](unsigned char each) { return each >= 0x20 && each <= 0x7e; });
+        if (text->empty() || text->size() > maxBytes || (isPrintable && !hasOnlyPrintable)) {
             refuse(error_kind::InvalidValue,
-                   "The field '" + name + "' must have 1 to " + std::to_string(most)
+                   "The field '" + name + "' must have 1 to " + std::to_string(maxBytes)
                            + (isPrintable ? " printable ASCII characters." : " bytes."));
             return {};
         }
@@ -303,9 +304,9 @@
            || std::string_view("-._~+/=").find(static_cast<char>(each)) != std::string_view::npos;
 }
 
-bool isToken(std::string_view text, std::size_t most)
+bool isToken(std::string_view text, std::size_t maxBytes)
 {
-    return !text.empty() && text.size() <= most
+    return !text.empty() && text.size() <= maxBytes
            && std::all_of(text.begin(), text.end(), isTokenCharacter);
 }
 
@@ -323,14 +324,15 @@
     return { { "term", position.term }, { "index", position.index } };
 }
 
-/// Bytes of a member that are not UTF-8 become U+FFFD instead of an exception.
+/// Serializes a body. Bytes from a member that are not UTF-8 are replaced by U+FFFD, since the
+/// library throws on them by default.
 std::string dump(const nlohmann::json &body)
 {
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
 constexpr std::string_view cookieName = "fuchsiagw_session";
-constexpr std::size_t idDigits = 16; ///< of each half of a transaction id
+constexpr std::size_t idDigits = 16; ///< digits of each half of a transaction id
 
 bool parseHalf(std::string_view text, std::uint64_t &value)
 {
--- a/src/wire/configuration_json.cpp
+++ b/src/wire/configuration_json.cpp
@@ -113,15 +113,15 @@
                         });
     fields.forEachField(
             "switches", [&](const std::string &name, const json &each, const std::string &at) {
-                const auto known = std::find(core::automaticActionNames.begin(),
-                                             core::automaticActionNames.end(), name);
-                if (known == core::automaticActionNames.end())
+                const auto action = std::find(core::automaticActionNames.begin(),
+                                              core::automaticActionNames.end(), name);
+                if (action == core::automaticActionNames.end())
                     problem.set(error_kind::UnknownField, at, "there is no such switch");
                 else if (!each.is_boolean())
                     problem.set(error_kind::WrongType, at, "must be true or false");
                 else
                     config.switches[static_cast<core::automatic_action>(
-                            known - core::automaticActionNames.begin())] = each.get<bool>();
+                            action - core::automaticActionNames.begin())] = each.get<bool>();
             });
     fields.forEachField(
             "retired_keys", [&](const std::string &hash, const json &each, const std::string &at) {
@@ -138,7 +138,8 @@
 
 std::string writeConfiguration(const core::configuration &config)
 {
-    // Objects of nlohmann::json are ordered by name, numbers are written in their shortest form.
+    // The form is canonical because nlohmann::json orders objects by name and writes numbers in
+    // their shortest form.
     json document = { { "version", config.version },
                       { "workspaces", json::object() },
                       { "groups", json::object() },
--- a/src/wire/instance_row.cpp
+++ b/src/wire/instance_row.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief JSON of a daemon's row.
+/// @brief JSON form of an instance's row.
 
 #include <fuchsiagw/wire/instance_row.hpp>
 
--- a/src/wire/key_hash.cpp
+++ b/src/wire/key_hash.cpp
@@ -24,7 +24,7 @@
                        reinterpret_cast<const unsigned char *>(key.data()), key.size(), nullptr, 0);
     std::string text(2 * hashBytes + 1, '\0');
     sodium_bin2hex(text.data(), text.size(), hash.data(), hash.size());
-    text.pop_back(); // the terminating zero
+    text.pop_back(); // sodium_bin2hex writes a terminating zero
     return text;
 }
 
@@ -36,7 +36,7 @@
     std::string text(sodium_base64_ENCODED_LEN(keyBytes, variant), '\0');
     sodium_bin2base64(text.data(), text.size(), bytes.data(), bytes.size(), variant);
     sodium_memzero(bytes.data(), bytes.size());
-    text.pop_back(); // the terminating zero
+    text.pop_back(); // sodium_bin2base64 writes a terminating zero
     return std::string(keyPrefix) + text;
 }
 
--- a/src/wire/member_json.cpp
+++ b/src/wire/member_json.cpp
@@ -83,8 +83,8 @@
 
 constexpr std::string_view waitPath = "/wait?";
 
-/// Bound of `wait_ms` that keeps a deadline far from the end of any clock: one day.
-constexpr std::uint64_t maxWaitMilliseconds = 86'400'000;
+/// Bound on `wait_ms`, one day. It keeps the computation of a deadline from overflowing.
+constexpr std::uint64_t maxWaitMillis = 86'400'000;
 
 std::optional<std::uint64_t> parseNumber(std::string_view text)
 {
@@ -191,7 +191,7 @@
     const auto &[term, index, wait] = values;
     if (!term.has_value() || !index.has_value() || !wait.has_value())
         return core::error_kind::MissingField;
-    if (*wait > maxWaitMilliseconds)
+    if (*wait > maxWaitMillis)
         return core::error_kind::InvalidValue;
     request.until = { *term, *index };
     request.wait = std::chrono::milliseconds(*wait);
--- a/src/wire/note_json.cpp
+++ b/src/wire/note_json.cpp
@@ -159,7 +159,8 @@
     return core::key_section{};
 }
 
-/// Reads one element and hands over its section and, where @p hasValue, its content.
+/// Reads one element and passes its section to @p add, with its content if @p hasValue. The
+/// callback returns false if the section is already listed.
 void readElement(const json &element, const std::string &path, bool hasValue, json_problem &problem,
                  const std::function<bool(const section &, const section_value &)> &add)
 {
--- a/src/wire/strict_json.cpp
+++ b/src/wire/strict_json.cpp
@@ -13,7 +13,7 @@
 using core::error_kind;
 using nlohmann::json;
 
-constexpr std::size_t maxDocumentSize = 1U << 20U; ///< bytes
+constexpr std::size_t maxDocumentBytes = 1U << 20U;
 constexpr int maxDepth = 16;
 
 } // namespace
@@ -28,12 +28,12 @@
 
 bool parseStrict(std::string_view text, json &document, json_problem &problem)
 {
-    if (text.size() > maxDocumentSize) {
+    if (text.size() > maxDocumentBytes) {
         problem.set(error_kind::BodyTooLarge, "", "the document exceeds 1 MiB");
         return false;
     }
     std::vector<std::set<std::string>> names;
-    const auto watch = [&](int depth, json::parse_event_t event, json &parsed) {
+    const auto checkEvent = [&](int depth, json::parse_event_t event, json &parsed) {
         if (depth > maxDepth)
             problem.set(error_kind::MalformedBody, "", "the document is nested too deeply");
         if (event == json::parse_event_t::object_start)
@@ -48,7 +48,7 @@
         }
         return true;
     };
-    json parsed = json::parse(text, watch, false);
+    json parsed = json::parse(text, checkEvent, false);
     if (parsed.is_discarded())
         problem.set(error_kind::MalformedBody, "", "the document is not valid JSON");
     if (problem.exists())
@@ -73,7 +73,7 @@
 
 const json *object_reader::find(std::string_view name)
 {
-    known_.emplace(name);
+    requestedNames_.emplace(name);
     if (!value_.is_object())
         return nullptr;
     const auto field = value_.find(name);
@@ -176,7 +176,7 @@
     if (!value_.is_object())
         return;
     for (const auto &item : value_.items()) {
-        if (!known_.contains(item.key()))
+        if (!requestedNames_.contains(item.key()))
             problem_.set(error_kind::UnknownField, pathOf(item.key()),
                          "no such field; remove it or correct its name");
     }
