--- a/tests/unit-caller-json.cpp
+++ b/tests/unit-caller-json.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of callers' bodies and headers.
+/// @brief Tests of request bodies, answers and headers of callers.
 
 #include <fuchsiagw/wire/caller_json.hpp>
 
@@ -16,9 +16,9 @@
 
 namespace {
 
-const std::string plain = R"({"group":"g","kind":"read","statement":"s")";
+const std::string minimalFields = R"({"group":"g","kind":"read","statement":"s")";
 
-void checkRefused(const std::string &body, error_kind kind, const std::string &named)
+void checkRejected(const std::string &body, error_kind kind, const std::string &expectedText)
 {
     wire::parsed_statement parsed;
     parsed.text = "untouched";
@@ -27,7 +27,7 @@
     STRCMP_EQUAL_TEXT(core::answerOf(kind).name.data(),
                       error ? core::answerOf(core::kindOf(error)).name.data() : "accepted",
                       body.substr(0, 100).c_str());
-    STRCMP_CONTAINS(named.c_str(), problem.c_str());
+    STRCMP_CONTAINS(expectedText.c_str(), problem.c_str());
     STRCMP_EQUAL("untouched", parsed.text.c_str());
 }
 
@@ -35,8 +35,8 @@
 
 TEST_GROUP(caller_body){};
 
-// Guards against a field that is dropped or swapped on the way to the decisions.
-TEST(caller_body, everyFieldArrives)
+// Guards against a field that is dropped or swapped when a body is converted to a request.
+TEST(caller_body, everyFieldIsConverted)
 {
     wire::parsed_statement parsed;
     std::string problem;
@@ -56,57 +56,63 @@
     CHECK_TRUE((request.id == core::request_id{ 1, 2 }));
 }
 
-// Guards against bodies whose meaning is guessed instead of refused.
-TEST(caller_body, refusalNamesTheField)
+// Guards against ambiguous or malformed bodies that are interpreted instead of rejected, and
+// against an error text that does not name the field.
+TEST(caller_body, errorNamesTheField)
 {
-    checkRefused("", error_kind::MalformedBody, "valid JSON");
-    checkRefused("[]", error_kind::MalformedBody, "object");
-    checkRefused("\"text\"", error_kind::MalformedBody, "object");
-    checkRefused(plain, error_kind::MalformedBody, "valid JSON");
-    checkRefused(plain + "} 1", error_kind::MalformedBody, "valid JSON");
-    checkRefused(plain + R"(,"group":"h"})", error_kind::MalformedBody, "'group' is given twice");
-    checkRefused(plain + R"(,"x":)" + std::string(9, '[') + std::string(9, ']') + "}",
-                 error_kind::MalformedBody, "nested");
-    checkRefused(plain + R"(,"x'y":1})", error_kind::UnknownField, "'x?y'");
-    checkRefused(R"({"group":"g","kind":"read"})", error_kind::MissingField, "'statement'");
-    checkRefused(plain + R"(,"deadline_ms":"5"})", error_kind::WrongType, "'deadline_ms'");
-    checkRefused(plain + R"(,"deadline_ms":5.0})", error_kind::WrongType, "'deadline_ms'");
-    checkRefused(plain + R"(,"deadline_ms":null})", error_kind::WrongType, "'deadline_ms'");
-    checkRefused(plain + R"(,"parameters":["a",1]})", error_kind::WrongType, "'parameters'");
-    checkRefused(plain + R"(,"parameters":[["a"],"b"]})", error_kind::WrongType, "'parameters'");
-    checkRefused(plain + R"(,"parameters":{"a":"b"}})", error_kind::WrongType, "'parameters'");
-    checkRefused(R"({"group":"g","kind":"begin","statement":"s"})", error_kind::InvalidValue,
-                 "'kind'");
-    checkRefused(R"({"group":"g","kind":"write","statement":"s","read_class":"c"})",
-                 error_kind::InvalidValue, "'read_class'");
+    checkRejected("", error_kind::MalformedBody, "valid JSON");
+    checkRejected("[]", error_kind::MalformedBody, "object");
+    checkRejected("\"text\"", error_kind::MalformedBody, "object");
+    checkRejected(minimalFields, error_kind::MalformedBody, "valid JSON");
+    checkRejected(minimalFields + "} 1", error_kind::MalformedBody, "valid JSON");
+    checkRejected(minimalFields + R"(,"group":"h"})", error_kind::MalformedBody,
+                  "'group' is given twice");
+    checkRejected(minimalFields + R"(,"x":)" + std::string(9, '[') + std::string(9, ']') + "}",
+                  error_kind::MalformedBody, "nested");
+    checkRejected(minimalFields + R"(,"x'y":1})", error_kind::UnknownField, "'x?y'");
+    checkRejected(R"({"group":"g","kind":"read"})", error_kind::MissingField, "'statement'");
+    checkRejected(minimalFields + R"(,"deadline_ms":"5"})", error_kind::WrongType, "'deadline_ms'");
+    checkRejected(minimalFields + R"(,"deadline_ms":5.0})", error_kind::WrongType, "'deadline_ms'");
+    checkRejected(minimalFields + R"(,"deadline_ms":null})", error_kind::WrongType,
+                  "'deadline_ms'");
+    checkRejected(minimalFields + R"(,"parameters":["a",1]})", error_kind::WrongType,
+                  "'parameters'");
+    checkRejected(minimalFields + R"(,"parameters":[["a"],"b"]})", error_kind::WrongType,
+                  "'parameters'");
+    checkRejected(minimalFields + R"(,"parameters":{"a":"b"}})", error_kind::WrongType,
+                  "'parameters'");
+    checkRejected(R"({"group":"g","kind":"begin","statement":"s"})", error_kind::InvalidValue,
+                  "'kind'");
+    checkRejected(R"({"group":"g","kind":"write","statement":"s","read_class":"c"})",
+                  error_kind::InvalidValue, "'read_class'");
 }
 
-// Guards against bounds that are off by one or overflow.
+// Guards against bounds that are off by one and against numbers that overflow.
 TEST(caller_body, boundsAreExact)
 {
     const auto withDeadline = [](const std::string &number) {
-        return plain + R"(,"deadline_ms":)" + number + "}";
+        return minimalFields + R"(,"deadline_ms":)" + number + "}";
     };
     for (const char *number : { "0", "-1", "60001", "18446744073709551615" })
-        checkRefused(withDeadline(number), error_kind::InvalidValue, "'deadline_ms'");
+        checkRejected(withDeadline(number), error_kind::InvalidValue, "'deadline_ms'");
     const auto withKey = [](const std::string &key) {
-        return plain + R"(,"idempotency_key":")" + key + "\"}";
+        return minimalFields + R"(,"idempotency_key":")" + key + "\"}";
     };
     for (const std::string &key : { std::string(), std::string(129, 'k'), std::string("\\n") })
-        checkRefused(withKey(key), error_kind::InvalidValue, "'idempotency_key'");
+        checkRejected(withKey(key), error_kind::InvalidValue, "'idempotency_key'");
     const auto withStatement = [](std::size_t size) {
         return R"({"group":"g","kind":"read","statement":")" + std::string(size, 's') + "\"}";
     };
-    checkRefused(withStatement(wire::maxStatementBytes + 1), error_kind::InvalidValue,
-                 "'statement'");
-    checkRefused(withStatement(wire::maxBodyBytes), error_kind::BodyTooLarge, "1048576");
+    checkRejected(withStatement(wire::maxStatementBytes + 1), error_kind::InvalidValue,
+                  "'statement'");
+    checkRejected(withStatement(wire::maxBodyBytes), error_kind::BodyTooLarge, "1048576");
     const auto withParameters = [](int count) {
         std::string list = "\"p\"";
         for (int i = 1; i < count; ++i)
             list += ",\"p\"";
-        return plain + R"(,"parameters":[)" + list + "]}";
+        return minimalFields + R"(,"parameters":[)" + list + "]}";
     };
-    checkRefused(withParameters(65), error_kind::InvalidValue, "'parameters'");
+    checkRejected(withParameters(65), error_kind::InvalidValue, "'parameters'");
     wire::parsed_statement parsed;
     std::string problem;
     for (const std::string &body :
@@ -115,7 +121,7 @@
         CHECK_FALSE(wire::parseStatement(body, parsed, problem));
 }
 
-// Guards against fields of one route that another silently ignores.
+// Guards against a route that silently ignores a field of another route.
 TEST(caller_body, transactionRoutesTakeOnlyTheirFields)
 {
     wire::parsed_statement parsed;
@@ -128,15 +134,15 @@
     CHECK_TRUE(parsed.kind == core::statement_kind::Rollback);
     CHECK_FALSE(wire::parseTransactionStatement(R"({"kind":"write","statement":"s"})", parsed,
                                                 problem));
-    CHECK_TRUE(wire::parseTransactionStatement(plain + "}", parsed, problem)
+    CHECK_TRUE(wire::parseTransactionStatement(minimalFields + "}", parsed, problem)
                == error_kind::UnknownField);
     CHECK_TRUE(wire::parseRollback(R"({"idempotency_key":"k"})", parsed, problem)
                == error_kind::UnknownField);
     CHECK_TRUE(wire::parseBegin("", parsed, problem) == error_kind::MalformedBody);
 }
 
-// Guards against examples on the page that the program refuses.
-TEST(caller_body, examplesOfThePageAreAccepted)
+// Guards against examples in the API documentation that the proxy rejects.
+TEST(caller_body, documentedExamplesAreAccepted)
 {
     std::ifstream file(FUCHSIAGW_SOURCE_DIR "/docs/api.md");
     std::stringstream page;
@@ -157,7 +163,7 @@
                 : isRoute("/commit")          ? wire::parseCommit(body, parsed, problem)
                                      : wire::parseTransactionStatement(body, parsed, problem);
         if (error) {
-            // The page shows one refusal with its answer.
+            // The documentation has one rejected request, with its answer.
             const std::string answer = wire::errorBody(core::kindOf(error), problem, {});
             CHECK_TRUE_TEXT(text.find(answer, begin) != std::string::npos, answer.c_str());
         }
@@ -168,7 +174,8 @@
 
 TEST_GROUP(caller_answer){};
 
-// Guards against an error body without what the caller needs to decide about a retry.
+// Guards against an error body without the outcome and advice by which a caller decides whether to
+// retry.
 TEST(caller_answer, errorBodyHoldsOutcomeAndAdvice)
 {
     const auto body = nlohmann::json::parse(
@@ -181,8 +188,8 @@
     STRCMP_EQUAL("000000000000000000000000000000ff", body["request_id"].get<std::string>().c_str());
 }
 
-// Guards against an exception for rows that are not UTF-8.
-TEST(caller_answer, rowsSurviveForeignBytes)
+// Guards against an exception when a member returns rows that are not UTF-8.
+TEST(caller_answer, nonUtf8RowsAreReplaced)
 {
     core::statement_answer answer;
     answer.rows = { { "a", "\xff" } };
@@ -207,7 +214,7 @@
 
 TEST_GROUP(caller_headers){};
 
-// Guards against a header part that is taken for a key.
+// Guards against a malformed Authorization header of which a part is accepted as a key.
 TEST(caller_headers, keyComesOnlyFromBearer)
 {
     STRCMP_EQUAL("ab.c", wire::keyFromAuthorization(" bEaReR  ab.c ").value_or("").c_str());
@@ -218,13 +225,14 @@
         CHECK_FALSE(wire::keyFromAuthorization(value).has_value());
 }
 
-// Guards against a stale read: a session that is named but unreadable must not look absent.
+// Guards against a stale read: a malformed or ambiguous session token must not be treated as if no
+// session was requested.
 TEST(caller_headers, unusableSessionIsStillNamed)
 {
     const auto check = [](std::optional<std::string_view> header, std::string_view cookies,
-                          bool named, const char *token) {
+                          bool isNamed, const char *token) {
         const wire::requested_session session = wire::sessionFromHeaders(header, cookies);
-        CHECK_EQUAL(named, session.named);
+        CHECK_EQUAL(isNamed, session.named);
         STRCMP_EQUAL(token, session.token.c_str());
     };
     check(std::nullopt, "", false, "");
--- a/tests/unit-configuration-json.cpp
+++ b/tests/unit-configuration-json.cpp
@@ -34,7 +34,8 @@
 
 TEST_GROUP(configuration_json){};
 
-// Guards against a field that is lost on the way, and against two objects for one configuration.
+// Guards against a field that only the writer or only the parser handles, and against two documents
+// for one configuration, which would have two object names.
 TEST(configuration_json, roundTripsCanonically)
 {
     const core::configuration config = exampleConfiguration();
@@ -46,26 +47,32 @@
     STRCMP_EQUAL(text.c_str(), wire::writeConfiguration(read).c_str());
 }
 
-// Guards against a lenient reader: each damage must be refused, with the path of the field.
+// Guards against a lenient parser: each malformed document must be rejected with the path of the
+// field.
 TEST(configuration_json, namesThePathOfEveryProblem)
 {
-    const std::vector<std::tuple<std::string, std::string, error_kind, std::string>> damages = {
-        { R"("slots":2)", R"("slots":"2")", error_kind::WrongType, "groups.hire.slots" },
-        { R"("slots":2)", R"("slots":-2)", error_kind::WrongType, "groups.hire.slots" },
-        { R"("slots":2)", R"("slots":5000000000)", error_kind::InvalidValue, "groups.hire.slots" },
-        { R"("slots":2)", R"("slots":0)", error_kind::InvalidValue, "groups.hire.slots" },
-        { R"("slots":2)", R"("slotz":2)", error_kind::MissingField, "groups.hire.slots" },
-        { R"("slots":2)", R"("slots":2,"x":1)", error_kind::UnknownField, "groups.hire.x" },
-        { R"("slots":2)", R"("slots":2,"slots":2)", error_kind::InvalidValue, "'slots'" },
-        { R"("rate":0.1)", R"("rate":0)", error_kind::InvalidValue, "workspaces.libros-hire.rate" },
-        { R"("loans")", R"("lones")", error_kind::UnknownField, "switches.lones" },
-        { R"("withdrawn")", R"("gone")", error_kind::InvalidValue, "workspaces.libros-hire.keys" },
-        { R"("version")", R"("version)", error_kind::MalformedBody, "JSON" },
-        { R"(["hire"])", R"(["hire","hire"])", error_kind::InvalidValue, "libros-hire.groups" },
-        { R"(["hire"])", R"(["loan"])", error_kind::InvalidValue, "no group 'loan'" },
-    };
+    const std::vector<std::tuple<std::string, std::string, error_kind, std::string>>
+            malformations = {
+                { R"("slots":2)", R"("slots":"2")", error_kind::WrongType, "groups.hire.slots" },
+                { R"("slots":2)", R"("slots":-2)", error_kind::WrongType, "groups.hire.slots" },
+                { R"("slots":2)", R"("slots":5000000000)", error_kind::InvalidValue,
+                  "groups.hire.slots" },
+                { R"("slots":2)", R"("slots":0)", error_kind::InvalidValue, "groups.hire.slots" },
+                { R"("slots":2)", R"("slotz":2)", error_kind::MissingField, "groups.hire.slots" },
+                { R"("slots":2)", R"("slots":2,"x":1)", error_kind::UnknownField, "groups.hire.x" },
+                { R"("slots":2)", R"("slots":2,"slots":2)", error_kind::InvalidValue, "'slots'" },
+                { R"("rate":0.1)", R"("rate":0)", error_kind::InvalidValue,
+                  "workspaces.libros-hire.rate" },
+                { R"("loans")", R"("lones")", error_kind::UnknownField, "switches.lones" },
+                { R"("withdrawn")", R"("gone")", error_kind::InvalidValue,
+                  "workspaces.libros-hire.keys" },
+                { R"("version")", R"("version)", error_kind::MalformedBody, "JSON" },
+                { R"(["hire"])", R"(["hire","hire"])", error_kind::InvalidValue,
+                  "libros-hire.groups" },
+                { R"(["hire"])", R"(["loan"])", error_kind::InvalidValue, "no group 'loan'" },
+            };
     const std::string valid = wire::writeConfiguration(exampleConfiguration());
-    for (const auto &[from, to, kind, path] : damages) {
+    for (const auto &[from, to, kind, path] : malformations) {
         std::string text = valid;
         const std::size_t at = text.find(from);
         CHECK_TRUE(at != std::string::npos);
@@ -79,8 +86,8 @@
     }
 }
 
-// Guards against a key that two workspaces share, and against one that comes back after its
-// workspace was withdrawn.
+// Guards against a key that two workspaces share, and against one that becomes valid again after
+// its workspace was withdrawn.
 TEST(configuration_json, keyHashBelongsToOneWorkspace)
 {
     core::configuration config = exampleConfiguration();
--- a/tests/unit-fuzz.cpp
+++ b/tests/unit-fuzz.cpp
@@ -1,8 +1,8 @@
 /// @file
-/// @brief Random and mutated input for everything that reads what comes over a network.
+/// @brief Random and mutated input for the parsers of data from the network.
 ///
-/// Seeds are fixed and counts are bounded. Every input must end in a value within its bounds or in
-/// an error, and must not make the reader allocate much more than the input's size.
+/// Seeds are fixed and counts are bounded. Every input must give a value within its bounds or an
+/// error, and must not make the parser allocate much more than the input's size.
 
 #include <fuchsiagw/daemon/log_event.hpp>
 #include <fuchsiagw/daemon/peer_body.hpp>
@@ -28,18 +28,18 @@
 
 namespace {
 
-constexpr int rounds = 20'000;
+constexpr int mutationCount = 20'000;
 
 thread_local std::size_t largestAllocation = 0;
 
-/// CppUTest's operator new takes its memory from here.
-void *countedMalloc(std::size_t size)
+/// Records the largest allocation; CppUTest's operator new calls it.
+void *recordingMalloc(std::size_t size)
 {
     largestAllocation = std::max(largestAllocation, size);
     return std::malloc(size);
 }
 
-/// Changes a few bytes, or cuts, doubles or joins pieces of the samples.
+/// Changes bytes of a random sample, truncates it, repeats pieces of it, or inserts other pieces.
 std::string mutate(const std::vector<std::string> &samples, std::mt19937_64 &random)
 {
     static constexpr std::string_view pieces[] = { "\"", "{",   "}",    "[",     "]",   ",",
@@ -74,8 +74,8 @@
     return text;
 }
 
-/// @param factor memory for one byte of input; in a message an empty string of 32 bytes stands for
-/// one byte, and lists double when they grow
+/// @param factor bound on the memory for one byte of input; one byte of a message can be an empty
+/// string of 32 bytes in memory, and lists double their capacity when they grow
 void checkAllocation(std::size_t inputSize, std::size_t factor)
 {
     CHECK_TRUE(largestAllocation <= 4'096 + factor * inputSize);
@@ -89,19 +89,19 @@
 
     void setup() override
     {
-        UT_PTR_SET(PlatformSpecificMalloc, &countedMalloc);
+        UT_PTR_SET(PlatformSpecificMalloc, &recordingMalloc);
     }
 };
 
-// Guards against a measurement that measures nothing.
-TEST(fuzz, allocationsAreSeen)
+// Guards against checks of allocations that pass because no allocation is counted.
+TEST(fuzz, allocationsAreCounted)
 {
     largestAllocation = 0;
     const std::vector<std::string> list(1'000);
     CHECK_TRUE(largestAllocation >= list.size() * sizeof(std::string));
 }
 
-// Guards against bodies that crash the parser or slip through its bounds.
+// Guards against request bodies that crash the parser or exceed its bounds.
 TEST(fuzz, callerBodies)
 {
     using parser = std::error_code (*)(std::string_view, parsed_statement &, std::string &);
@@ -119,7 +119,7 @@
     int accepted = 0;
     for (const parser parse : { &parseStatement, &parseBegin, &parseTransactionStatement,
                                 &parseCommit, &parseRollback }) {
-        for (int i = 0; i < rounds; ++i) {
+        for (int i = 0; i < mutationCount; ++i) {
             const std::string body = mutate(samples, random);
             parsed_statement parsed;
             std::string problem;
@@ -141,7 +141,7 @@
     CHECK_TRUE(accepted > 100);
 }
 
-// Guards against headers that give a key or token with characters that no key has.
+// Guards against malformed headers from which a key or token with invalid characters is extracted.
 TEST(fuzz, callerHeaders)
 {
     const std::vector<std::string> samples{ "Bearer fgw_abc-123._~+/=",
@@ -154,18 +154,18 @@
                                             "0123456789abcdef-fedcba9876543210",
                                             "127.0.0.1:80",
                                             "[::1]:65535" };
-    const auto isClean = [](const std::string &text) {
+    const auto hasNoSeparators = [](const std::string &text) {
         return text.find_first_of(std::string_view(" ;,\"\0\n\r", 7)) == std::string::npos;
     };
-    for (int i = 0; i < rounds; ++i) {
+    for (int i = 0; i < mutationCount; ++i) {
         const std::string text = mutate(samples, random);
         largestAllocation = 0;
         if (const auto key = keyFromAuthorization(text))
-            CHECK_TRUE(!key->empty() && isClean(*key));
+            CHECK_TRUE(!key->empty() && hasNoSeparators(*key));
         const requested_session cookie = sessionFromHeaders(std::nullopt, text);
         const requested_session header = sessionFromHeaders(text, "");
         checkAllocation(text.size(), 2);
-        CHECK_TRUE(isClean(cookie.token) && isClean(header.token));
+        CHECK_TRUE(hasNoSeparators(cookie.token) && hasNoSeparators(header.token));
         CHECK_TRUE(header.named && (cookie.named || cookie.token.empty()));
         if (const auto id = transactionFromText(text))
             STRCMP_EQUAL(text.c_str(), toText(*id).c_str());
@@ -174,7 +174,8 @@
     }
 }
 
-// Guards against forged or damaged messages that are accepted, and against those that cost memory.
+// Guards against forged or damaged messages that are accepted, and against memory that is allocated
+// before the MAC is verified.
 TEST(fuzz, peerMessages)
 {
     const peer_keys keys{ { { 1, derivePeerKey("s") } }, 1 };
@@ -186,7 +187,7 @@
     CHECK_FALSE(sender.seal(peer_kind::ForwardRequest, 2, forward_request{}, samples[1]));
     CHECK_FALSE(sender.seal(peer_kind::Hello, 0, sender_info{}, samples[2]));
     opened_message opened;
-    for (int i = 0; i < rounds; ++i) {
+    for (int i = 0; i < mutationCount; ++i) {
         const std::string message = mutate(samples, random);
         const bool isGenuine = std::find(samples.begin(), samples.end(), message) != samples.end();
         for (const peer_transport transport :
@@ -200,7 +201,7 @@
     }
 }
 
-// Guards against bodies from a sender with the key whose program is wrong.
+// Guards against malformed bodies from a faulty sender, which pass the MAC because it has the key.
 TEST(fuzz, peerBodies)
 {
     forward_request forward;
@@ -231,8 +232,8 @@
         }
         forward_answer part;
         if (!readBody(body, part)) {
-            part_assembler joiner;
-            static_cast<void>(joiner.add(part.part, part.parts, part.content));
+            part_assembler assembler;
+            static_cast<void>(assembler.add(part.part, part.parts, part.content));
         }
         core::statement_answer made;
         if (!readAnswer({}, body, made) && made.error)
@@ -249,13 +250,13 @@
             }
         }
     };
-    for (int i = 0; i < rounds; ++i) {
+    for (int i = 0; i < mutationCount; ++i) {
         const std::string body = mutate(samples, random);
         largestAllocation = 0;
         readAll(body);
         checkAllocation(body.size(), 64);
     }
-    // Lengths that claim as many elements as there are bytes, at every place.
+    // Puts the length 100,000, which the appended bytes can satisfy, at every position.
     const std::string filled = samples[2] + std::string(100'000, '\0');
     for (std::size_t at = 1; at < samples[2].size(); ++at) {
         std::string body = filled;
@@ -266,8 +267,9 @@
     }
 }
 
-// Guards against a stranger's bytes that stop the thread or stay in memory.
-TEST(fuzz, framesOfStrangers)
+// Guards against arbitrary bytes of an unauthenticated peer that stop the network thread or leave a
+// connection in memory.
+TEST(fuzz, framesOfUnauthenticatedPeers)
 {
     boost::asio::io_context context;
     const auto loopback = boost::asio::ip::make_address("127.0.0.1");
@@ -283,8 +285,8 @@
     const std::vector<std::string> samples{ std::string("\0\0\0\3abc\0\0\0\0", 11),
                                             std::string("\0\0\x10\0", 4) + std::string(4'096, 'x'),
                                             "GET / HTTP/1.1\r\n\r\n" };
-    constexpr std::size_t strangers = 300;
-    for (std::size_t i = 0; i < strangers; ++i) {
+    constexpr std::size_t peerCount = 300;
+    for (std::size_t i = 0; i < peerCount; ++i) {
         boost::asio::ip::tcp::socket socket(context);
         socket.connect({ loopback, links.local().port });
         boost::system::error_code error;
@@ -294,11 +296,11 @@
         context.restart();
     }
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (ended < strangers && std::chrono::steady_clock::now() < end) {
+    while (ended < peerCount && std::chrono::steady_clock::now() < end) {
         context.restart();
         context.run_one_for(std::chrono::milliseconds(100));
     }
-    LONGS_EQUAL(strangers, opened);
-    LONGS_EQUAL(strangers, ended);
+    LONGS_EQUAL(peerCount, opened);
+    LONGS_EQUAL(peerCount, ended);
     LONGS_EQUAL(0, links.size());
 }
--- a/tests/unit-member-json.cpp
+++ b/tests/unit-member-json.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the JSON form of the protocol to a member.
+/// @brief Tests of the JSON form of the member protocol.
 
 #include <fuchsiagw/core/random.hpp>
 #include <fuchsiagw/wire/member_json.hpp>
@@ -32,9 +32,10 @@
              8 };
 }
 
-/// Checks that @p text parses to a message with the same text, and that no cut of it parses.
+/// Checks that @p text parses to a message with the same JSON form, and that no prefix of it
+/// parses.
 template <typename message>
-void checkText(const std::string &text)
+void checkRoundTrip(const std::string &text)
 {
     message parsed;
     CHECK_FALSE(wire::fromJson(text, parsed));
@@ -43,7 +44,7 @@
         CHECK_TRUE(wire::fromJson(text.substr(0, length), parsed) == error_kind::MalformedBody);
 }
 
-void checkRefused(error_kind expected, const std::string &text)
+void checkRejected(error_kind expected, const std::string &text)
 {
     wire::follow_request parsed{ 5, { "kept" } };
     CHECK_TRUE(wire::fromJson(text, parsed) == expected);
@@ -54,16 +55,17 @@
 
 TEST_GROUP(member_json){};
 
-// Guards against a field that one direction forgets, and against a cut body taken for a whole one.
-TEST(member_json, everyMessageRoundTripsAndNoCutParses)
+// Guards against a field that only the writer or only the parser handles, and against a truncated
+// body that is accepted.
+TEST(member_json, everyMessageRoundTripsAndNoPrefixParses)
 {
-    checkText<core::execute_request>(wire::toJson(sampleRequest()));
-    checkText<core::execute_answer>(wire::toJson(sampleAnswer()));
-    checkText<core::member_status>(wire::toJson(sampleStatus()));
-    checkText<core::accept_term_answer>(
+    checkRoundTrip<core::execute_request>(wire::toJson(sampleRequest()));
+    checkRoundTrip<core::execute_answer>(wire::toJson(sampleAnswer()));
+    checkRoundTrip<core::member_status>(wire::toJson(sampleStatus()));
+    checkRoundTrip<core::accept_term_answer>(
             wire::toJson(core::accept_term_answer{ true, sampleStatus() }));
-    checkText<wire::term_request>(wire::toJson(wire::term_request{ 3 }));
-    checkText<wire::follow_request>(wire::toJson(wire::follow_request{ 3, { "m2" } }));
+    checkRoundTrip<wire::term_request>(wire::toJson(wire::term_request{ 3 }));
+    checkRoundTrip<wire::follow_request>(wire::toJson(wire::follow_request{ 3, { "m2" } }));
 
     core::execute_request request;
     CHECK_FALSE(wire::fromJson(wire::toJson(sampleRequest()), request));
@@ -75,34 +77,35 @@
     CHECK_TRUE(status == sampleStatus());
 }
 
-// Guards against a member that reads a number or a name as something that was not sent.
-TEST(member_json, refusesWhatIsNotExactlyTheMessage)
+// Guards against lenient parsing: a value of another type, an extra field or trailing text is
+// rejected and leaves the result unchanged.
+TEST(member_json, rejectsMalformedMessages)
 {
-    checkRefused(error_kind::MalformedBody, "{\"term\":1,\"primary\":\"a\"}x");
-    checkRefused(error_kind::MalformedBody, "{\"term\":1,\"primary\":\"\xFF\"}");
-    checkRefused(error_kind::WrongType, "[]");
-    checkRefused(error_kind::MissingField, "{\"term\":1}");
-    checkRefused(error_kind::UnknownField, R"({"term":1,"primary":"a","x":0})");
+    checkRejected(error_kind::MalformedBody, "{\"term\":1,\"primary\":\"a\"}x");
+    checkRejected(error_kind::MalformedBody, "{\"term\":1,\"primary\":\"\xFF\"}");
+    checkRejected(error_kind::WrongType, "[]");
+    checkRejected(error_kind::MissingField, "{\"term\":1}");
+    checkRejected(error_kind::UnknownField, R"({"term":1,"primary":"a","x":0})");
     for (const char *term : { "-1", "1.0", "\"1\"", "null", "true", "18446744073709551616" })
-        checkRefused(error_kind::WrongType,
-                     std::string("{\"primary\":\"a\",\"term\":") + term + "}");
+        checkRejected(error_kind::WrongType,
+                      std::string("{\"primary\":\"a\",\"term\":") + term + "}");
     core::member_status status;
     std::string text = wire::toJson(sampleStatus());
     text.replace(text.find("primary"), 7, "PRIMARY");
     CHECK_TRUE(wire::fromJson(text, status) == error_kind::InvalidValue);
 }
 
-// Guards against a caller that chooses which of two values a member uses.
-TEST(member_json, refusesAFieldThatComesTwice)
+// Guards against a repeated field, of which two parsers of the same body can use different values.
+TEST(member_json, rejectsRepeatedFields)
 {
-    checkRefused(error_kind::MalformedBody, R"({"term":1,"term":2,"primary":"a"})");
+    checkRejected(error_kind::MalformedBody, R"({"term":1,"term":2,"primary":"a"})");
     core::member_status status;
     std::string text = wire::toJson(sampleStatus());
     text.insert(text.find("\"index\""), "\"index\":1,");
     CHECK_TRUE(wire::fromJson(text, status) == error_kind::MalformedBody);
 }
 
-// Guards against a crash on bytes that no member would send.
+// Guards against a crash of the parser on random changes of a valid body and on deep nesting.
 TEST(member_json, survivesDamagedBytes)
 {
     core::random_engine random(20);
@@ -121,7 +124,8 @@
     CHECK_TRUE(static_cast<bool>(wire::fromJson(std::string(200000, '['), parsed)));
 }
 
-// Guards against a wait for another position than the one that was asked for.
+// Guards against a wait for a position other than the requested one, because the query is
+// malformed, repeats a parameter or has an unknown one.
 TEST(member_json, waitTargetRoundTripsAndIsStrict)
 {
     const wire::wait_request request{ { 18446744073709551615ULL, 0 },
--- a/tests/unit-note-json.cpp
+++ b/tests/unit-note-json.cpp
@@ -36,6 +36,7 @@
 
 TEST_GROUP(note_json){};
 
+// Guards against a section or value that only the writer or only the parser handles.
 TEST(note_json, roundTrips)
 {
     core::release_note read;
@@ -48,10 +49,10 @@
     CHECK_FALSE(wire::readNote(R"({"id":"a","base":0})", read, problem));
 }
 
-// Guards against a misspelled or repeated entry that is dropped without a word.
+// Guards against a misspelled or repeated entry that is silently ignored.
 TEST(note_json, namesThePathOfEveryProblem)
 {
-    const std::vector<std::tuple<std::string, error_kind, std::string>> damages = {
+    const std::vector<std::tuple<std::string, error_kind, std::string>> malformedNotes = {
         { R"({"id":"a"})", error_kind::MissingField, "base" },
         { R"({"id":"a","base":-1})", error_kind::WrongType, "base" },
         { R"({"id":"a","base":1,"add":[]})", error_kind::UnknownField, "add" },
@@ -66,7 +67,7 @@
           R"({"section":"group","group":"w"}]})",
           error_kind::InvalidValue, "withdrawn[1]" },
     };
-    for (const auto &[text, kind, path] : damages) {
+    for (const auto &[text, kind, path] : malformedNotes) {
         core::release_note read;
         std::string problem;
         const std::error_code error = wire::readNote(text, read, problem);
--- a/tests/unit-peer-codec.cpp
+++ b/tests/unit-peer-codec.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of messages between daemons.
+/// @brief Tests of the messages between daemons and of their authentication.
 
 #include <fuchsiagw/core/config_spread.hpp>
 #include <fuchsiagw/core/incarnation_lease.hpp>
@@ -21,12 +21,12 @@
 
 const core::time_point now{ 100s };
 
-peer_keys keysOf(std::string_view secret, std::uint8_t number = 1)
+peer_keys makeKeys(std::string_view secret, std::uint8_t number = 1)
 {
     return { { { number, derivePeerKey(secret) } }, number };
 }
 
-forward_request anyForward()
+forward_request sampleForward()
 {
     forward_request message;
     message.id = { 1, 2 };
@@ -48,18 +48,18 @@
 
 TEST_GROUP(peer_codec)
 {
-    peer_codec sender{ 11, keysOf("s") };
-    peer_codec receiver{ 22, keysOf("s") };
+    peer_codec sender{ 11, makeKeys("s") };
+    peer_codec receiver{ 22, makeKeys("s") };
     opened_message opened;
 
-    std::string sealed(peer_kind kind = peer_kind::Digest)
+    std::string sealedMessage(peer_kind kind = peer_kind::Digest)
     {
         std::string message;
         CHECK_FALSE(sender.seal(kind, 22, sender_info{ { "i" }, { "z" }, "127.0.0.1:1" }, message));
         return message;
     }
-    void checkRefused(error_kind expected, std::string_view message,
-                      peer_transport transport = peer_transport::Datagram)
+    void checkRejected(error_kind expected, std::string_view message,
+                       peer_transport transport = peer_transport::Datagram)
     {
         const std::error_code error = receiver.open(message, transport, now, opened);
         STRCMP_EQUAL(core::answerOf(expected).name.data(),
@@ -67,7 +67,7 @@
     }
 };
 
-TEST(peer_codec, messageArrivesWhole)
+TEST(peer_codec, digestRoundTrips)
 {
     digest_message<core::spread_message> digest;
     digest.sender = { { "i" }, { "z" }, "127.0.0.1:1", sender_state::Leaving };
@@ -85,14 +85,15 @@
     CHECK_TRUE(read.sender.instance.empty() && read.sender.state == sender_state::Leaving);
 }
 
-// Guards against control traffic above 3 KB/s by digests alone: a daemon with the most neighbours,
-// 8 children and a parent, exchanges two a second with each of them.
-TEST(peer_codec, digestsFitTheControlTraffic)
+// Guards against digests that alone exceed the 3 KB/s of control traffic per daemon. The daemon
+// with the most neighbours has 8 children and a parent and exchanges two digests per second with
+// each.
+TEST(peer_codec, digestsStayWithinControlTrafficBound)
 {
     constexpr std::uint64_t seconds = 160;
-    constexpr std::size_t headers = 28; // IP and UDP
+    constexpr std::size_t headers = 28; // bytes of the IP and UDP headers
     std::mt19937_64 random(3);
-    peer_codec self(random(), keysOf("s"));
+    peer_codec self(random(), makeKeys("s"));
     const core::incarnation_id neighbour = random();
     std::size_t bytes = 0;
     for (std::uint64_t second = 0; second < seconds; ++second) {
@@ -104,8 +105,9 @@
         core::spread_message &report = digest.report;
         report.root = random();
         report.instanceHashSum = random();
-        report.roundNumber = report.provenRound = 600'000 + second; // a week
-        report.held = report.oldest = report.newest = report.provenVersion = 3'000'000; // two years
+        report.roundNumber = report.provenRound = 600'000 + second; // the rounds of one week
+        report.held = report.oldest = report.newest = report.provenVersion =
+                3'000'000; // the versions of two years
         report.included = 0xffff;
         report.windowMicroseconds = 1'000'000;
         report.count = 1'600;
@@ -118,30 +120,33 @@
                && !mustIncludeSenderNames(neighbour, 5));
 }
 
-// Guards against a field that is lost on the way to the owner of a group.
+// Guards against a field that is lost or altered when a statement is forwarded to the owner of its
+// group, for instance because a conversion omits it.
 TEST(peer_codec, forwardedRequestKeepsEveryField)
 {
-    const forward_request forward = anyForward();
+    const forward_request forward = sampleForward();
     const core::statement_request request = toRequest(forward, now);
     CHECK_TRUE(request.deadline == now + core::duration(9));
-    const forward_request again = makeForwardRequest(request, now);
-    CHECK_TRUE(writeBody(forward) == writeBody(again));
+    const forward_request forwardedAgain = makeForwardRequest(request, now);
+    CHECK_TRUE(writeBody(forward) == writeBody(forwardedAgain));
     forward_request read;
     CHECK_FALSE(readBody(writeBody(forward), read));
     CHECK_TRUE(writeBody(read) == writeBody(forward));
     LONGS_EQUAL(0, makeForwardRequest(request, now + 1h).remainingMicros);
-    const core::statement_request endless;
-    CHECK_TRUE(toRequest(makeForwardRequest(endless, now), now).deadline < core::noDeadline);
+    const core::statement_request withoutDeadline;
+    CHECK_TRUE(toRequest(makeForwardRequest(withoutDeadline, now), now).deadline
+               < core::noDeadline);
 }
 
-// Guards against a message that takes effect although a byte of it was changed on the way.
-TEST(peer_codec, everyChangedByteIsFound)
+// Guards against a message that is accepted although it was truncated or a byte of it was changed
+// in the network, because the MAC does not cover all of it.
+TEST(peer_codec, everyChangedByteIsDetected)
 {
-    const std::string message = sealed();
+    const std::string message = sealedMessage();
     for (std::size_t at = 0; at < message.size(); ++at) {
         std::string changed = message;
         changed[at] = static_cast<char>(changed[at] ^ 0x10);
-        checkRefused(error_kind::MessageForeign, changed);
+        checkRejected(error_kind::MessageForeign, changed);
     }
     for (std::size_t size = 0; size < message.size(); ++size)
         CHECK_TRUE(receiver.open(message.substr(0, size), peer_transport::Datagram, now, opened)
@@ -150,48 +155,52 @@
     CHECK_FALSE(receiver.open(message, peer_transport::Datagram, now, opened));
 }
 
-// Guards against a message that takes effect twice, at its sender or at another instance.
-TEST(peer_codec, replayedAndForeignMessagesAreRefused)
+// Guards against a message that is accepted twice, by its own sender, by an instance that it is not
+// meant for, or under another key.
+TEST(peer_codec, replayedAndForeignMessagesAreRejected)
 {
-    const std::string message = sealed();
+    const std::string message = sealedMessage();
     CHECK_FALSE(receiver.open(message, peer_transport::Datagram, now, opened));
-    checkRefused(error_kind::MessageReplayed, message);
-    checkRefused(error_kind::MessageDamaged, sealed(), peer_transport::Stream);
-    peer_codec other(33, keysOf("s"));
+    checkRejected(error_kind::MessageReplayed, message);
+    checkRejected(error_kind::MessageDamaged, sealedMessage(), peer_transport::Stream);
+    peer_codec other(33, makeKeys("s"));
     CHECK_TRUE(other.open(message, peer_transport::Datagram, now, opened)
                == error_kind::MessageForeign);
-    peer_codec sameSender(11, keysOf("s"));
+    peer_codec sameSender(11, makeKeys("s"));
     CHECK_TRUE(sameSender.open(message, peer_transport::Datagram, now, opened)
                == error_kind::MessageForeign);
-    peer_codec stranger(22, keysOf("t"));
-    CHECK_TRUE(stranger.open(message, peer_transport::Datagram, now, opened)
+    peer_codec otherKey(22, makeKeys("t"));
+    CHECK_TRUE(otherKey.open(message, peer_transport::Datagram, now, opened)
                == error_kind::MessageForeign);
 }
 
-// Guards against a datagram's number that makes a frame look replayed.
-TEST(peer_codec, transportsHaveTheirOwnNumbers)
+// Guards against a valid frame that is rejected as a replay because datagrams of the same sender
+// advanced a shared sequence number.
+TEST(peer_codec, transportsHaveSeparateSequenceNumbers)
 {
-    const std::string frame = sealed(peer_kind::Hello);
+    const std::string frame = sealedMessage(peer_kind::Hello);
     for (std::size_t i = 0; i < 2 * sequence_window::size; ++i)
-        CHECK_FALSE(receiver.open(sealed(), peer_transport::Datagram, now, opened));
+        CHECK_FALSE(receiver.open(sealedMessage(), peer_transport::Datagram, now, opened));
     CHECK_FALSE(receiver.open(frame, peer_transport::Stream, now, opened));
 }
 
-// Guards against a rotation during which instances do not understand each other.
-TEST(peer_codec, keysRotateWithoutAGap)
+// Guards against a key rotation during which instances reject each other's messages, because some
+// already send with the new key and others still with the old one.
+TEST(peer_codec, keyRotationLosesNoMessage)
 {
-    peer_keys both = keysOf("s", 1);
+    peer_keys both = makeKeys("s", 1);
     both.keys[2] = derivePeerKey("new");
     receiver.setKeys(both);
-    CHECK_FALSE(receiver.open(sealed(), peer_transport::Datagram, now, opened));
+    CHECK_FALSE(receiver.open(sealedMessage(), peer_transport::Datagram, now, opened));
     both.current = 2;
     sender.setKeys(both);
-    CHECK_FALSE(receiver.open(sealed(), peer_transport::Datagram, now, opened));
-    receiver.setKeys(keysOf("new", 2));
-    CHECK_FALSE(receiver.open(sealed(), peer_transport::Datagram, now, opened));
+    CHECK_FALSE(receiver.open(sealedMessage(), peer_transport::Datagram, now, opened));
+    receiver.setKeys(makeKeys("new", 2));
+    CHECK_FALSE(receiver.open(sealedMessage(), peer_transport::Datagram, now, opened));
 }
 
-// Guards against datagrams that the network would fragment and frames without a bound.
+// Guards against datagrams that the network fragments and against frames of unbounded size, because
+// sender and receiver check different bounds.
 TEST(peer_codec, boundsAreExact)
 {
     std::string message = "unchanged";
@@ -200,7 +209,7 @@
         body.content.assign(text, 'x');
         return body;
     };
-    // The length fields of the text have the same size a little below the bound.
+    // The size is computed below the bound, where the length field of the text has the same size.
     constexpr std::size_t below = 100;
     for (const auto &[kind, most] : { std::pair(peer_kind::ConfigurationBody, maxFrameBytes),
                                       { peer_kind::Digest, maxDatagramBytes } }) {
@@ -210,14 +219,15 @@
         LONGS_EQUAL(most, message.size());
         const peer_transport transport = findPeerKind(kind)->transport;
         CHECK_FALSE(receiver.open(message, transport, now, opened));
-        checkRefused(error_kind::MessageTooLarge, message + "x", transport);
+        checkRejected(error_kind::MessageTooLarge, message + "x", transport);
         message = "unchanged";
         CHECK_TRUE(sender.seal(kind, 0, size(exact + 1), message) == error_kind::MessageTooLarge);
         STRCMP_EQUAL("unchanged", message.c_str());
     }
 }
 
-// Guards against numbers that change on the way or that have two forms.
+// Guards against integers that are altered by the variable-length encoding, and against an integer
+// with two valid encodings.
 TEST(peer_codec, numbersRoundTrip)
 {
     for (const std::int64_t number :
@@ -241,7 +251,8 @@
     CHECK_TRUE(readBody(writeBody(UINT64_C(1) << 32U), narrow) == error_kind::MessageDamaged);
 }
 
-// Guards against a short message that stands for a large amount of memory.
+// Guards against a short message that expands to a large amount of memory, because an empty list
+// element takes one byte in the message and many more in memory.
 TEST(peer_codec, elementsAreBounded)
 {
     std::vector<std::string> list(detail::maxListElements);
@@ -255,12 +266,12 @@
     CHECK_TRUE(splitAnswer(answer, parts) == error_kind::MessageTooLarge);
 }
 
-// Guards against a length field that makes the receiver allocate what it claims, and against
-// values that no enumeration has.
-TEST(peer_codec, impossibleBodiesAreDamaged)
+// Guards against a length field that makes the receiver allocate more than the message holds, and
+// against values that are outside of their enumeration.
+TEST(peer_codec, malformedBodiesAreRejected)
 {
     forward_request read;
-    const std::string body = writeBody(anyForward());
+    const std::string body = writeBody(sampleForward());
     CHECK_TRUE(readBody(body + "x", read) == error_kind::MessageDamaged);
     CHECK_TRUE(readBody("", read) == error_kind::MessageDamaged);
     for (std::size_t at = 0; at < body.size(); ++at) {
@@ -275,8 +286,9 @@
     CHECK_TRUE(readBody(wrongKind, info) == error_kind::MessageDamaged);
 }
 
-// Guards against an answer that is cut or mixed with another one.
-TEST(peer_codec, largeAnswersTravelInParts)
+// Guards against an answer that is truncated or mixed with another one when it is reassembled from
+// several frames.
+TEST(peer_codec, largeAnswersAreSplitAndReassembled)
 {
     core::statement_answer answer;
     answer.id = { 3, 4 };
@@ -286,38 +298,39 @@
     std::vector<forward_answer> parts;
     CHECK_FALSE(splitAnswer(answer, parts));
     CHECK_TRUE(parts.size() > 1);
-    part_assembler joiner;
+    part_assembler assembler;
     for (const forward_answer &part : parts) {
         std::string message;
         CHECK_FALSE(sender.seal(peer_kind::ForwardAnswer, 22, part, message));
-        CHECK_FALSE(joiner.isComplete());
-        CHECK_FALSE(joiner.add(part.part, part.parts, part.content));
+        CHECK_FALSE(assembler.isComplete());
+        CHECK_FALSE(assembler.add(part.part, part.parts, part.content));
     }
-    CHECK_TRUE(joiner.isComplete());
-    CHECK_TRUE(joiner.add(2, 2, "more") == error_kind::MessageDamaged);
+    CHECK_TRUE(assembler.isComplete());
+    CHECK_TRUE(assembler.add(2, 2, "more") == error_kind::MessageDamaged);
     core::statement_answer read;
-    CHECK_FALSE(readAnswer(answer.id, joiner.content, read));
+    CHECK_FALSE(readAnswer(answer.id, assembler.content, read));
     CHECK_TRUE(read.rows == answer.rows);
     CHECK_TRUE(read.error == answer.error);
     CHECK_TRUE(read.transaction == answer.transaction);
-    CHECK_TRUE(readAnswer({ 3, 5 }, joiner.content, read) == error_kind::MessageDamaged);
+    CHECK_TRUE(readAnswer({ 3, 5 }, assembler.content, read) == error_kind::MessageDamaged);
     answer.rows.assign(20, { std::string(maxFrameBytes, 'r') });
     CHECK_TRUE(splitAnswer(answer, parts) == error_kind::MessageTooLarge);
 }
 
-// Guards against a configuration that is put together from parts of two.
-TEST(peer_codec, partsMustFollowEachOther)
+// Guards against a configuration that is reassembled from parts of two configurations, because a
+// part is missing, repeated or counted differently.
+TEST(peer_codec, partsMustBeConsecutive)
 {
     for (const auto &[first, second] : { std::pair(std::pair(0U, 2U), std::pair(0U, 2U)),
                                          { { 0, 2 }, { 1, 3 } },
                                          { { 1, 2 }, { 1, 2 } },
                                          { { 0, 0 }, { 0, 0 } },
                                          { { 0, maxPartCount + 1 }, { 1, 2 } } }) {
-        part_assembler joiner;
-        const std::error_code one = joiner.add(first.first, first.second, "a");
-        const std::error_code two = joiner.add(second.first, second.second, "b");
+        part_assembler assembler;
+        const std::error_code one = assembler.add(first.first, first.second, "a");
+        const std::error_code two = assembler.add(second.first, second.second, "b");
         CHECK_TRUE(one || two);
-        CHECK_FALSE(joiner.isComplete());
+        CHECK_FALSE(assembler.isComplete());
     }
     std::vector<configuration_body> parts;
     CHECK_FALSE(splitConfiguration(5, 6, "", parts));
--- a/tests/unit-platform-json.cpp
+++ b/tests/unit-platform-json.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the JSON form and the request targets of the protocol to the platform.
+/// @brief Tests of the JSON form and the request targets of the platform protocol.
 
 #include <fuchsiagw/core/error_kind.hpp>
 #include <fuchsiagw/core/random.hpp>
@@ -33,8 +33,9 @@
 
 TEST_GROUP(platform_json){};
 
-// Guards against a field that one direction forgets, and against a cut body taken for a whole one.
-TEST(platform_json, everyMessageRoundTripsAndNoCutParses)
+// Guards against a field that only the writer or only the parser handles, and against a truncated
+// body that is accepted.
+TEST(platform_json, everyMessageRoundTripsAndNoPrefixParses)
 {
     checkRoundTrip(core::table_row{ "lease/12", 7, "{}" });
     checkRoundTrip(core::scan_answer{ { { "a", 1, "" }, { "b", 2, "v" } } });
@@ -49,8 +50,9 @@
     checkRoundTrip(core::instance_list{ { entry, {} } });
 }
 
-// Guards against a transaction that is applied without a check that it could not read.
-TEST(platform_json, refusesWhatIsNotExactlyTheMessage)
+// Guards against a transaction that is applied without one of its checks, because the parser skips
+// a missing, misspelled or malformed list.
+TEST(platform_json, rejectsMalformedMessages)
 {
     core::transact_request parsed = sampleTransaction;
     const auto expect = [&parsed](error_kind expected, const char *text) {
@@ -64,7 +66,7 @@
     expect(error_kind::MalformedBody, R"({"id":"i","id":"j","checks":[],"puts":[],"deletes":[]})");
 }
 
-// Guards against a crash on bytes that no platform would send.
+// Guards against a crash of the parser on random changes of a valid body.
 TEST(platform_json, survivesDamagedBytes)
 {
     core::random_engine random(21);
@@ -81,7 +83,8 @@
     }
 }
 
-// Guards against a key that names another row or route after the way through a request target.
+// Guards against a key that addresses another row or route after it is encoded in a request target
+// and decoded again.
 TEST(platform_json, namesRoundTripThroughTargets)
 {
     std::string name;
--- a/tests/unit-replay-window.cpp
+++ b/tests/unit-replay-window.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the windows that recognise repeated messages.
+/// @brief Tests of the replay protection.
 
 #include <fuchsiagw/wire/replay_window.hpp>
 
@@ -20,8 +20,9 @@
     core::time_point now{ std::chrono::seconds(100) };
 };
 
-// Guards against a repeated message that is accepted and a late one that is lost.
-TEST(replay_window, agreesWithASetOfNumbers)
+// Guards against a replayed message that is accepted and a reordered one that is rejected. The
+// window must agree with an unbounded set of the received numbers.
+TEST(replay_window, agreesWithUnboundedSet)
 {
     std::mt19937_64 random(11);
     sequence_window window;
@@ -40,8 +41,8 @@
     CHECK_FALSE(window.accept(0));
 }
 
-// Guards against a wrap at the largest number.
-TEST(replay_window, largestNumbersAreSafe)
+// Guards against an overflow at the largest sequence number.
+TEST(replay_window, largestNumbersDoNotOverflow)
 {
     sequence_window window;
     CHECK_TRUE(window.accept(UINT64_MAX));
@@ -50,7 +51,8 @@
     CHECK_FALSE(window.accept(UINT64_MAX - sequence_window::size));
 }
 
-// Guards against a restarted sender whose numbers are taken for its predecessor's.
+// Guards against a restarted sender, whose sequence numbers start again at 1 and are rejected as
+// replays of its previous incarnation.
 TEST(replay_window, incarnationsAreIndependent)
 {
     replay_window window;
@@ -59,8 +61,8 @@
     CHECK_FALSE(window.accept(1, 500, now));
 }
 
-// Guards against memory that grows with the senders, and against room made for a new sender by
-// forgetting one whose messages may still be under way.
+// Guards against memory that grows with the number of senders, and against the eviction of a sender
+// whose messages may still be in the network and could then be replayed.
 TEST(replay_window, sendersAreBounded)
 {
     const auto window = std::make_unique<replay_window>();
--- a/tests/unit-session-token.cpp
+++ b/tests/unit-session-token.cpp
@@ -32,7 +32,7 @@
 
 TEST_GROUP(session_token){};
 
-// Guards against a token that loses a position, or that a cookie can't hold.
+// Guards against a token that loses a position or flag, or that exceeds the size of a cookie.
 TEST(session_token, roundTripsAtEverySize)
 {
     for (std::size_t groups = 0; groups <= core::maxSessionGroups; ++groups) {
@@ -46,8 +46,9 @@
     }
 }
 
-// Guards against a forged position or workspace: every changed character must be refused.
-TEST(session_token, refusesEveryChange)
+// Guards against a forged position or workspace, because the MAC does not cover a field or the
+// base64 text has several valid spellings.
+TEST(session_token, rejectsEveryChange)
 {
     const std::string token = wire::seal(sessionOf(2, 5), keysOf(1));
     core::session read;
@@ -62,7 +63,8 @@
     CHECK_TRUE(read == core::session{});
 }
 
-// Guards against a rotation that cuts sessions off while the old key is still accepted.
+// Guards against a key rotation that invalidates sessions, because tokens under the old key are
+// rejected before the key is removed.
 TEST(session_token, oldKeyIsAcceptedUntilItIsRemoved)
 {
     const std::string token = wire::seal(sessionOf(1, 5), keysOf(1));
@@ -75,7 +77,8 @@
 
 TEST_GROUP(key_hash){};
 
-// Guards against a hash that differs between versions, which would lock every caller out.
+// Guards against a hash function that changes between releases: no configured hash would match, and
+// every caller would be rejected.
 TEST(key_hash, isStableAndKeysAreDistinct)
 {
     STRCMP_EQUAL("0e5751c026e543b2e8ab2eb06099daa1d1e5df47778f7787faab45cdf12fe3a8",
