--- a/include/fuchsiagw/wire/admin_json.hpp
+++ b/include/fuchsiagw/wire/admin_json.hpp
@@ -112,7 +112,7 @@
 
 /// @brief Answers whether a note was applied.
 /// @param version the version that the note created; empty if the platform does not know the note
-/// @param everywhere spread_state::everywhere
+/// @param everywhere the version that is in force at every instance, spread_state::everywhere
 [[nodiscard]] admin_answer answerNoteStatus(const std::string &id,
                                             std::optional<core::configuration_version> version,
                                             const core::config_store &store,
--- a/include/fuchsiagw/wire/caller_json.hpp
+++ b/include/fuchsiagw/wire/caller_json.hpp
@@ -98,7 +98,7 @@
 struct requested_session
 {
     bool named = false; ///< the request has a session header or cookie
-    std::string token; ///< empty if `named`: the token that was sent is malformed or ambiguous
+    std::string token; ///< also empty if the token that was sent is malformed or ambiguous
 };
 
 /// @brief Finds the session token of a request; the header takes precedence over the cookie.
--- a/include/fuchsiagw/wire/note_json.hpp
+++ b/include/fuchsiagw/wire/note_json.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// @brief JSON form of release notes and of differences between configurations.
 ///
-/// A note is `{id, base, added, changed, withdrawn}`; empty lists may be omitted. An
-/// element identifies its section by `section` (`group`, `member`, `workspace`, `rate`, `key`,
+/// A note is `{id, base, added, changed, withdrawn}`; empty lists may be omitted. An element
+/// identifies its section by `section` (`group`, `member`, `workspace`, `rate`, `key`,
 /// `read_class` or `switch`) and the fields of that kind. docs/release-notes.md has examples.
 
 #pragma once
--- a/include/fuchsiagw/wire/peer_codec.hpp
+++ b/include/fuchsiagw/wire/peer_codec.hpp
@@ -134,8 +134,8 @@
     core::incarnation_id self_;
     peer_keys keys_;
     std::array<std::uint64_t, 2> lastSequence_{}; ///< by transport
-    std::array<replay_window, 2>
-            windows_; ///< by transport, since frames may arrive later than datagrams
+    /// By transport, since frames may arrive later than datagrams.
+    std::array<replay_window, 2> windows_;
 
     [[nodiscard]] std::error_code sealBytes(peer_kind kind, core::incarnation_id receiver,
                                             std::string_view body, std::string &message);
--- a/include/fuchsiagw/wire/peer_message.hpp
+++ b/include/fuchsiagw/wire/peer_message.hpp
@@ -3,7 +3,7 @@
 ///
 /// Times are sent as remaining microseconds, because instances share no clock. The receiver counts
 /// a remaining time from when it sent its request. It counts from the arrival of the message only
-/// where the later deadline that results concerns the side that does not rely on the deadline.
+/// where the deadline may be later than the sender's, because the receiver does not rely on it.
 
 #pragma once
 
@@ -173,8 +173,8 @@
     std::optional<core::transaction_id> transaction;
     core::log_position minPosition;
     bool isSessionUnusable = false;
-    std::int64_t remainingMicros =
-            0; ///< counted from arrival; the sender enforces its own deadline
+    /// Time to the deadline, counted from arrival; the sender enforces its own deadline.
+    std::int64_t remainingMicros = 0;
 
     template <typename archive>
     void serialize(archive &ar)
@@ -216,8 +216,8 @@
 struct configuration_body
 {
     std::uint64_t version = 0; ///< 0: no configuration is in force
-    std::uint64_t tag =
-            0; ///< hash of the content, distinguishes two contents with the same version
+    /// Hash of the content, distinguishes two contents with the same version.
+    std::uint64_t tag = 0;
     std::uint32_t part = 0; ///< from 0, in order
     std::uint32_t parts = 1;
     std::string content;
--- a/include/fuchsiagw/wire/replay_window.hpp
+++ b/include/fuchsiagw/wire/replay_window.hpp
@@ -58,9 +58,10 @@
     };
 
     std::unordered_map<core::incarnation_id, sender_state> senders_;
-    core::time_point nextEvictionAt_ =
-            core::time_point::min(); ///< no sender can be evicted earlier
+    /// No sender can be evicted earlier.
+    core::time_point nextEvictionAt_ = core::time_point::min();
 
+    /// @return whether there is room for a new sender
     [[nodiscard]] bool evictIdleSenders(core::time_point now);
 };
 
