--- a/src/daemon/relay_server.cpp
+++ b/src/daemon/relay_server.cpp
@@ -105,7 +105,7 @@
         return;
     borrower &source = *found->second;
     if (source.member.empty()) {
-        const auto opening = adapter::decodeMemberOpening(line);
+        const auto opening = adapter::decodeMemberStartup(line);
         if (!opening || isStopping_) {
             refuse(id, proxy::reply_code::Misrouted);
             return;
@@ -113,7 +113,7 @@
         requestConnection(id, opening->member, opening->workspace);
         return;
     }
-    if (line == adapter::farewellLine()) {
+    if (line == adapter::terminateKeyword()) {
         const auto connection = source.connection;
         onBorrowerDisconnected(id);
         connection->closeGently();
