--- a/src/daemon/relay_server.cpp
+++ b/src/daemon/relay_server.cpp
@@ -104,7 +104,7 @@
         return;
     borrower &who = *found->second;
     if (who.member.empty()) {
-        const auto opening = adapter::decodeMemberOpening(line);
+        const auto opening = adapter::decodeMemberStartup(line);
         if (!opening || stopping_) {
             refuse(id, proxy::reply_code::Misrouted);
             return;
@@ -112,7 +112,7 @@
         borrow(id, opening->member, opening->workspace);
         return;
     }
-    if (line == adapter::farewellLine()) {
+    if (line == adapter::terminateKeyword()) {
         const auto connection = who.connection;
         onBorrowerGone(id);
         connection->closeGently();
