--- a/tests/unit-store-codec.cpp
+++ b/tests/unit-store-codec.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the adapter's rows and manifests, also with values from other writers.
+/// @brief Tests of the store codec, including malformed and random input.
 
 #include <platform/store_codec.hpp>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-const char *const goodMember = R"({"service":"books","address":"127.0.0.1:80","zone":"north",
+const char *const validMember = R"({"service":"books","address":"127.0.0.1:80","zone":"north",
     "version":"v1","slots":2,"state":"ready","cold-remaining-ms":0,"db-role":"replica",
     "sequence":4,"born":17})";
 
@@ -29,9 +29,10 @@
 
 TEST_GROUP(store_codec){};
 
-TEST(store_codec, memberIsRead)
+// Guards against member fields that are lost or mixed up when a row is decoded.
+TEST(store_codec, memberIsDecoded)
 {
-    const auto entry = decodeMember(rowWith(goodMember));
+    const auto entry = decodeMember(rowWith(validMember));
     CHECK_TRUE(entry.has_value());
     STRCMP_EQUAL("i-1", entry->id.c_str());
     STRCMP_EQUAL("books", entry->service.c_str());
@@ -41,19 +42,19 @@
     CHECK_FALSE(entry->claimsPrimary);
 }
 
-// Guards against a member that is used although its entry was written by something else: each field
-// is taken away or given another type in turn.
-TEST(store_codec, damagedMemberNamesNone)
+// Guards against routing to a member whose row is malformed, as when other software wrote it. Each
+// required field is removed, or given a wrong type, in turn.
+TEST(store_codec, malformedMemberIsRejected)
 {
     for (const char *field : { "service", "address", "zone", "slots", "state", "db-role" }) {
-        auto missing = nlohmann::json::parse(goodMember);
+        auto missing = nlohmann::json::parse(validMember);
         missing.erase(field);
         CHECK_FALSE(decodeMember(rowWith(missing.dump())).has_value());
-        auto other = nlohmann::json::parse(goodMember);
-        other[field] = nlohmann::json::array({ 1 });
-        CHECK_FALSE(decodeMember(rowWith(other.dump())).has_value());
+        auto wrongType = nlohmann::json::parse(validMember);
+        wrongType[field] = nlohmann::json::array({ 1 });
+        CHECK_FALSE(decodeMember(rowWith(wrongType.dump())).has_value());
     }
-    auto state = nlohmann::json::parse(goodMember);
+    auto state = nlohmann::json::parse(validMember);
     state["state"] = "asleep";
     CHECK_FALSE(decodeMember(rowWith(state.dump())).has_value());
     CHECK_FALSE(decodeMember(rowWith("")).has_value());
@@ -61,36 +62,40 @@
     CHECK_FALSE(decodeMember(rowWith("[]")).has_value());
 }
 
-TEST(store_codec, manifestIsRead)
+// Guards against manifest settings that are lost or converted to a wrong unit, and against one
+// route of unknown type that makes the whole manifest unusable.
+TEST(store_codec, manifestIsDecoded)
 {
-    const auto read = decodeManifest(R"({"version":7,"routes":[{"name":"r","database":"books",
+    const auto manifest = decodeManifest(R"({"version":7,"routes":[{"name":"r","database":"books",
         "type":"bounded_staleness","timeout-ms":1200,"target-latency-ms":300,"priority":2,
         "service":"s","max-staleness-ms":1500,"allow-anonymous":false},
         {"name":"odd","database":"x","type":"something"}],
         "services":[{"name":"s","max-connections":16,"sync-replicas":1}],
         "limits":{"tx-idle-ms":3000},
         "tenants":[{"name":"house","api-keys":["k1","k2"],"rate-per-s":134,"burst-size":20}]})");
-    CHECK_TRUE(read.has_value());
-    LONGS_EQUAL(7, read->version);
-    CHECK_EQUAL(1U, read->routes.size());
-    const auto &route = read->routes.at("books");
+    CHECK_TRUE(manifest.has_value());
+    LONGS_EQUAL(7, manifest->version);
+    CHECK_EQUAL(1U, manifest->routes.size());
+    const auto &route = manifest->routes.at("books");
     CHECK(route.kind == proxy::consistency::BoundedStaleness);
     LONGS_EQUAL(1'500'000, route.maxStaleness.count());
-    LONGS_EQUAL(16, read->services.at("s").maxConnections);
-    CHECK_EQUAL(0U, read->workspaceByKey.at("k2"));
-    DOUBLES_EQUAL(134, *read->workspaces[0].ratePerSecond, 1e-9);
-    LONGS_EQUAL(3'000'000, read->transactionIdleLimit.count());
+    LONGS_EQUAL(16, manifest->services.at("s").maxConnections);
+    CHECK_EQUAL(0U, manifest->workspaceByKey.at("k2"));
+    DOUBLES_EQUAL(134, *manifest->workspaces[0].ratePerSecond, 1e-9);
+    LONGS_EQUAL(3'000'000, manifest->transactionIdleLimit.count());
 }
 
-TEST(store_codec, manifestWithoutVersionIsRefused)
+// Guards against a manifest that can't be ordered against others because it has no valid version.
+TEST(store_codec, manifestWithoutVersionIsRejected)
 {
     CHECK_FALSE(decodeManifest("{}").has_value());
     CHECK_FALSE(decodeManifest(R"({"version":"7"})").has_value());
     CHECK_FALSE(decodeManifest("no json").has_value());
 }
 
-// Guards against bytes that are changed on their way through the store.
-TEST(store_codec, valuesSurviveTheirEncoding)
+// Guards against values that base64 encoding and decoding alter, such as those with NUL or
+// non-ASCII bytes.
+TEST(store_codec, valuesRoundTripUnchanged)
 {
     const std::string value("a\0b\xff{}", 6);
     const auto request = changeRows({ { "t", "k", 0, value } });
@@ -105,8 +110,8 @@
     LONGS_EQUAL(0, body["expected"][0]["row-version"].get<int>());
 }
 
-// Guards against a row that is removed by a transaction which only compares its version.
-TEST(store_codec, checkedRowIsNotChanged)
+// Guards against a transaction that removes or rewrites a row whose version it should only compare.
+TEST(store_codec, versionCheckDoesNotChangeRow)
 {
     row_change checked;
     checked.table = "t";
@@ -119,6 +124,7 @@
     CHECK_TRUE(body["remove"].empty());
 }
 
+// Guards against a removal that is encoded as a write of an empty value.
 TEST(store_codec, removalHasNoValue)
 {
     const auto body = nlohmann::json::parse(changeRows({ { "t", "k", 4, std::nullopt } }).body);
@@ -126,8 +132,8 @@
     CHECK_TRUE(body["puts"].empty());
 }
 
-// Guards against a crash on any bytes that a store may answer.
-TEST(store_codec, randomBodiesAreSurvived)
+// Guards against a crash on a malformed response body of the store.
+TEST(store_codec, randomBodiesDoNotCrash)
 {
     std::mt19937 random(5);
     const std::string base = R"({"rows":[{"key":"a","value":"e30=","row-version":1}],"now-ms":1})";
--- a/tests/unit-wire-codec.cpp
+++ b/tests/unit-wire-codec.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the adapter's line protocol, with damaged and random lines.
+/// @brief Tests of the line protocol codec, including malformed and random lines.
 
 #include <platform/wire_codec.hpp>
 
@@ -29,7 +29,8 @@
 
 TEST_GROUP(wire_codec){};
 
-// Guards against a text that reaches the member changed.
+// Guards against a statement text that is altered before the proxy forwards it: spaces inside and
+// at the end belong to the text.
 TEST(wire_codec, statementKeepsItsText)
 {
     const auto statement = statementOf("QUERY 5c0e WRITE 1a4 x  y z ");
@@ -39,7 +40,9 @@
     STRCMP_EQUAL("1a4", statement.name.c_str());
 }
 
-TEST(wire_codec, kindsAreTold)
+// Guards against a statement that is handled as another kind, for example a read-only transaction
+// that is opened as a writing one.
+TEST(wire_codec, statementKindsAreDecoded)
 {
     CHECK(statementOf("QUERY 1 BEGIN").kind == proxy::statement_kind::Begin);
     CHECK(statementOf("QUERY 1 BEGIN READ").kind == proxy::statement_kind::BeginReadOnly);
@@ -53,15 +56,16 @@
     CHECK(statementOf("QUERY 1 PREPARE s1 BOTH q2c").kind == proxy::statement_kind::Malformed);
 }
 
-// Guards against a caller that reaches a member with orders that only the proxy may give.
-TEST(wire_codec, ordersOfTheProxyAreNotAcceptedFromCallers)
+// Guards against callers that send members the control commands reserved for the proxy.
+TEST(wire_codec, proxyCommandsFromCallersAreMalformed)
 {
     for (const char *line : { "QUERY 1 STATUS", "QUERY 1 PAUSE 9", "QUERY 1 STEPDOWN 9",
                               "QUERY 1 DISCARD", "QUERY 1 AFTER 1.2 READ a", "QUERY 1 RESUME" })
         CHECK(statementOf(line).kind == proxy::statement_kind::Malformed);
 }
 
-TEST(wire_codec, foreignLinesAreUnreadable)
+// Guards against a session or statement that is opened by an incomplete line or another protocol.
+TEST(wire_codec, unknownLinesAreUnreadable)
 {
     CHECK_TRUE(isUnreadable(""));
     CHECK_TRUE(isUnreadable("GET / HTTP/1.1"));
@@ -70,7 +74,8 @@
     CHECK_TRUE(isUnreadable("QUERY 1"));
 }
 
-// Guards against an error line whose text is not the one of the answer.
+// Guards against replies that callers can't parse: an error without its message or placeholder, an
+// error to STARTUP that is followed by READY, or result lines out of order.
 TEST(wire_codec, repliesAreEncoded)
 {
     proxy::reply answer;
@@ -91,6 +96,7 @@
                  encodeReply(rows, false).c_str());
 }
 
+// Guards against commands that members can't parse or that lose the position to wait for.
 TEST(wire_codec, commandsAreEncoded)
 {
     proxy::upstream_command command;
@@ -110,8 +116,9 @@
     STRCMP_EQUAL("STARTUP service house i-1\r\n", encodeCommand(startup).c_str());
 }
 
-// Guards against an answer that is delivered before its last line was read.
-TEST(wire_codec, answerIsWholeWithItsReadyLine)
+// Guards against a reply that is delivered before its READY line, and so without its state and
+// position.
+TEST(wire_codec, replyIsCompleteAtItsReadyLine)
 {
     reply_decoder decoder;
     CHECK_FALSE(decoder.feed("DATAROW x y", false).has_value());
@@ -124,19 +131,22 @@
     CHECK(*answer->position == (core::log_position{ 3, 1209 }));
 }
 
-TEST(wire_codec, readyWithoutAnEndIsDamage)
+// Guards against a READY line that is taken for a reply although no COMPLETE or ERROR came before
+// it. Only a reply to STARTUP may consist of READY alone.
+TEST(wire_codec, readyWithoutOutcomeFails)
 {
     reply_decoder decoder;
     CHECK_FALSE(decoder.feed("READY I 1.1", false).has_value());
     CHECK_TRUE(decoder.failed());
-    reply_decoder opening;
-    CHECK_TRUE(opening.feed("READY I 1.1", true).has_value());
+    reply_decoder startup;
+    CHECK_TRUE(startup.feed("READY I 1.1", true).has_value());
     reply_decoder refused;
     const auto answer = refused.feed("ERROR CONNLIMIT full", true);
     CHECK(answer->code == proxy::reply_code::ConnectionLimit);
 }
 
-TEST(wire_codec, statusRowIsRead)
+// Guards against status fields that are mixed up, and against incomplete status rows that are used.
+TEST(wire_codec, statusRowIsDecoded)
 {
     const auto status = decodeStatus("replica 3 3.1209 4 12 2 17");
     CHECK_TRUE(status.has_value());
@@ -147,8 +157,8 @@
     CHECK_FALSE(decodeStatus("qhzkwmtrbelo").has_value());
 }
 
-// Guards against a crash or a statement without id on any bytes.
-TEST(wire_codec, randomLinesAreSurvived)
+// Guards against a crash, or a statement with an empty id, on malformed lines.
+TEST(wire_codec, randomLinesDoNotCrash)
 {
     const std::vector<std::string> words{ "QUERY",
                                           "STARTUP",
