--- a/tests/unit-session-soak.cpp
+++ b/tests/unit-session-soak.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Real daemons with the session interface on loopback: the whole path, and short seeded
-/// runs of the fault soak.
+/// @brief Short, seeded soak runs of real daemons with the session interface on the loopback
+/// network.
 
 #include <platform/standin/soak.hpp>
 
@@ -34,7 +34,7 @@
                 static_cast<unsigned long long>(result.failed), result.findings.size());
     for (const soak_finding &each : result.findings)
         std::printf("%s: %s\n", std::string(toString(each.promise)).c_str(), each.text.c_str());
-    // Logs of a failed run stay.
+    // The logs of a failed run are kept for diagnosis.
     if (result.findings.empty())
         std::filesystem::remove_all(options.folder);
     else
@@ -46,8 +46,8 @@
 
 TEST_GROUP(session_soak){};
 
-// Guards against a daemon that does not serve the line protocol over real sockets: settings, store,
-// lent connections, limits and answers together.
+// Guards against daemons that fail over real sockets although their parts work alone: settings,
+// store, lent connections, limits and replies are used together, without faults.
 TEST(session_soak, calmDeploymentServesEverything)
 {
     const soak_result result = runWith(1, soak_profile::Calm, seconds(4));
@@ -56,15 +56,16 @@
     CHECK(result.promotions == 0);
 }
 
-// Guards against planned work that cuts or loses statements: stops, reloads, leaving members and
-// withdrawn keys.
+// Guards against planned operations that cut or lose statements: stops and reloads of daemons,
+// draining members and withdrawn keys.
 TEST(session_soak, plannedWorkBreaksNoPromise)
 {
     const soak_result result = runWith(2, soak_profile::Planned, seconds(12));
     UNSIGNED_LONGS_EQUAL(0, result.findings.size());
 }
 
-// Guards against broken promises under faults of every kind that overlap.
+// Guards against broken guarantees when faults of all kinds overlap, as in crashes during
+// partitions.
 TEST(session_soak, overlappingFaultsBreakNoPromise)
 {
     for (const std::uint64_t seed : { 3, 4, 5, 8 }) {
