--- a/include/fuchsiagw/daemon/admin_server.hpp
+++ b/include/fuchsiagw/daemon/admin_server.hpp
@@ -61,8 +61,9 @@
     [[nodiscard]] metrics collect();
 
 private:
-    void onRequest(net::http_request &&request, net::http_reply &&reply);
-    [[nodiscard]] bool answerOpenRoute(const net::http_request &request, net::http_reply &reply);
+    void onRequest(net::http_request &&request, net::http_responder &&reply);
+    [[nodiscard]] bool answerOpenRoute(const net::http_request &request,
+                                       net::http_responder &reply);
     void tick();
 
     const settings &settings_;
@@ -72,7 +73,7 @@
     boost::asio::steady_timer timer_;
     rate_meter controlRate_;
     double controlBytesPerSecond_ = 0;
-    std::unordered_map<std::uint64_t, net::http_reply> openRequests_; ///< by ticket
+    std::unordered_map<std::uint64_t, net::http_responder> openRequests_; ///< by ticket
     std::uint64_t nextTicket_ = 1;
 };
 
--- a/include/fuchsiagw/daemon/peer_messenger.hpp
+++ b/include/fuchsiagw/daemon/peer_messenger.hpp
@@ -171,7 +171,7 @@
     void onForwardAnswerPart(net::link_id link, std::string_view body);
     void onConfigurationRequest(net::link_id link, std::string_view body);
     void onConfigurationPart(net::link_id link, std::string_view body);
-    void onClose(net::link_id link, const net::link_end &end);
+    void onClose(net::link_id link, const net::link_closure &end);
 
     void perform(const send_datagram &command);
     void perform(const send_forward &command);
@@ -180,7 +180,7 @@
     void perform(const send_configuration &command);
 
     /// @return the open link to an address, or a new one; 0 if none can be opened
-    [[nodiscard]] net::link_id linkTo(const std::string &address);
+    [[nodiscard]] net::link_id findOrOpenLink(const std::string &address);
     template <typename type>
     [[nodiscard]] bool sendFrame(net::link_id link, net::frame_tag tag, wire::peer_kind kind,
                                  core::incarnation_id receiver, const type &body);
--- a/src/daemon/admin_server.cpp
+++ b/src/daemon/admin_server.cpp
@@ -37,7 +37,7 @@
 net::http_server_options serverOptions(const settings &values)
 {
     net::http_server_options options;
-    options.listenAt = values.adminAddress;
+    options.listenAddress = values.adminAddress;
     options.maxBody = maxRequestBodyBytes;
     options.maxConnections = maxConnections;
     return options;
@@ -66,7 +66,8 @@
     , log_(log)
     , inputs_(std::move(inputs))
     , server_(context, serverOptions(values),
-              [this](net::http_request &&request, net::connection_number, net::http_reply &&reply) {
+              [this](net::http_request &&request, net::connection_number,
+                     net::http_responder &&reply) {
                   onRequest(std::move(request), std::move(reply));
               })
     , timer_(context)
@@ -105,7 +106,7 @@
     return totals;
 }
 
-bool admin_server::answerOpenRoute(const net::http_request &request, net::http_reply &reply)
+bool admin_server::answerOpenRoute(const net::http_request &request, net::http_responder &reply)
 {
     const std::string_view path =
             std::string_view(request.target).substr(0, request.target.find('?'));
@@ -126,7 +127,7 @@
     return true;
 }
 
-void admin_server::onRequest(net::http_request &&request, net::http_reply &&reply)
+void admin_server::onRequest(net::http_request &&request, net::http_responder &&reply)
 {
     if (answerOpenRoute(request, reply))
         return;
--- a/src/daemon/caller_server.cpp
+++ b/src/daemon/caller_server.cpp
@@ -133,7 +133,7 @@
               context,
               [&values] {
                   net::http_server_options options;
-                  options.listenAt = values.callerAddress;
+                  options.listenAddress = values.callerAddress;
                   // Twice the limit, so that a slightly larger body gets an error answer and does
                   // not close the connection.
                   options.maxBody = 2 * maxRequestBodyBytes;
@@ -141,7 +141,7 @@
                   return options;
               }(),
               [this](net::http_request &&request, net::connection_number connection,
-                     net::http_reply &&reply) {
+                     net::http_responder &&reply) {
                   connections_.insert(connection);
                   onRequest(std::move(request), std::move(reply));
               },
@@ -198,12 +198,12 @@
     }
 }
 
-void caller_server::answer(net::http_reply &reply, net::http_response &&response)
+void caller_server::answer(net::http_responder &reply, net::http_response &&response)
 {
     reply.send(response, isDraining_);
 }
 
-void caller_server::refuse(net::http_reply &reply, error_kind kind, std::string_view problem,
+void caller_server::refuse(net::http_responder &reply, error_kind kind, std::string_view problem,
                            const core::request_id &id)
 {
     ++counts_.errors[kind];
@@ -211,7 +211,7 @@
            jsonResponse(core::answerOf(kind).httpStatus, wire::errorBody(kind, problem, id)));
 }
 
-void caller_server::onRequest(net::http_request &&request, net::http_reply &&reply)
+void caller_server::onRequest(net::http_request &&request, net::http_responder &&reply)
 {
     if (request.target == "/healthz") {
         answer(reply, { 200, {}, "ok\n" });
@@ -225,7 +225,7 @@
     }
 }
 
-void caller_server::handleStatement(const net::http_request &request, net::http_reply &&reply)
+void caller_server::handleStatement(const net::http_request &request, net::http_responder &&reply)
 {
     const core::request_id id{ random_(), random_() };
     route_match match;
@@ -271,7 +271,7 @@
     if (entry == openRequests_.end())
         return;
     count(entry->second, reply);
-    net::http_reply http = std::move(entry->second.reply);
+    net::http_responder http = std::move(entry->second.reply);
     openRequests_.erase(entry);
     openRequestCount_ = openRequests_.size();
     net::http_response response;
--- a/src/daemon/peer_messenger.cpp
+++ b/src/daemon/peer_messenger.cpp
@@ -43,7 +43,9 @@
                          linkStates_[link].isOutgoing = !isIncoming;
                      },
                      [this](net::link_id link, std::string_view frame) { onFrame(link, frame); },
-                     [this](net::link_id link, const net::link_end &end) { onClose(link, end); } })
+                     [this](net::link_id link, const net::link_closure &end) {
+                         onClose(link, end);
+                     } })
 { }
 
 std::error_code peer_messenger::start()
@@ -111,13 +113,13 @@
     eventSink_(datagram_received{ from, std::move(*body), now });
 }
 
-net::link_id peer_messenger::linkTo(const std::string &address)
+net::link_id peer_messenger::findOrOpenLink(const std::string &address)
 {
     net::endpoint peer;
     bool isNew = false;
     if (net::parseEndpoint(address, peer))
         return 0;
-    const net::link_id link = links_.linkTo(peer, isNew);
+    const net::link_id link = links_.findOrOpenLink(peer, isNew);
     if (link != 0 && isNew) {
         linkStates_[link].isOutgoing = true;
         sendHello(link);
@@ -140,7 +142,7 @@
 
 void peer_messenger::perform(const send_forward &command)
 {
-    const net::link_id link = linkTo(command.address);
+    const net::link_id link = findOrOpenLink(command.address);
     const auto message = wire::makeForwardRequest(command.request, net::currentTime());
     if (link == 0
         || !sendFrame(link, command.handle, peer_kind::ForwardRequest, command.receiver, message)) {
@@ -178,7 +180,7 @@
 
 void peer_messenger::perform(const fetch_configuration &command)
 {
-    const net::link_id link = linkTo(command.address);
+    const net::link_id link = findOrOpenLink(command.address);
     const wire::configuration_request message{ command.version };
     if (link == 0 || !sendFrame(link, 0, peer_kind::ConfigurationRequest, 0, message)) {
         eventSink_(configuration_received{ command.peer, command.version, {} });
@@ -320,7 +322,7 @@
     state.configurationParts = {};
 }
 
-void peer_messenger::onClose(net::link_id link, const net::link_end &end)
+void peer_messenger::onClose(net::link_id link, const net::link_closure &end)
 {
     const auto entry = linkStates_.find(link);
     if (entry == linkStates_.end())
@@ -336,9 +338,9 @@
             continue;
         handlesByRequest_.erase(forward->second.request);
         pendingForwards_.erase(forward);
-        const auto &unwritten = end.unwritten;
+        const auto &unsentFrames = end.unsentFrames;
         const bool wasWritten =
-                std::find(unwritten.begin(), unwritten.end(), handle) == unwritten.end();
+                std::find(unsentFrames.begin(), unsentFrames.end(), handle) == unsentFrames.end();
         eventSink_(forward_failed{ handle, wasWritten });
     }
 }
--- a/src/daemon/relay_server.cpp
+++ b/src/daemon/relay_server.cpp
@@ -92,7 +92,7 @@
                     [this, id] { onBorrowerDisconnected(id); });
             const auto connection = entry->connection;
             borrowers_.emplace(id, std::move(entry));
-            connection->start(net::silence_check::Short);
+            connection->start(net::keepalive_profile::Short);
         }
         accept();
     });
@@ -116,7 +116,7 @@
     if (line == adapter::terminateKeyword()) {
         const auto connection = source.connection;
         onBorrowerDisconnected(id);
-        connection->closeGently();
+        connection->closeGracefully();
         return;
     }
     std::string message(line);
@@ -192,7 +192,7 @@
     startup.argument = workspace;
     startup.id = memberId;
     connection->send(adapter::encodeCommand(startup));
-    connection->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
+    connection->connect(tcp::endpoint(peer.address, peer.port), net::keepalive_profile::Short);
 }
 
 void relay_server::lend(proxy::borrower_id borrowerId, proxy::pooled_id pooledId)
@@ -319,7 +319,7 @@
     pools_[member].connections.erase(id);
     if (isGraceful) {
         connection->send(std::string(adapter::farewell()));
-        connection->closeGently();
+        connection->closeGracefully();
     } else {
         connection->close();
     }
@@ -340,7 +340,7 @@
     proxy::reply answer;
     answer.code = code;
     found->second->connection->send(adapter::encodeReply(answer, true));
-    found->second->connection->closeGently();
+    found->second->connection->closeGracefully();
     borrowers_.erase(found);
 }
 
--- a/src/daemon/session_gateway.cpp
+++ b/src/daemon/session_gateway.cpp
@@ -188,7 +188,7 @@
                 });
         const auto connection = entry->connection;
         callers_.emplace(id, std::move(entry));
-        connection->start(net::silence_check::Long);
+        connection->start(net::keepalive_profile::Long);
         accept();
     });
 }
@@ -327,7 +327,7 @@
     const auto found = callers_.find(action.session);
     if (found == callers_.end())
         return;
-    found->second->connection->closeGently();
+    found->second->connection->closeGracefully();
     callers_.erase(found);
 }
 
@@ -356,7 +356,7 @@
         boost::asio::post(context_, onClosed);
         return;
     }
-    connection->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
+    connection->connect(tcp::endpoint(peer.address, peer.port), net::keepalive_profile::Short);
 }
 
 std::shared_ptr<net::line_connection> session_gateway::relayConnectionTo(const std::string &node,
@@ -366,7 +366,7 @@
     std::shared_ptr<net::line_connection> connection;
     if (available.empty()) {
         connection = net::line_connection::create(context_, adapter::maxMessageBytes);
-        connection->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
+        connection->connect(tcp::endpoint(peer.address, peer.port), net::keepalive_profile::Short);
     } else {
         connection = std::move(available.back());
         available.pop_back();
@@ -384,7 +384,7 @@
                       [raw](const auto &each) { return each.get() == raw; });
     };
     spare->setHandlers([](std::string_view) {}, removeSpare);
-    spare->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
+    spare->connect(tcp::endpoint(peer.address, peer.port), net::keepalive_profile::Short);
     spareConnections_[node].push_back(spare);
 }
 
@@ -407,7 +407,7 @@
     const auto connection = found->second->connection;
     if (action.graceful) {
         connection->send(std::string(adapter::farewell()));
-        connection->closeGently();
+        connection->closeGracefully();
     } else {
         connection->close();
     }
--- a/src/daemon/session_process.cpp
+++ b/src/daemon/session_process.cpp
@@ -30,7 +30,7 @@
 net::http_server_options serverOptions(const net::endpoint &address)
 {
     net::http_server_options options;
-    options.listenAt = address;
+    options.listenAddress = address;
     options.maxBody = maxStatusBodyBytes;
     options.maxConnections = maxStatusConnections;
     return options;
@@ -45,18 +45,19 @@
         , settingsFile_(std::move(file))
         , log_(sink)
         , gateway_(context_, values, log_)
-        , readinessServer_(
-                  context_, serverOptions(values.readyAddress),
-                  [this](net::http_request &&, net::connection_number, net::http_reply &&reply) {
-                      net::http_response response;
-                      constexpr int ok = 200;
-                      constexpr int unavailable = 503;
-                      response.status = gateway_.isReady() ? ok : unavailable;
-                      reply.send(response);
-                  })
+        , readinessServer_(context_, serverOptions(values.readyAddress),
+                           [this](net::http_request &&, net::connection_number,
+                                  net::http_responder &&reply) {
+                               net::http_response response;
+                               constexpr int ok = 200;
+                               constexpr int unavailable = 503;
+                               response.status = gateway_.isReady() ? ok : unavailable;
+                               reply.send(response);
+                           })
         , metricsServer_(
                   context_, serverOptions({ values.readyAddress.address, values.metricsPort }),
-                  [this](net::http_request &&, net::connection_number, net::http_reply &&reply) {
+                  [this](net::http_request &&, net::connection_number,
+                         net::http_responder &&reply) {
                       net::http_response response;
                       response.status = 200;
                       response.headers.emplace_back("Content-Type", "text/plain; version=0.0.4");
