--- a/include/fuchsiagw/daemon/admin.hpp
+++ b/include/fuchsiagw/daemon/admin.hpp
@@ -60,8 +60,9 @@
     [[nodiscard]] metrics collect();
 
 private:
-    void onRequest(net::http_request &&request, net::http_reply &&reply);
-    [[nodiscard]] bool answerOpenRoute(const net::http_request &request, net::http_reply &reply);
+    void onRequest(net::http_request &&request, net::http_responder &&reply);
+    [[nodiscard]] bool answerOpenRoute(const net::http_request &request,
+                                       net::http_responder &reply);
     void tick();
 
     const settings &settings_;
@@ -71,7 +72,7 @@
     boost::asio::steady_timer timer_;
     rate_meter controlRate_;
     double controlBytesPerSecond_ = 0;
-    std::unordered_map<std::uint64_t, net::http_reply> open_; ///< by ticket
+    std::unordered_map<std::uint64_t, net::http_responder> open_; ///< by ticket
     std::uint64_t nextTicket_ = 1;
 };
 
--- a/include/fuchsiagw/daemon/front.hpp
+++ b/include/fuchsiagw/daemon/front.hpp
@@ -55,7 +55,7 @@
 private:
     struct open_request
     {
-        net::http_reply reply;
+        net::http_responder reply;
         core::time_point arrivedAt;
         core::statement_kind kind = core::statement_kind::Read;
         bool mayUseReplica = false;
@@ -63,10 +63,10 @@
 
     void publish();
     void count(const open_request &request, const core::caller_reply &reply);
-    void onRequest(net::http_request &&request, net::http_reply &&reply);
-    void handleStatement(const net::http_request &request, net::http_reply &&reply);
-    void answer(net::http_reply &reply, net::http_response &&response);
-    void refuse(net::http_reply &reply, core::error_kind kind, std::string_view problem,
+    void onRequest(net::http_request &&request, net::http_responder &&reply);
+    void handleStatement(const net::http_request &request, net::http_responder &&reply);
+    void answer(net::http_responder &reply, net::http_response &&response);
+    void refuse(net::http_responder &reply, core::error_kind kind, std::string_view problem,
                 const core::request_id &id);
 
     settings settings_;
--- a/include/fuchsiagw/daemon/peer_duty.hpp
+++ b/include/fuchsiagw/daemon/peer_duty.hpp
@@ -167,7 +167,7 @@
     void onForwardPart(net::link_id link, std::string_view body);
     void onConfigurationRequest(net::link_id link, std::string_view body);
     void onConfigurationPart(net::link_id link, std::string_view body);
-    void onClose(net::link_id link, const net::link_end &end);
+    void onClose(net::link_id link, const net::link_closure &end);
 
     void perform(const send_datagram &order);
     void perform(const send_forward &order);
@@ -176,7 +176,7 @@
     void perform(const send_configuration &order);
 
     /// @return 0 if no link can be had now
-    [[nodiscard]] net::link_id linkTo(const std::string &address);
+    [[nodiscard]] net::link_id findOrOpenLink(const std::string &address);
     template <typename type>
     [[nodiscard]] bool sendFrame(net::link_id link, net::frame_tag tag, wire::peer_kind kind,
                                  core::incarnation_id receiver, const type &body);
--- a/include/fuchsiagw/detail/tcp_connection.hpp
+++ b/include/fuchsiagw/detail/tcp_connection.hpp
@@ -23,7 +23,7 @@
 {
     std::function<void()> onOpen;
     std::function<void(std::string_view)> onFrame;
-    std::function<void(const net::link_end &)> onClosed; ///< called once
+    std::function<void(const net::link_closure &)> onClosed; ///< called once
 };
 
 /// Reads and writes frames: 4 bytes of length, most significant first, then the content. A frame
--- a/include/fuchsiagw/net/http_server.hpp
+++ b/include/fuchsiagw/net/http_server.hpp
@@ -21,14 +21,14 @@
 /// @brief The right to answer one request, once, from any thread.
 ///
 /// A request whose reply is destroyed unused has its connection closed by the server's timeout.
-class http_reply
+class http_responder
 {
 public:
     /// Sends the response; @p close ends the connection after it.
     using sender = std::function<void(const http_response &, bool close)>;
 
-    http_reply() = default;
-    explicit http_reply(sender send)
+    http_responder() = default;
+    explicit http_responder(sender send)
         : send_(std::move(send))
     { }
 
@@ -46,7 +46,7 @@
 
 struct http_server_options
 {
-    endpoint listenAt; ///< port 0: the kernel chooses
+    endpoint listenAddress; ///< port 0: the kernel chooses
     std::size_t maxBody = 0; ///< bytes; a larger body closes the connection
     std::chrono::seconds idleLimit{ 60 }; ///< for a connection that sends nothing, or a slow caller
     std::chrono::seconds handleLimit{ 75 }; ///< for the handler of a request
@@ -58,7 +58,7 @@
 {
 public:
     using request_handler = std::function<void(http_request &&request, connection_number connection,
-                                               http_reply &&reply)>;
+                                               http_responder &&reply)>;
     using closed_handler = std::function<void(connection_number connection)>;
 
     http_server(boost::asio::io_context &context, http_server_options options,
--- a/include/fuchsiagw/net/line_connection.hpp
+++ b/include/fuchsiagw/net/line_connection.hpp
@@ -14,13 +14,13 @@
 namespace fuchsiagw::net {
 
 /// How soon a connection whose far end is gone is noticed while nothing is sent.
-enum class silence_check {
+enum class keepalive_profile {
     Short, ///< about three seconds
     Long, ///< about half a minute
 };
 
 /// @brief Sets keep-alive probes and the limit of unacknowledged data.
-void watchSilence(boost::asio::ip::tcp::socket &socket, silence_check check);
+void configureKeepalive(boost::asio::ip::tcp::socket &socket, keepalive_profile check);
 
 /// Lives on one context's thread. Lines end with LF; a CR before it is removed.
 /// Invariant: no handler is called after close(), nor after the closed handler. The handlers live
@@ -40,9 +40,9 @@
     void setHandlers(line_handler onLine, closed_handler onClosed);
 
     /// @brief Connects and then reads; what is sent before is kept until then.
-    void connect(const boost::asio::ip::tcp::endpoint &peer, silence_check check);
+    void connect(const boost::asio::ip::tcp::endpoint &peer, keepalive_profile check);
     /// @brief Reads from a connection that was accepted.
-    void start(silence_check check);
+    void start(keepalive_profile check);
 
     void send(std::string &&text);
 
@@ -50,7 +50,7 @@
     void close();
     /// @brief Sends what is queued, ends the sending side and closes once the peer has too.
     /// If nothing was queued, input that still comes is answered with a reset.
-    void closeGently();
+    void closeGracefully();
 
     [[nodiscard]] std::size_t queuedBytes() const { return queue_.size() + writing_.size(); }
 
--- a/include/fuchsiagw/net/pending_requests.hpp
+++ b/include/fuchsiagw/net/pending_requests.hpp
@@ -68,7 +68,7 @@
 
     /// @brief Removes the requests of a link that has closed.
     /// @complexity linear in the number of requests
-    [[nodiscard]] std::vector<entry> takeLink(link_id link)
+    [[nodiscard]] std::vector<entry> takeByLink(link_id link)
     {
         std::vector<entry> taken;
         for (auto each = entries_.begin(); each != entries_.end();) {
--- a/include/fuchsiagw/net/tcp_link.hpp
+++ b/include/fuchsiagw/net/tcp_link.hpp
@@ -47,10 +47,10 @@
 };
 
 /// How a link ended.
-struct link_end
+struct link_closure
 {
     std::error_code cause; ///< timed_out after silence, operation_canceled after close()
-    std::vector<frame_tag> unwritten; ///< no byte of these frames has left the process
+    std::vector<frame_tag> unsentFrames; ///< no byte of these frames has left the process
 };
 
 struct tcp_handlers
@@ -59,8 +59,8 @@
     std::function<void(link_id, const endpoint &, bool isIncoming)> onOpen;
     /// The frame is valid during the call. It is safe to send and to close in it.
     std::function<void(link_id, std::string_view)> onFrame;
-    /// Called once for each link that was opened by linkTo() or reported by onOpen.
-    std::function<void(link_id, const link_end &)> onClose;
+    /// Called once for each link that was opened by findOrOpenLink() or reported by onOpen.
+    std::function<void(link_id, const link_closure &)> onClose;
 };
 
 struct tcp_counters
@@ -97,7 +97,7 @@
     /// @param[out] isNew the caller should send its first message before anything else
     /// @return 0 within retryAfter of a failed attempt, or if there are too many links
     /// @complexity logarithmic in the number of links
-    [[nodiscard]] link_id linkTo(const endpoint &to, bool &isNew);
+    [[nodiscard]] link_id findOrOpenLink(const endpoint &to, bool &isNew);
 
     /// @brief Queues a frame; frames wait while the link is being opened.
     /// @return false if the link is gone or its queue is full; nothing is then sent
--- a/src/daemon/admin.cpp
+++ b/src/daemon/admin.cpp
@@ -36,7 +36,7 @@
 net::http_server_options serverOptions(const settings &values)
 {
     net::http_server_options options;
-    options.listenAt = values.adminAddress;
+    options.listenAddress = values.adminAddress;
     options.maxBody = maxBody;
     options.maxConnections = maxConnections;
     return options;
@@ -64,7 +64,8 @@
     , log_(log)
     , inputs_(std::move(inputs))
     , server_(context, serverOptions(values),
-              [this](net::http_request &&request, net::connection_number, net::http_reply &&reply) {
+              [this](net::http_request &&request, net::connection_number,
+                     net::http_responder &&reply) {
                   onRequest(std::move(request), std::move(reply));
               })
     , timer_(context)
@@ -103,7 +104,7 @@
     return all;
 }
 
-bool admin::answerOpenRoute(const net::http_request &request, net::http_reply &reply)
+bool admin::answerOpenRoute(const net::http_request &request, net::http_responder &reply)
 {
     const std::string_view path =
             std::string_view(request.target).substr(0, request.target.find('?'));
@@ -124,7 +125,7 @@
     return true;
 }
 
-void admin::onRequest(net::http_request &&request, net::http_reply &&reply)
+void admin::onRequest(net::http_request &&request, net::http_responder &&reply)
 {
     if (answerOpenRoute(request, reply))
         return;
--- a/src/daemon/front.cpp
+++ b/src/daemon/front.cpp
@@ -132,14 +132,14 @@
               context,
               [&values] {
                   net::http_server_options options;
-                  options.listenAt = values.callerAddress;
+                  options.listenAddress = values.callerAddress;
                   // Beyond the bound of a body, so that a body slightly too large gets an answer.
                   options.maxBody = 2 * maxBody;
                   options.maxConnections = values.callerConnections;
                   return options;
               }(),
               [this](net::http_request &&request, net::connection_number connection,
-                     net::http_reply &&reply) {
+                     net::http_responder &&reply) {
                   connections_.insert(connection);
                   onRequest(std::move(request), std::move(reply));
               },
@@ -196,12 +196,12 @@
     }
 }
 
-void front::answer(net::http_reply &reply, net::http_response &&response)
+void front::answer(net::http_responder &reply, net::http_response &&response)
 {
     reply.send(response, isDraining_);
 }
 
-void front::refuse(net::http_reply &reply, error_kind kind, std::string_view problem,
+void front::refuse(net::http_responder &reply, error_kind kind, std::string_view problem,
                    const core::request_id &id)
 {
     ++counts_.errors[kind];
@@ -209,7 +209,7 @@
            jsonResponse(core::answerOf(kind).httpStatus, wire::errorBody(kind, problem, id)));
 }
 
-void front::onRequest(net::http_request &&request, net::http_reply &&reply)
+void front::onRequest(net::http_request &&request, net::http_responder &&reply)
 {
     if (request.target == "/healthz") {
         answer(reply, { 200, {}, "ok\n" });
@@ -223,7 +223,7 @@
     }
 }
 
-void front::handleStatement(const net::http_request &request, net::http_reply &&reply)
+void front::handleStatement(const net::http_request &request, net::http_responder &&reply)
 {
     const core::request_id id{ random_(), random_() };
     route_match match;
@@ -269,7 +269,7 @@
     if (entry == open_.end())
         return;
     count(entry->second, reply);
-    net::http_reply http = std::move(entry->second.reply);
+    net::http_responder http = std::move(entry->second.reply);
     open_.erase(entry);
     waiting_ = open_.size();
     net::http_response response;
--- a/src/daemon/peer_duty.cpp
+++ b/src/daemon/peer_duty.cpp
@@ -43,7 +43,9 @@
                          states_[link].isOpener = !isIncoming;
                      },
                      [this](net::link_id link, std::string_view frame) { onFrame(link, frame); },
-                     [this](net::link_id link, const net::link_end &end) { onClose(link, end); } })
+                     [this](net::link_id link, const net::link_closure &end) {
+                         onClose(link, end);
+                     } })
 { }
 
 std::error_code peer_duty::start()
@@ -111,13 +113,13 @@
     sink_(peer_message{ from, std::move(*body), now });
 }
 
-net::link_id peer_duty::linkTo(const std::string &address)
+net::link_id peer_duty::findOrOpenLink(const std::string &address)
 {
     net::endpoint peer;
     bool isNew = false;
     if (net::parseEndpoint(address, peer))
         return 0;
-    const net::link_id link = links_.linkTo(peer, isNew);
+    const net::link_id link = links_.findOrOpenLink(peer, isNew);
     if (link != 0 && isNew) {
         states_[link].isOpener = true;
         sayHello(link);
@@ -140,7 +142,7 @@
 
 void peer_duty::perform(const send_forward &order)
 {
-    const net::link_id link = linkTo(order.address);
+    const net::link_id link = findOrOpenLink(order.address);
     const auto message = wire::toForward(order.request, net::currentTime());
     if (link == 0
         || !sendFrame(link, order.handle, peer_kind::ForwardRequest, order.receiver, message)) {
@@ -177,7 +179,7 @@
 
 void peer_duty::perform(const fetch_configuration &order)
 {
-    const net::link_id link = linkTo(order.address);
+    const net::link_id link = findOrOpenLink(order.address);
     const wire::configuration_request message{ order.version };
     if (link == 0 || !sendFrame(link, 0, peer_kind::ConfigurationRequest, 0, message)) {
         sink_(configuration_came{ order.peer, order.version, {} });
@@ -315,7 +317,7 @@
     state.configuration = {};
 }
 
-void peer_duty::onClose(net::link_id link, const net::link_end &end)
+void peer_duty::onClose(net::link_id link, const net::link_closure &end)
 {
     const auto entry = states_.find(link);
     if (entry == states_.end())
@@ -330,9 +332,9 @@
             continue;
         handles_.erase(forward->second.request);
         forwards_.erase(forward);
-        const auto &unwritten = end.unwritten;
+        const auto &unsentFrames = end.unsentFrames;
         const bool wasWritten =
-                std::find(unwritten.begin(), unwritten.end(), handle) == unwritten.end();
+                std::find(unsentFrames.begin(), unsentFrames.end(), handle) == unsentFrames.end();
         sink_(forward_lost{ handle, wasWritten });
     }
 }
--- a/src/daemon/relay_server.cpp
+++ b/src/daemon/relay_server.cpp
@@ -91,7 +91,7 @@
                     [this, id] { onBorrowerGone(id); });
             const auto connection = entry->connection;
             borrowers_.emplace(id, std::move(entry));
-            connection->start(net::silence_check::Short);
+            connection->start(net::keepalive_profile::Short);
         }
         accept();
     });
@@ -115,7 +115,7 @@
     if (line == adapter::farewellLine()) {
         const auto connection = who.connection;
         onBorrowerGone(id);
-        connection->closeGently();
+        connection->closeGracefully();
         return;
     }
     std::string text(line);
@@ -191,7 +191,7 @@
     startup.argument = workspace;
     startup.id = memberId;
     connection->send(adapter::encodeCommand(startup));
-    connection->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
+    connection->connect(tcp::endpoint(peer.address, peer.port), net::keepalive_profile::Short);
 }
 
 void relay_server::lend(proxy::borrower_id borrowerId, proxy::pooled_id pooledId)
@@ -317,7 +317,7 @@
     pools_[member].connections.erase(id);
     if (graceful) {
         connection->send(std::string(adapter::farewell()));
-        connection->closeGently();
+        connection->closeGracefully();
     } else {
         connection->close();
     }
@@ -338,7 +338,7 @@
     proxy::reply answer;
     answer.code = code;
     found->second->connection->send(adapter::encodeReply(answer, true));
-    found->second->connection->closeGently();
+    found->second->connection->closeGracefully();
     borrowers_.erase(found);
 }
 
--- a/src/daemon/session_gateway.cpp
+++ b/src/daemon/session_gateway.cpp
@@ -184,7 +184,7 @@
                 });
         const auto connection = entry->connection;
         callers_.emplace(id, std::move(entry));
-        connection->start(net::silence_check::Long);
+        connection->start(net::keepalive_profile::Long);
         accept();
     });
 }
@@ -322,7 +322,7 @@
     const auto found = callers_.find(order.session);
     if (found == callers_.end())
         return;
-    found->second->connection->closeGently();
+    found->second->connection->closeGracefully();
     callers_.erase(found);
 }
 
@@ -350,7 +350,7 @@
         boost::asio::post(context_, closed);
         return;
     }
-    connection->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
+    connection->connect(tcp::endpoint(peer.address, peer.port), net::keepalive_profile::Short);
 }
 
 std::shared_ptr<net::line_connection> session_gateway::connectionTo(const std::string &node,
@@ -360,7 +360,7 @@
     std::shared_ptr<net::line_connection> taken;
     if (spares.empty()) {
         taken = net::line_connection::create(context_, adapter::maxMessageBytes);
-        taken->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
+        taken->connect(tcp::endpoint(peer.address, peer.port), net::keepalive_profile::Short);
     } else {
         taken = std::move(spares.back());
         spares.pop_back();
@@ -377,7 +377,7 @@
         std::erase_if(spares_[node], [raw](const auto &each) { return each.get() == raw; });
     };
     spare->setHandlers([](std::string_view) {}, drop);
-    spare->connect(tcp::endpoint(peer.address, peer.port), net::silence_check::Short);
+    spare->connect(tcp::endpoint(peer.address, peer.port), net::keepalive_profile::Short);
     spares_[node].push_back(spare);
 }
 
@@ -400,7 +400,7 @@
     const auto connection = found->second->connection;
     if (order.graceful) {
         connection->send(std::string(adapter::farewell()));
-        connection->closeGently();
+        connection->closeGracefully();
     } else {
         connection->close();
     }
--- a/src/daemon/session_process.cpp
+++ b/src/daemon/session_process.cpp
@@ -29,7 +29,7 @@
 net::http_server_options serverAt(const net::endpoint &address)
 {
     net::http_server_options options;
-    options.listenAt = address;
+    options.listenAddress = address;
     options.maxBody = maxStatusBody;
     options.maxConnections = statusConnections;
     return options;
@@ -45,7 +45,7 @@
         , log_(sink)
         , gateway_(context_, values, log_)
         , ready_(context_, serverAt(values.readyAddress),
-                 [this](net::http_request &&, net::connection_number, net::http_reply &&reply) {
+                 [this](net::http_request &&, net::connection_number, net::http_responder &&reply) {
                      net::http_response response;
                      constexpr int ok = 200;
                      constexpr int unavailable = 503;
@@ -53,7 +53,8 @@
                      reply.send(response);
                  })
         , metrics_(context_, serverAt({ values.readyAddress.address, values.metricsPort }),
-                   [this](net::http_request &&, net::connection_number, net::http_reply &&reply) {
+                   [this](net::http_request &&, net::connection_number,
+                          net::http_responder &&reply) {
                        net::http_response response;
                        response.status = 200;
                        response.headers.emplace_back("Content-Type", "text/plain; version=0.0.4");
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -84,7 +84,7 @@
                                               const boost::system::error_code &error) {
         implementation &state = *keep->implementation_;
         if (!error) {
-            watchSilence(state.stream.socket(), silence_check::Short);
+            configureKeepalive(state.stream.socket(), keepalive_profile::Short);
             state.open = true;
             state.stream.expires_never();
             keep->watchIdle();
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -82,7 +82,7 @@
         copy.target = header.request_target();
         copy.headers = copyHeaders(header);
         copy.body = request->body();
-        http_reply reply([request](const http_response &response, bool close) {
+        http_responder reply([request](const http_response &response, bool close) {
             writeResponse(request, response, close);
         });
         onRequest(std::move(copy), request->connection_id(), std::move(reply));
@@ -109,8 +109,8 @@
         self.server.emplace(
                 restinio::external_io_context(self.context),
                 restinio::server_settings_t<server_traits>{}
-                        .address(self.options.listenAt.address)
-                        .port(self.options.listenAt.port)
+                        .address(self.options.listenAddress.address)
+                        .port(self.options.listenAddress.port)
                         .buffer_size(bufferSize)
                         .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}
                                                           .max_url_size(maxHeaderValue)
--- a/src/net/line_connection.cpp
+++ b/src/net/line_connection.cpp
@@ -43,9 +43,9 @@
 
 } // namespace
 
-void watchSilence(tcp::socket &socket, silence_check check)
+void configureKeepalive(tcp::socket &socket, keepalive_profile check)
 {
-    const silence_times &times = check == silence_check::Short ? shortTimes : longTimes;
+    const silence_times &times = check == keepalive_profile::Short ? shortTimes : longTimes;
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
@@ -77,7 +77,7 @@
     onClosed_ = std::move(onClosed);
 }
 
-void line_connection::connect(const tcp::endpoint &peer, silence_check check)
+void line_connection::connect(const tcp::endpoint &peer, keepalive_profile check)
 {
     socket_.async_connect(
             peer, [keep = shared_from_this(), check](const boost::system::error_code &error) {
@@ -90,10 +90,10 @@
             });
 }
 
-void line_connection::start(silence_check check)
+void line_connection::start(keepalive_profile check)
 {
     open_ = true;
-    watchSilence(socket_, check);
+    configureKeepalive(socket_, check);
     input_.resize(firstInputBytes);
     read();
     write();
@@ -219,7 +219,7 @@
     socket_.close(ignored);
 }
 
-void line_connection::closeGently()
+void line_connection::closeGracefully()
 {
     if (closed_ || closing_)
         return;
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -265,10 +265,10 @@
     if (!isClosing_ || pending_ > 0 || isReported_)
         return;
     isReported_ = true;
-    net::link_end end{ cause_, std::move(unwritten_) };
+    net::link_closure end{ cause_, std::move(unwritten_) };
     for (const frame &each : queue_) {
         if (each.tag != 0)
-            end.unwritten.push_back(each.tag);
+            end.unsentFrames.push_back(each.tag);
     }
     queue_.clear();
     events_.onClosed(end);
--- a/src/net/tcp_link.cpp
+++ b/src/net/tcp_link.cpp
@@ -65,7 +65,7 @@
             if (const auto self = weak.lock(); self && !self->isShut)
                 self->handlers.onFrame(id, frame);
         };
-        events.onClosed = [weak, id](const link_end &end) {
+        events.onClosed = [weak, id](const link_closure &end) {
             if (const auto self = weak.lock())
                 self->onClosed(id, end);
         };
@@ -86,7 +86,7 @@
         handlers.onOpen(id, { peer.address(), peer.port() }, entry->second->isIncoming());
     }
 
-    void onClosed(link_id id, const link_end &end)
+    void onClosed(link_id id, const link_closure &end)
     {
         const auto entry = links.find(id);
         if (isShut || entry == links.end())
@@ -217,7 +217,7 @@
     return { address.address(), address.port() };
 }
 
-link_id tcp_links::linkTo(const endpoint &to, bool &isNew)
+link_id tcp_links::findOrOpenLink(const endpoint &to, bool &isNew)
 {
     isNew = false;
     const tcp::endpoint address(to.address, to.port);
--- a/tests/unit-fuzz.cpp
+++ b/tests/unit-fuzz.cpp
@@ -278,7 +278,7 @@
                            [](net::link_id, std::string_view frame) {
                                CHECK_TRUE(!frame.empty() && frame.size() <= 4'096);
                            },
-                           [&](net::link_id, const net::link_end &) { ++ended; } });
+                           [&](net::link_id, const net::link_closure &) { ++ended; } });
     CHECK_FALSE(links.listen({ loopback, 0 }));
     const std::vector<std::string> samples{ std::string("\0\0\0\3abc\0\0\0\0", 11),
                                             std::string("\0\0\x10\0", 4) + std::string(4'096, 'x'),
--- a/tests/unit-http.cpp
+++ b/tests/unit-http.cpp
@@ -30,7 +30,7 @@
 {
     boost::asio::io_context context;
     std::vector<net::connection_number> closed;
-    std::vector<net::http_reply> unanswered;
+    std::vector<net::http_responder> unanswered;
 
     void serve(net::http_server & server)
     {
@@ -40,7 +40,7 @@
     net::http_server_options options() const
     {
         net::http_server_options result;
-        result.listenAt = loopback(0);
+        result.listenAddress = loopback(0);
         result.maxBody = 1024;
         result.maxConnections = 10;
         return result;
@@ -65,7 +65,7 @@
 TEST(http, carriesHeadersBodyAndStatusBothWays)
 {
     net::http_server server(
-            context, options(), [](net::http_request &&request, auto, net::http_reply &&reply) {
+            context, options(), [](net::http_request &&request, auto, net::http_responder &&reply) {
                 const std::string header(net::findHeader(request.headers, "x-test"));
                 reply.send({ 201,
                              { { "X-Back", header } },
@@ -94,7 +94,7 @@
 // Guards against waiting for ever on a connection that went silent.
 TEST(http, silentServerEndsAtTheDeadlineAsSent)
 {
-    net::http_server server(context, options(), [this](auto &&, auto, net::http_reply &&reply) {
+    net::http_server server(context, options(), [this](auto &&, auto, net::http_responder &&reply) {
         unanswered.push_back(std::move(reply));
     });
     serve(server);
@@ -110,7 +110,7 @@
     int served = 0;
     net::http_server server(
             context, options(),
-            [&](auto &&, auto, net::http_reply &&reply) {
+            [&](auto &&, auto, net::http_responder &&reply) {
                 ++served;
                 reply.send({ 200, {}, "x" }, true);
             },
@@ -130,7 +130,7 @@
     net::http_server first(context, options(), [](auto &&, auto, auto &&) {});
     serve(first);
     auto taken = options();
-    taken.listenAt = loopback(first.port());
+    taken.listenAddress = loopback(first.port());
     net::http_server second(context, taken, [](auto &&, auto, auto &&) {});
     CHECK_TRUE(static_cast<bool>(second.start()));
 }
--- a/tests/unit-line-connection.cpp
+++ b/tests/unit-line-connection.cpp
@@ -31,7 +31,7 @@
         caller.connect(acceptor.local_endpoint());
         daemon = net::line_connection::create(acceptor.accept(), 1024);
         daemon->setHandlers([this](std::string_view) { ++lines; }, [] {});
-        daemon->start(net::silence_check::Long);
+        daemon->start(net::keepalive_profile::Long);
     }
 
     /// @return the bytes up to the end of the daemon's sending side
@@ -68,7 +68,7 @@
 TEST(line_connection, requestThatCrossesTheCloseIsReset)
 {
     connected_pair pair;
-    pair.daemon->closeGently();
+    pair.daemon->closeGracefully();
     STRCMP_EQUAL("", pair.readToEnd().c_str());
     CHECK_FALSE(pair.isReset());
     pair.send("QUERY 1 READ a\r\n");
@@ -81,7 +81,7 @@
 {
     connected_pair pair;
     pair.daemon->send("ERROR NOAUTH\r\n");
-    pair.daemon->closeGently();
+    pair.daemon->closeGracefully();
     pair.send("QUERY 1 READ a\r\n");
     CHECK_FALSE(pair.isReset());
     STRCMP_EQUAL("ERROR NOAUTH\r\n", pair.readToEnd().c_str());
--- a/tests/unit-tcp-link.cpp
+++ b/tests/unit-tcp-link.cpp
@@ -29,7 +29,7 @@
 {
     std::vector<link_id> opened;
     std::vector<std::string> frames;
-    std::map<link_id, net::link_end> ended;
+    std::map<link_id, net::link_closure> ended;
     bool shallTrust = true;
     bool shallEcho = false;
     tcp_links links;
@@ -46,7 +46,7 @@
                       if (shallEcho && !links.send(link, 0, frame))
                           shallEcho = false;
                   },
-                  [this](link_id link, const net::link_end &end) {
+                  [this](link_id link, const net::link_closure &end) {
                       CHECK_TRUE(ended.emplace(link, end).second);
                   } })
     { }
@@ -87,12 +87,12 @@
     side client(context);
     server.shallEcho = true;
     CHECK_FALSE(server.links.listen(loopback));
-    const link_id link = client.links.linkTo(server.links.local(), isNew);
+    const link_id link = client.links.findOrOpenLink(server.links.local(), isNew);
     CHECK_TRUE(isNew);
     std::vector<std::string> sent;
     for (const std::size_t size : { 1UL, 3UL, 70'000UL, wire::maxFrameBytes, 2UL }) {
         sent.emplace_back(size, static_cast<char>('a' + sent.size()));
-        LONGS_EQUAL(link, client.links.linkTo(server.links.local(), isNew));
+        LONGS_EQUAL(link, client.links.findOrOpenLink(server.links.local(), isNew));
         CHECK_FALSE(isNew);
         CHECK_TRUE(client.links.send(link, 0, sent.back()));
     }
@@ -108,8 +108,8 @@
 {
     tcp::acceptor silent(context, tcp::endpoint(loopback.address, 0));
     side client(context, quick);
-    const link_id link =
-            client.links.linkTo({ loopback.address, silent.local_endpoint().port() }, isNew);
+    const link_id link = client.links.findOrOpenLink(
+            { loopback.address, silent.local_endpoint().port() }, isNew);
     CHECK_TRUE(client.links.send(link, 5, "request"));
     CHECK_TRUE(runUntil([&] { return !client.opened.empty(); }));
     const auto openedAt = std::chrono::steady_clock::now();
@@ -117,7 +117,7 @@
     CHECK_TRUE(std::chrono::steady_clock::now() - openedAt >= 250ms);
     CHECK_TRUE(client.ended[link].cause == std::errc::timed_out);
     // The frame was taken by the system, so it may have arrived.
-    LONGS_EQUAL(0, client.ended[link].unwritten.size());
+    LONGS_EQUAL(0, client.ended[link].unsentFrames.size());
 }
 
 // Guards against links that close although both ends are alive but have nothing to say.
@@ -128,7 +128,7 @@
     side server(context, quick);
     side client(context, quick);
     CHECK_FALSE(server.links.listen(loopback));
-    const link_id link = client.links.linkTo(server.links.local(), isNew);
+    const link_id link = client.links.findOrOpenLink(server.links.local(), isNew);
     CHECK_TRUE(client.links.send(link, 0, "one"));
     // At one heartbeat every 50 ms this takes longer than the allowed silence.
     CHECK_TRUE(runUntil([&] {
@@ -148,21 +148,21 @@
     side server(context, quick);
     side client(context, quick);
     CHECK_FALSE(server.links.listen(loopback));
-    const link_id link = client.links.linkTo(server.links.local(), isNew);
+    const link_id link = client.links.findOrOpenLink(server.links.local(), isNew);
     CHECK_TRUE(runUntil([&] { return client.ended.contains(link) && !server.ended.empty(); }));
     CHECK_TRUE(client.ended[link].cause == std::errc::operation_canceled);
     LONGS_EQUAL(0, client.links.size() + server.links.size());
 }
 
 // Guards against a false claim that a request was not sent, and against one that is lost without a
-// word: a frame counts as unwritten only if no byte of it was handed to the system.
+// word: a frame counts as unsentFrames only if no byte of it was handed to the system.
 TEST(tcp_link, unwrittenFramesAreReported)
 {
     tcp::acceptor acceptor(context, tcp::endpoint(loopback.address, 0));
     acceptor.set_option(boost::asio::socket_base::receive_buffer_size(4096));
     side client(context, quick);
-    const link_id link =
-            client.links.linkTo({ loopback.address, acceptor.local_endpoint().port() }, isNew);
+    const link_id link = client.links.findOrOpenLink(
+            { loopback.address, acceptor.local_endpoint().port() }, isNew);
     tcp::socket peer(context);
     acceptor.async_accept(peer, [](const boost::system::error_code &) {});
     // The peer never reads, so the system's buffers fill up.
@@ -171,7 +171,7 @@
         ++accepted;
     CHECK_TRUE(accepted >= 8);
     CHECK_TRUE(runUntil([&] { return client.ended.contains(link); }));
-    const std::vector<net::frame_tag> &unwritten = client.ended[link].unwritten;
+    const std::vector<net::frame_tag> &unsentFrames = client.ended[link].unsentFrames;
     std::size_t readable = 0;
     std::string buffer(1'048'576, '\0');
     boost::system::error_code error;
@@ -179,10 +179,10 @@
         readable += peer.read_some(boost::asio::buffer(buffer), error);
     const std::size_t frameSize = 4 + wire::maxFrameBytes / 2;
     const std::size_t arrived = (readable + frameSize - 1) / frameSize;
-    CHECK_FALSE(unwritten.empty());
-    CHECK_TRUE(accepted - unwritten.size() >= arrived);
-    for (std::size_t i = 0; i < unwritten.size(); ++i)
-        LONGS_EQUAL(accepted - unwritten.size() + 1 + i, unwritten[i]);
+    CHECK_FALSE(unsentFrames.empty());
+    CHECK_TRUE(accepted - unsentFrames.size() >= arrived);
+    for (std::size_t i = 0; i < unsentFrames.size(); ++i)
+        LONGS_EQUAL(accepted - unsentFrames.size() + 1 + i, unsentFrames[i]);
 }
 
 // Guards against requests to a dead instance that each start a connection of their own.
@@ -192,17 +192,17 @@
     const endpoint nobody{ loopback.address, gone.local_endpoint().port() };
     gone.close();
     side client(context);
-    const link_id link = client.links.linkTo(nobody, isNew);
+    const link_id link = client.links.findOrOpenLink(nobody, isNew);
     CHECK_TRUE(client.links.send(link, 7, "request"));
     CHECK_TRUE(runUntil([&] { return client.ended.contains(link); }));
-    CHECK_TRUE((client.ended[link].unwritten == std::vector<net::frame_tag>{ 7 }));
+    CHECK_TRUE((client.ended[link].unsentFrames == std::vector<net::frame_tag>{ 7 }));
     CHECK_TRUE(client.opened.empty());
-    LONGS_EQUAL(0, client.links.linkTo(nobody, isNew));
+    LONGS_EQUAL(0, client.links.findOrOpenLink(nobody, isNew));
     CHECK_FALSE(client.links.send(link, 8, "late"));
     link_id second = 0;
     CHECK_TRUE(runUntil([&] {
         if (second == 0)
-            second = client.links.linkTo(nobody, isNew);
+            second = client.links.findOrOpenLink(nobody, isNew);
         return second != 0;
     }));
     CHECK_TRUE(isNew && second != link);
@@ -243,7 +243,7 @@
     second.connect(to);
     CHECK_TRUE(runUntil([&] { return server.links.counters().refused == 1; }));
     LONGS_EQUAL(1, server.links.size());
-    LONGS_EQUAL(0, server.links.linkTo(server.links.local(), isNew));
+    LONGS_EQUAL(0, server.links.findOrOpenLink(server.links.local(), isNew));
     CHECK_TRUE(server.links.send(server.opened[0], 0, std::string(900, 'x')));
     CHECK_FALSE(server.links.send(server.opened[0], 0, std::string(100, 'x')));
     CHECK_FALSE(server.links.send(server.opened[0], 0, ""));
@@ -256,12 +256,12 @@
     CHECK_FALSE(server.links.listen(loopback));
     {
         side client(context);
-        const link_id link = client.links.linkTo(server.links.local(), isNew);
+        const link_id link = client.links.findOrOpenLink(server.links.local(), isNew);
         CHECK_TRUE(runUntil([&] { return !client.opened.empty(); }));
         client.links.close(link);
         client.links.close(link);
         CHECK_FALSE(client.links.send(link, 1, "late"));
-        CHECK_TRUE(client.links.linkTo(server.links.local(), isNew) != link);
+        CHECK_TRUE(client.links.findOrOpenLink(server.links.local(), isNew) != link);
         CHECK_TRUE(isNew);
         CHECK_TRUE(runUntil([&] { return client.ended.contains(link); }));
     }
@@ -297,7 +297,7 @@
     CHECK_TRUE(pending.add({ 1, 3 }, 7, now + 3s, 13));
     CHECK_FALSE(pending.add({ 1, 4 }, 7, now, 14));
     LONGS_EQUAL(0, pending.takeExpired(now).size());
-    LONGS_EQUAL(2, pending.takeLink(7).size());
+    LONGS_EQUAL(2, pending.takeByLink(7).size());
     const auto expired = pending.takeExpired(now + 1s);
     LONGS_EQUAL(1, expired.size());
     LONGS_EQUAL(12, expired[0].value);
