--- a/bench/bench-config-spread.cpp
+++ b/bench/bench-config-spread.cpp
@@ -1,8 +1,9 @@
 /// @file
-/// @brief Cost and speed of the spread of configurations and freshness, in virtual time.
+/// @brief Measures the cost and latency of propagating configurations and freshness proofs in
+/// virtual time.
 ///
-/// Every message is sealed and opened as between daemons. The time of the processor contains the
-/// simulation itself, so it is an upper bound.
+/// Every message is sealed and opened as between daemons. The CPU time includes the simulation
+/// itself, so it is an upper bound.
 
 #include <utility>
 
@@ -26,21 +27,21 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t datagramOverhead = 28; ///< bytes of IPv4 and UDP headers
-constexpr std::size_t fewZonesBelow = 400; ///< instances; a region has 4 zones, all regions 17
-constexpr auto changeEvery = 5s;
+constexpr std::size_t multiRegionMinInstances = 400; ///< one region has 4 zones, all regions 17
+constexpr auto changeInterval = 5s;
 
-struct measures
+struct measurements
 {
     std::vector<double> bytes; ///< sent, by instance
     std::vector<double> messages;
-    std::vector<double> delays; ///< s, from the submit until in force everywhere
+    std::vector<double> delays; ///< seconds from the submission until in force everywhere
     double cpuSeconds = 0;
-    double oldestProof = 0; ///< s
-    std::size_t unproven = 0; ///< samples of an instance without a proof
+    double oldestProof = 0; ///< seconds
+    std::size_t unproven = 0; ///< samples of instances whose proof has expired
     std::size_t samples = 0;
 };
 
-core::release_note noteOf(core::configuration_version base)
+core::release_note makeNote(core::configuration_version base)
 {
     core::release_note note{ "n" + std::to_string(base), base, {} };
     note.list.changed[{ core::section_kind::Switch, "loans", "" }] =
@@ -53,8 +54,8 @@
 public:
     spread_run(std::size_t count, std::size_t zones)
         : world_({ count, zones, 1 })
-        , sink_(1, { { { 1, {} } }, 1 })
-        , taken_(count, 0)
+        , receiver_(1, { { { 1, {} } }, 1 })
+        , installedVersions_(count, 0)
     {
         measured_.bytes.resize(count);
         measured_.messages.resize(count);
@@ -66,24 +67,25 @@
         };
         world_.onVersionInstalled = [this](std::size_t instance,
                                            core::configuration_version version) {
-            taken_[instance] = version;
-            if (version == wanted_
-                && std::count(taken_.begin(), taken_.end(), version)
-                           == static_cast<std::ptrdiff_t>(taken_.size()))
+            installedVersions_[instance] = version;
+            if (version == targetVersion_
+                && std::count(installedVersions_.begin(), installedVersions_.end(), version)
+                           == static_cast<std::ptrdiff_t>(installedVersions_.size()))
                 measured_.delays.push_back(secondsOf(world_.now() - submittedAt_));
         };
     }
 
-    measures run()
+    measurements run()
     {
-        const core::time_point warm = world_.now() + 10s;
-        const core::time_point start = warm + 10s;
+        const core::time_point warmUpAt = world_.now() + 10s;
+        const core::time_point start = warmUpAt + 10s;
         const core::time_point end = start + std::chrono::seconds(absl::GetFlag(FLAGS_seconds));
-        for (core::time_point time = warm; time < end; time += changeEvery) {
+        for (core::time_point time = warmUpAt; time < end; time += changeInterval) {
             world_.at(time, [this] {
                 submittedAt_ = world_.now();
-                world_.submit(noteOf(wanted_), wanted_ * 7 % taken_.size());
-                ++wanted_;
+                world_.submit(makeNote(targetVersion_),
+                              targetVersion_ * 7 % installedVersions_.size());
+                ++targetVersion_;
             });
         }
         world_.runUntil(start);
@@ -115,7 +117,7 @@
         std::string bytes;
         wire::opened_message opened;
         if (codecs_[from].seal(wire::peer_kind::Digest, 0, body, bytes)
-            || sink_.open(bytes, wire::peer_transport::Datagram, world_.now(), opened))
+            || receiver_.open(bytes, wire::peer_transport::Datagram, world_.now(), opened))
             std::abort();
         if (!isMeasuring_)
             return;
@@ -134,16 +136,16 @@
     }
 
     testing::config_world world_;
-    wire::peer_codec sink_;
+    wire::peer_codec receiver_;
     std::vector<wire::peer_codec> codecs_;
-    std::vector<core::configuration_version> taken_;
-    core::configuration_version wanted_ = 0;
+    std::vector<core::configuration_version> installedVersions_;
+    core::configuration_version targetVersion_ = 0;
     core::time_point submittedAt_;
     bool isMeasuring_ = false;
-    measures measured_;
+    measurements measured_;
 };
 
-void printRow(std::size_t count, std::size_t zones, measures result)
+void printRow(std::size_t count, std::size_t zones, measurements result)
 {
     const double seconds = absl::GetFlag(FLAGS_seconds);
     const auto instances = static_cast<double>(count);
@@ -173,7 +175,7 @@
               "| oldest proof s | unproven samples |\n|-|-|-|-|-|-|-|-|-|-|-|");
     for (int count = 50; count <= absl::GetFlag(FLAGS_largest); count *= 2) {
         const auto instances = static_cast<std::size_t>(count);
-        const std::size_t zones = instances < fewZonesBelow ? 4 : 17;
+        const std::size_t zones = instances < multiRegionMinInstances ? 4 : 17;
         printRow(instances, zones, spread_run(instances, zones).run());
     }
     return 0;
--- a/bench/bench-failover-policies.cpp
+++ b/bench/bench-failover-policies.cpp
@@ -1,8 +1,8 @@
 /// @file
-/// @brief Compares the three acknowledgement policies on the same seeds in virtual time.
+/// @brief Compares the three write acknowledgement policies on the same seeds in virtual time.
 ///
-/// Prints a Markdown table: the delay that a policy adds to a write, the gap after the loss of the
-/// primary, and the acknowledged writes that the promotion loses.
+/// Prints a Markdown table with the delay that a policy adds to a write, the time without writes
+/// after the loss of the primary, and the acknowledged writes that the failover loses.
 
 #include <fuchsiagw/testing/fake_group.hpp>
 
@@ -26,9 +26,9 @@
 
 namespace {
 
-constexpr duration lossTime = 30s;
-constexpr duration oldPrimaryReturnsAfter = 10s;
-constexpr duration runLasts = 70s;
+constexpr duration lossAt = 30s;
+constexpr duration oldPrimaryDowntime = 10s;
+constexpr duration runDuration = 70s;
 
 struct policy_result
 {
@@ -36,7 +36,7 @@
     std::vector<duration> gaps;
     std::uint64_t lost = 0;
     std::uint64_t runsWithLoss = 0;
-    std::uint64_t neverResumed = 0;
+    std::uint64_t runsWithoutRecovery = 0;
 };
 
 void runOnce(acknowledgement_policy policy, duration lag, std::uint64_t seed, policy_result &result)
@@ -49,27 +49,27 @@
     settings.writeEvery = 50ms;
     settings.writeDeadline = 20s;
     testing::fake_group group(settings);
-    // The moment of the loss is spread over the owners' ticks.
-    group.at(lossTime + duration(static_cast<std::int64_t>(seed * 997 % 100000)), [&group] {
+    // The time of the loss varies relative to the periodic ticks of the group owners.
+    group.at(lossAt + duration(static_cast<std::int64_t>(seed * 997 % 100000)), [&group] {
         const std::size_t old = group.primary();
         group.markLoss();
         group.stop(old, false);
-        group.at(group.now().time_since_epoch() + oldPrimaryReturnsAfter,
+        group.at(group.now().time_since_epoch() + oldPrimaryDowntime,
                  [&group, old] { group.start(old); });
     });
-    group.runUntil(runLasts);
+    group.runUntil(runDuration);
     const testing::fake_findings findings = group.finish();
     result.writeDelays.insert(result.writeDelays.end(), findings.writeDelays.begin(),
                               findings.writeDelays.end());
     if (findings.firstGap == duration::zero())
-        result.neverResumed += 1;
+        result.runsWithoutRecovery += 1;
     else
         result.gaps.push_back(findings.firstGap);
     result.lost += findings.lost;
     result.runsWithLoss += findings.lost > 0 ? 1 : 0;
 }
 
-std::string atShare(std::vector<duration> &values, double share)
+std::string quantileText(std::vector<duration> &values, double share)
 {
     if (values.empty())
         return "-";
@@ -104,15 +104,16 @@
             std::printf("| `%s` | %lld | %s | %s | %s | %s | %s | %llu | %llu |\n",
                         std::string(toString(policy)).c_str(),
                         static_cast<long long>(lag.count() / 1000),
-                        atShare(result.writeDelays, 0.5).c_str(),
-                        atShare(result.writeDelays, 0.99).c_str(),
-                        atShare(result.gaps, 0.5).c_str(), atShare(result.gaps, 0.99).c_str(),
-                        atShare(result.gaps, 1).c_str(),
+                        quantileText(result.writeDelays, 0.5).c_str(),
+                        quantileText(result.writeDelays, 0.99).c_str(),
+                        quantileText(result.gaps, 0.5).c_str(),
+                        quantileText(result.gaps, 0.99).c_str(),
+                        quantileText(result.gaps, 1).c_str(),
                         static_cast<unsigned long long>(result.lost),
                         static_cast<unsigned long long>(result.runsWithLoss));
-            if (result.neverResumed > 0)
+            if (result.runsWithoutRecovery > 0)
                 std::printf("| | | | | | | %llu runs without any write after the loss | | |\n",
-                            static_cast<unsigned long long>(result.neverResumed));
+                            static_cast<unsigned long long>(result.runsWithoutRecovery));
         }
     }
     return 0;
--- a/bench/bench-limits.cpp
+++ b/bench/bench-limits.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// @brief Measures wrongful refusals, the worst-served workspace and the cost of leases and loans.
+/// @brief Measures wrongful refusals, fairness between workspaces and the cost of quota leases and
+/// loans.
 ///
-/// Prints Markdown tables for docs/limits.md. Everything runs in virtual time on fixed seeds.
+/// Prints Markdown tables for docs/limits.md. All scenarios run in virtual time with fixed seeds.
 
 #include <fuchsiagw/core/fair_queue.hpp>
 #include <fuchsiagw/testing/limits_world.hpp>
@@ -26,11 +27,11 @@
 std::uint64_t seeds = 5;
 constexpr std::int64_t warmUpSeconds = 10;
 constexpr std::int64_t measuredSeconds = 120;
-constexpr double load = 0.8; ///< part of each workspace's rate that is offered
+constexpr double offeredLoad = 0.8; ///< relative to the rate of the workspace
 
-enum class balancer { Even, Hot, Single };
+enum class balancer { Even, Hotspot, SingleInstance };
 
-/// Eight workspaces, a few of them large, as both users have them.
+/// Eight workspaces with unequal rates, as in production deployments.
 world_settings settingsOf(std::uint64_t seed, balancer kind)
 {
     constexpr double rates[] = { 400, 400, 100, 100, 40, 20, 10, 5 };
@@ -40,11 +41,11 @@
     for (std::size_t i = 0; i < std::size(rates); ++i) {
         std::vector<double> weights;
         if (kind != balancer::Even) {
-            weights.assign(settings.instances, kind == balancer::Hot ? 1 : 0);
+            weights.assign(settings.instances, kind == balancer::Hotspot ? 1 : 0);
             weights[i] = 8;
         }
         settings.workspaces.push_back({ std::string(1, static_cast<char>('a' + i)), rates[i],
-                                        rates[i], load * rates[i], weights });
+                                        rates[i], offeredLoad * rates[i], weights });
     }
     return settings;
 }
@@ -53,7 +54,7 @@
 {
     const char *name;
     balancer kind;
-    std::function<void(limits_world &)> disturb; ///< called once, after the warm-up
+    std::function<void(limits_world &)> injectFault; ///< called once after the warm-up
 };
 
 void repeat(limits_world &world, core::duration period, std::function<void()> action)
@@ -68,8 +69,8 @@
 {
     const std::vector<scenario> scenarios{
         { "even balancer", balancer::Even, [](limits_world &) {} },
-        { "half of each workspace at one of nine", balancer::Hot, [](limits_world &) {} },
-        { "each workspace at one of nine", balancer::Single, [](limits_world &) {} },
+        { "half of each workspace at one of nine", balancer::Hotspot, [](limits_world &) {} },
+        { "each workspace at one of nine", balancer::SingleInstance, [](limits_world &) {} },
         { "even, a planned replacement every 10 s", balancer::Even,
           [](limits_world &world) {
               repeat(world, seconds(10), [&world] {
@@ -88,14 +89,14 @@
           } },
         { "even, platform down for 110 s", balancer::Even,
           [](limits_world &world) { stopPlatform(world, seconds(110)); } },
-        { "half at one, platform down for 110 s", balancer::Hot,
+        { "half at one, platform down for 110 s", balancer::Hotspot,
           [](limits_world &world) { stopPlatform(world, seconds(110)); } },
     };
     std::printf("| scenario | arrived | refused wrongly | part | fixed division | above the exact "
                 "bucket | bytes/s per daemon |\n|-|-|-|-|-|-|-|\n");
     for (const scenario &each : scenarios) {
         workspace_result sums[2];
-        std::uint64_t excess = 0;
+        std::uint64_t grantViolations = 0;
         double bytes = 0;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed)
             for (const bool isFixed : { false, true }) {
@@ -108,14 +109,14 @@
                 std::uint64_t before = 0;
                 for (const world_node &node : world->nodes)
                     before += node.bytesSent;
-                each.disturb(*world);
+                each.injectFault(*world);
                 runFor(*world, seconds(measuredSeconds));
                 const workspace_result result = total(*world);
                 sums[isFixed ? 1 : 0].arrived += result.arrived;
                 sums[isFixed ? 1 : 0].wrongful += result.wrongful;
                 if (isFixed)
                     continue;
-                excess += world->grantViolations;
+                grantViolations += world->grantViolations;
                 std::uint64_t sent = 0;
                 for (const world_node &node : world->nodes)
                     sent += node.bytesSent;
@@ -123,13 +124,14 @@
                          / static_cast<double>(measuredSeconds)
                          / static_cast<double>(settings.instances);
             }
-        const auto part = [](const workspace_result &sum) {
+        const auto wrongfulPercent = [](const workspace_result &sum) {
             return 100.0 * static_cast<double>(sum.wrongful) / static_cast<double>(sum.arrived);
         };
         std::printf("| %s | %llu | %llu | %.3f %% | %.2f %% | %llu | %.0f |\n", each.name,
                     static_cast<unsigned long long>(sums[0].arrived),
-                    static_cast<unsigned long long>(sums[0].wrongful), part(sums[0]), part(sums[1]),
-                    static_cast<unsigned long long>(excess), bytes / static_cast<double>(seeds));
+                    static_cast<unsigned long long>(sums[0].wrongful), wrongfulPercent(sums[0]),
+                    wrongfulPercent(sums[1]), static_cast<unsigned long long>(grantViolations),
+                    bytes / static_cast<double>(seeds));
     }
 }
 
@@ -139,7 +141,7 @@
                 "|-|-|-|-|\n");
     std::map<core::resource_id, workspace_result> sums[2];
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
-        for (const balancer kind : { balancer::Even, balancer::Hot }) {
+        for (const balancer kind : { balancer::Even, balancer::Hotspot }) {
             const auto world = makeWorld(settingsOf(seed, kind));
             runFor(*world, seconds(warmUpSeconds));
             world->results.clear();
@@ -161,15 +163,15 @@
     }
 }
 
-/// One workspace sends five times its rate through limits and instances.
+/// Measures the service of all workspaces while one of them sends five times its rate.
 void measureExcess()
 {
     std::printf(
             "\n| balancer | worst-served other workspace | the one that sends five times its rate "
             "|\n|-|-|-|\n");
-    for (const balancer kind : { balancer::Even, balancer::Hot, balancer::Single }) {
-        double worst = 1;
-        double excess = 1;
+    for (const balancer kind : { balancer::Even, balancer::Hotspot, balancer::SingleInstance }) {
+        double worstShare = 1;
+        double overloadedShare = 1;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             world_settings settings = settingsOf(seed, kind);
             settings.workspaces[0].offered = 5 * settings.workspaces[0].rate;
@@ -180,23 +182,23 @@
             for (const auto &[resource, result] : world->results) {
                 const double served = static_cast<double>(result.granted)
                                       / static_cast<double>(result.exactGranted);
-                (resource.name == "a" ? excess : worst) =
-                        std::min(resource.name == "a" ? excess : worst, served);
+                (resource.name == "a" ? overloadedShare : worstShare) =
+                        std::min(resource.name == "a" ? overloadedShare : worstShare, served);
             }
         }
         std::printf("| %s | %.2f %% | %.2f %% |\n",
-                    kind == balancer::Even  ? "even"
-                    : kind == balancer::Hot ? "half at one"
-                                            : "one",
-                    100 * std::min(worst, 1.0), 100 * std::min(excess, 1.0));
+                    kind == balancer::Even      ? "even"
+                    : kind == balancer::Hotspot ? "half at one"
+                                                : "one",
+                    100 * std::min(worstShare, 1.0), 100 * std::min(overloadedShare, 1.0));
     }
 }
 
-/// A queue in front of 16 connections of 4 ms, in simulated time.
+/// Result of a simulated queue in front of 16 connections with 4 ms per statement.
 struct queue_result
 {
-    double worst = 1; ///< part of the entitled service that the worst-served workspace got
-    double flooder = 0;
+    double worstShare = 1; ///< least served share of the statements of any other workspace
+    double overloadedShare = 0;
 };
 
 queue_result runQueue(std::uint64_t seed, bool isFair)
@@ -205,11 +207,11 @@
     constexpr std::size_t workspaces = 8;
     constexpr std::int64_t lengthMicros = 30'000'000;
     core::random_engine random(seed);
-    const auto draw = [&random](double rate) {
+    const auto drawInterval = [&random](double rate) {
         const double unit = static_cast<double>(random() >> 11U) * 0x1.0p-53;
         return static_cast<std::int64_t>(-std::log1p(-unit) / rate * 1e6) + 1;
     };
-    // Workspace 0 is entitled to an eighth, like the others, and sends five times as much.
+    // Every workspace is entitled to one eighth; workspace 0 sends five times as much.
     double offered[workspaces];
     std::fill(std::begin(offered), std::end(offered), capacity / workspaces * 0.95);
     offered[0] = 5 * capacity / workspaces;
@@ -220,7 +222,7 @@
     std::uint64_t arrived[workspaces] = {};
     std::uint64_t served[workspaces] = {};
     for (std::size_t i = 0; i < workspaces; ++i)
-        nextArrival[i] = draw(offered[i]);
+        nextArrival[i] = drawInterval(offered[i]);
     std::int64_t nextService = 0;
     std::uint64_t handle = 0;
     while (true) {
@@ -229,7 +231,7 @@
         if (now > lengthMicros)
             break;
         if (now == nextService) {
-            nextService += draw(capacity);
+            nextService += drawInterval(capacity);
             if (isFair) {
                 if (const auto statement = core::dequeue(queue))
                     ++served[std::stoul(statement->workspace.value)];
@@ -239,22 +241,22 @@
             }
             continue;
         }
-        const auto who = static_cast<std::size_t>(next - std::begin(nextArrival));
-        nextArrival[who] += draw(offered[who]);
-        ++arrived[who];
+        const auto workspace = static_cast<std::size_t>(next - std::begin(nextArrival));
+        nextArrival[workspace] += drawInterval(offered[workspace]);
+        ++arrived[workspace];
         if (isFair)
             core::enqueue(queue,
-                          { ++handle, core::workspace_id{ std::to_string(who) },
+                          { ++handle, core::workspace_id{ std::to_string(workspace) },
                             core::drawBelow(random, 20), false, core::noDeadline },
                           1);
         else if (fifo.size() < queue.bound)
-            fifo.push_back(who);
+            fifo.push_back(workspace);
     }
     queue_result result;
     for (std::size_t i = 1; i < workspaces; ++i)
-        result.worst = std::min(result.worst,
-                                static_cast<double>(served[i]) / static_cast<double>(arrived[i]));
-    result.flooder = static_cast<double>(served[0]) / static_cast<double>(arrived[0]);
+        result.worstShare = std::min(result.worstShare, static_cast<double>(served[i])
+                                                                / static_cast<double>(arrived[i]));
+    result.overloadedShare = static_cast<double>(served[0]) / static_cast<double>(arrived[0]);
     return result;
 }
 
@@ -267,15 +269,15 @@
         queue_result all;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             const queue_result one = runQueue(seed, isFair);
-            all.worst = std::min(all.worst, one.worst);
-            all.flooder += one.flooder / static_cast<double>(seeds);
+            all.worstShare = std::min(all.worstShare, one.worstShare);
+            all.overloadedShare += one.overloadedShare / static_cast<double>(seeds);
         }
         std::printf("| %s | %.2f %% | %.2f %% |\n", isFair ? "fair_queue" : "one FIFO",
-                    100 * all.worst, 100 * all.flooder);
+                    100 * all.worstShare, 100 * all.overloadedShare);
     }
 }
 
-/// Cost of leases and loans by the number of instances; the whole virtual world is counted.
+/// Measures the cost of leases and loans by number of instances, including the simulation itself.
 void measureSlopes()
 {
     std::printf(
@@ -287,8 +289,8 @@
         settings.instances = instances;
         settings.zones = 17;
         settings.isChecked = false;
-        // Two workspaces per five instances. Each arrives at up to 12 instances,
-        // which is one owner for each of three groups in four zones.
+        // Two workspaces per five instances. The statements of each arrive at up to 12 instances:
+        // one owner for each of three groups in four zones.
         core::random_engine random(instances);
         for (std::size_t i = 0; i < instances * 2 / 5; ++i) {
             const double rate = i % 10 == 0 ? 200 : i % 3 == 0 ? 40 : 10;
@@ -296,12 +298,12 @@
             for (int k = 0; k < 12; ++k)
                 weights[core::drawBelow(random, instances)] = 1;
             settings.workspaces.push_back(
-                    { "w" + std::to_string(i), rate, rate, load * rate, weights });
+                    { "w" + std::to_string(i), rate, rate, offeredLoad * rate, weights });
         }
         rusage before{};
         getrusage(RUSAGE_SELF, &before);
         const auto world = makeWorld(settings);
-        // Long enough to use up the burst of the budget after the common start.
+        // Long enough to consume the initial burst of the control traffic budget.
         runFor(*world, seconds(25));
         world->results.clear();
         std::vector<std::uint64_t> sent;
--- a/bench/bench-load.cpp
+++ b/bench/bench-load.cpp
@@ -1,8 +1,9 @@
 /// @file
-/// @brief Sends statements at a fixed rate over many open connections and reports the delays.
+/// @brief Sends statements at a fixed rate over many open connections and reports the latencies.
 ///
-/// With --direct it speaks the members' protocol to a member, otherwise the callers' protocol to a
-/// daemon, so that both can be compared in one run. It ends by itself.
+/// With --direct the target is a member and its protocol is used; otherwise the target is a daemon
+/// with the callers' protocol. Running both shows the overhead of the proxy. The run ends after
+/// --seconds.
 
 #include <utility>
 
@@ -44,7 +45,7 @@
 using namespace fuchsiagw;
 using connection = std::shared_ptr<net::http_connection>;
 
-constexpr core::duration answerLimit = std::chrono::seconds(10);
+constexpr core::duration answerTimeout = std::chrono::seconds(10);
 
 struct load_run
 {
@@ -53,7 +54,7 @@
     std::vector<double> delays; ///< milliseconds
     std::map<int, std::uint64_t> statuses;
     std::uint64_t sent = 0;
-    std::uint64_t late = 0; ///< no idle connection when a statement was due
+    std::uint64_t unsentWithoutConnection = 0; ///< no connection was idle
     std::uint64_t failed = 0;
     std::uint64_t fromReplica = 0;
     std::uint64_t reads = 0;
@@ -101,12 +102,12 @@
     const bool isWrite = number % 100 < absl::GetFlag(FLAGS_writes);
     run.reads += isWrite ? 0 : 1;
     if (run.idle.empty()) {
-        ++run.late;
+        ++run.unsentWithoutConnection;
         return;
     }
     const connection used = run.idle.front();
     run.idle.pop_front();
-    used->exchange(makeRequest(isWrite, number), net::currentTime() + answerLimit,
+    used->exchange(makeRequest(isWrite, number), net::currentTime() + answerTimeout,
                    [&run, used, due](net::http_exchange &&result) {
                        if (result.error) {
                            ++run.failed;
@@ -124,7 +125,7 @@
                    });
 }
 
-/// Opens every connection; a hundred at a time, so that the listener's backlog holds them.
+/// Opens all connections, at most 100 at a time so that the listen backlog does not overflow.
 bool openAll(load_run &run, const net::endpoint &target)
 {
     const std::uint32_t wanted = absl::GetFlag(FLAGS_connections);
@@ -135,7 +136,7 @@
             return;
         ++started;
         const connection opened = net::http_connection::create(run.context, target);
-        opened->connect(net::currentTime() + answerLimit, [&, opened](std::error_code error) {
+        opened->connect(net::currentTime() + answerTimeout, [&, opened](std::error_code error) {
             ++finished;
             if (!error)
                 run.idle.push_back(opened);
@@ -163,7 +164,7 @@
     double megabytes = 0;
 };
 
-usage usageOf(std::uint32_t pid)
+usage readProcessUsage(std::uint32_t pid)
 {
     usage result;
     if (pid == 0)
@@ -205,7 +206,7 @@
     const std::uint32_t rate = absl::GetFlag(FLAGS_rate);
     const std::uint64_t total = std::uint64_t{ rate } * seconds;
     const core::time_point startedAt = net::currentTime();
-    const usage before = usageOf(absl::GetFlag(FLAGS_pid));
+    const usage before = readProcessUsage(absl::GetFlag(FLAGS_pid));
     boost::asio::steady_timer timer(run.context);
     std::function<void()> sendDue = [&] {
         const auto elapsed = net::currentTime() - startedAt;
@@ -222,11 +223,12 @@
         timer.async_wait([&](const boost::system::error_code &) { sendDue(); });
     };
     sendDue();
-    const core::time_point endAt = startedAt + std::chrono::seconds(seconds) + answerLimit;
+    const core::time_point endAt = startedAt + std::chrono::seconds(seconds) + answerTimeout;
     while (net::currentTime() < endAt
-           && (run.sent < total || run.delays.size() + run.failed + run.late < total))
+           && (run.sent < total
+               || run.delays.size() + run.failed + run.unsentWithoutConnection < total))
         run.context.run_one_for(std::chrono::milliseconds(50));
-    const usage after = usageOf(absl::GetFlag(FLAGS_pid));
+    const usage after = readProcessUsage(absl::GetFlag(FLAGS_pid));
     const double took = static_cast<double>((net::currentTime() - startedAt).count()) / 1e6;
 
     std::sort(run.delays.begin(), run.delays.end());
@@ -235,8 +237,8 @@
                 "worst_ms=%.2f replica_reads=%.1f%%\n",
                 absl::GetFlag(FLAGS_connections), rate, run.delays.size(),
                 static_cast<unsigned long long>(run.failed),
-                static_cast<unsigned long long>(run.late), quantile(run.delays, 0.5),
-                quantile(run.delays, 0.99), quantile(run.delays, 0.999),
+                static_cast<unsigned long long>(run.unsentWithoutConnection),
+                quantile(run.delays, 0.5), quantile(run.delays, 0.99), quantile(run.delays, 0.999),
                 run.delays.empty() ? 0.0 : run.delays.back(),
                 run.reads == 0 ? 0.0
                                : 100.0 * static_cast<double>(run.fromReplica)
--- a/include/fuchsiagw/ctl/admin_client.hpp
+++ b/include/fuchsiagw/ctl/admin_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Calls the admin port of a daemon.
+/// @brief Client of a daemon's admin API.
 
 #pragma once
 
@@ -13,15 +13,15 @@
 
 namespace fuchsiagw::ctl {
 
-/// What came of one request.
+/// Response to one request.
 struct admin_reply
 {
     bool wasSent = false; ///< false only if no byte can have reached a daemon
-    int status = 0; ///< 0: no answer
+    int status = 0; ///< HTTP status; 0: no response
     std::string body;
 };
 
-/// Sends one request; tests put a function of their own here.
+/// Sends one request; replaced in tests.
 /// @param address admin address, IP:port
 /// @param target path
 /// @param body empty for GET
@@ -29,27 +29,28 @@
         std::function<admin_reply(const std::string &address, const std::string &method,
                                   const std::string &target, const std::string &body)>;
 
-/// @return a transport over HTTP with the operators' secret
+/// @return an HTTP transport that authenticates with the operators' secret
 [[nodiscard]] admin_transport httpTransport(std::string secret);
 
-/// The daemon's answer after checks. Invariant: `code` is Done exactly if `json` is an answer with
-/// status 200.
+/// The validated response of a daemon. Invariant: `code` is Done exactly if `json` holds a response
+/// with status 200.
 struct admin_result
 {
     exit_code code = exit_code::Unreachable;
     nlohmann::json json;
-    std::string text; ///< the body as it came
-    std::string problem; ///< for people, with the next step
+    std::string text; ///< the unparsed body
+    std::string problem; ///< message for the operator, with the next step
     std::string error; ///< name of the error, such as note_conflict
 };
 
-/// @brief Sends one request and judges the answer.
-/// @param isChange whether the request may change something, so that a lost answer leaves it open
+/// @brief Sends one request and validates the response.
+/// @param isChange whether the request may change state, so that a lost response leaves its outcome
+/// unknown
 [[nodiscard]] admin_result callAdmin(const admin_transport &transport, const std::string &address,
                                      const std::string &method, const std::string &target,
                                      const std::string &body, bool isChange);
 
-/// @brief Fetches the newest configuration that a daemon holds.
+/// @brief Fetches the newest configuration known to a daemon.
 [[nodiscard]] admin_result fetchConfiguration(const admin_transport &transport,
                                               const std::string &address,
                                               core::configuration &config);
--- a/include/fuchsiagw/ctl/command_line.hpp
+++ b/include/fuchsiagw/ctl/command_line.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Splits a command line into flags and words.
+/// @brief Parser of the command line.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace fuchsiagw::ctl {
 
-/// Words without flags, in their order.
+/// The arguments that are not flags, in order.
 struct command_line
 {
     std::vector<std::string> words;
@@ -20,11 +20,11 @@
 /// @return the names of the flags, in the order of the help
 [[nodiscard]] std::vector<std::string_view> ownFlagNames();
 
-/// @brief Sets the Abseil flags that @p arguments name and returns the rest.
+/// @brief Sets the Abseil flags in @p arguments and returns the remaining arguments.
 ///
-/// Abseil's own parser ends the process with 1 on a mistake, where this command promises 2, and it
-/// accepts flags of other files.
-/// @param arguments without the program's name
+/// Abseil's own parser exits with status 1 on an invalid flag, where fuchsiagwctl documents 2, and
+/// it accepts flags that are defined in other files.
+/// @param arguments without the program name
 /// @complexity linear in the number of arguments
 [[nodiscard]] command_line parseCommandLine(const std::vector<std::string> &arguments);
 
--- a/include/fuchsiagw/ctl/commands.hpp
+++ b/include/fuchsiagw/ctl/commands.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The operators' commands.
+/// @brief Commands of fuchsiagwctl.
 
 #pragma once
 
@@ -16,11 +16,11 @@
 
 namespace fuchsiagw::ctl {
 
-/// What a command needs from its surroundings.
+/// External dependencies of a command; replaced in tests.
 struct command_context
 {
     admin_transport transport;
-    std::function<std::string()> secretHash; ///< of the operators' secret, for signing
+    std::function<std::string()> secretHash; ///< of the operators' secret, used to sign
     std::ostream &out;
     std::ostream &err;
     std::function<void(std::chrono::milliseconds)> sleep;
@@ -32,22 +32,22 @@
 {
     std::string words; ///< such as "note check"
     std::string parameters; ///< such as "FILE"
-    std::size_t fewest; ///< parameters
-    std::size_t most;
+    std::size_t minParameters;
+    std::size_t maxParameters;
     std::string summary;
     std::string example;
     exit_code (*run)(const command_context &context, const std::vector<std::string> &parameters);
 };
 
-/// @return every command, in the order of the help
+/// @return all commands, in the order of the help text
 [[nodiscard]] const std::vector<command> &allCommands();
 
 /// @brief Parses a command line and runs its command.
-/// @param arguments without the program's name
+/// @param arguments without the program name
 [[nodiscard]] exit_code runCommandLine(const std::vector<std::string> &arguments,
                                        const command_context &context);
 
-// The commands of each subject.
+// Implementations of the commands.
 exit_code runNoteCheck(const command_context &context, const std::vector<std::string> &parameters);
 exit_code runNoteDiff(const command_context &context, const std::vector<std::string> &parameters);
 exit_code runNoteSubmit(const command_context &context, const std::vector<std::string> &parameters);
@@ -68,8 +68,8 @@
 exit_code runGroupShow(const command_context &context, const std::vector<std::string> &parameters);
 exit_code runGroupPromote(const command_context &context,
                           const std::vector<std::string> &parameters);
-/// @brief Removes the row of a daemon whose machine is gone for good from the platform's store, so
-/// that the others take over its part of the limits.
+/// @brief Deletes the row of a permanently lost instance from the platform's store, so that the
+/// other instances take over its share of the limits.
 exit_code runInstanceForget(const command_context &context,
                             const std::vector<std::string> &parameters);
 exit_code runInstanceList(const command_context &context,
@@ -80,15 +80,18 @@
 exit_code runVouch(const command_context &context, const std::vector<std::string> &parameters);
 exit_code runStatus(const command_context &context, const std::vector<std::string> &parameters);
 
-// Shared by the commands.
+// Helpers of the commands.
 
-/// @brief Prints a problem and returns its code.
+/// @brief Prints the error of a failed request.
+/// @return its exit code
 exit_code report(const command_context &context, const admin_result &result);
-/// @brief Prints why the command line is wrong; @return Usage
-exit_code refuseUsage(const command_context &context, const std::string &problem);
-/// @brief Submits a note until its outcome is known or the time is over, and waits if asked to.
+/// @brief Prints why the command line is invalid.
+/// @return Usage
+exit_code reportUsageError(const command_context &context, const std::string &problem);
+/// @brief Submits a note, retries until its outcome is known or --timeout_ms has elapsed, and with
+/// --wait waits until the note is in force everywhere.
 exit_code submitNote(const command_context &context, const core::release_note &note);
-/// @brief Submits a note on the newest version that makes exactly @p list.
+/// @brief Submits a note with the changes @p list against version @p base.
 exit_code submitChanges(const command_context &context, core::configuration_version base,
                         const core::section_changes &list);
 
--- a/include/fuchsiagw/ctl/store_call.hpp
+++ b/include/fuchsiagw/ctl/store_call.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Calls of operators' commands to the platform's store.
+/// @brief Calls from commands to the platform's store.
 
 #pragma once
 
@@ -14,19 +14,19 @@
 
 struct command_context;
 
-/// Makes one call to the store; tests put a function of their own here.
+/// Makes one call to the store; replaced in tests.
 /// @param address IP:port
 using store_transport = std::function<net::http_exchange(const std::string &address,
                                                          const net::http_request &request)>;
 
 inline constexpr int storeStatusOk = 200;
 
-/// @brief Calls the store that the flag --store names.
+/// @brief Calls the store at the address given by --store.
 [[nodiscard]] net::http_exchange callStore(const command_context &context,
                                            const net::http_request &request);
 
-/// @brief Prints an error.
+/// @brief Prints an error message.
 /// @return @p code
-exit_code complain(const command_context &context, exit_code code, const std::string &text);
+exit_code reportError(const command_context &context, exit_code code, const std::string &text);
 
 } // namespace fuchsiagw::ctl
--- a/include/fuchsiagw/ctl/store_switch.hpp
+++ b/include/fuchsiagw/ctl/store_switch.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Switches of automatic actions that daemons with the session interface read from the
-/// platform's store.
+/// @brief Commands for the switches in the platform's store, with which operators enable and
+/// disable automatic actions of daemons with the session interface.
 
 #pragma once
 
@@ -12,11 +12,11 @@
 
 struct command_context;
 
-/// @brief Switches promotions on or off for all daemons.
+/// @brief Enables or disables automatic promotions of all daemons.
 /// @param name promotion, or all
 exit_code setStoreSwitch(const command_context &context, const std::string &name, bool isOn);
 
-/// @brief Prints whether promotions are allowed.
+/// @brief Prints whether automatic promotions are enabled.
 exit_code listStoreSwitches(const command_context &context);
 
 } // namespace fuchsiagw::ctl
--- a/include/fuchsiagw/ctl/table.hpp
+++ b/include/fuchsiagw/ctl/table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tables for people.
+/// @brief Human-readable tables.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace fuchsiagw::ctl {
 
-/// Rows of equal length; the first one has the titles.
+/// Rows with equal numbers of columns.
 using text_table = std::vector<std::vector<std::string>>;
 
 /// @brief Prints a table with aligned columns.
--- a/include/fuchsiagw/detail/tcp_connection.hpp
+++ b/include/fuchsiagw/detail/tcp_connection.hpp
@@ -26,8 +26,8 @@
     std::function<void(const net::link_closure &)> onClosed; ///< called once
 };
 
-/// Reads and writes frames: 4 bytes of length, most significant first, then the content. A frame
-/// without content is a heartbeat.
+/// Reads and writes frames: a 4-byte big-endian length and the content. A frame without content is
+/// a heartbeat.
 /// Invariant: onClosed is called after the last read and write have ended, so that the number of
 /// bytes written is final.
 class tcp_connection : public std::enable_shared_from_this<tcp_connection>
@@ -46,11 +46,11 @@
     [[nodiscard]] bool send(net::frame_tag tag, std::string_view frame);
     void trust() { isTrusted_ = true; }
 
-    /// @brief Closes the socket; the first cause stands.
+    /// @brief Closes the socket; the cause of the first call is reported.
     void close(std::error_code cause);
 
-    /// @brief Sends a heartbeat or closes the link, as its state demands.
-    void check(clock::time_point now);
+    /// @brief Sends a heartbeat if one is due, or closes the link after a timeout.
+    void checkLiveness(clock::time_point now);
 
     [[nodiscard]] bool isIncoming() const { return isIncoming_; }
     [[nodiscard]] bool isClosing() const { return isClosing_; }
@@ -74,28 +74,28 @@
     bool isTrusted_ = false;
     bool isClosing_ = false;
     bool isReported_ = false;
-    unsigned pending_ = 0; ///< operations that have not ended
+    unsigned pendingOperations_ = 0; ///< asynchronous operations in progress
     std::error_code cause_;
 
     std::deque<frame> queue_;
-    std::vector<frame> writing_; ///< taken from the queue, handed to the system together
+    std::vector<frame> writing_; ///< batch that is being written
     std::size_t queuedBytes_ = 0; ///< in queue_ and writing_, with frameOverheadBytes each
     std::vector<net::frame_tag> unwritten_; ///< of a write that failed
 
     std::array<char, 16'384> chunk_{};
-    std::string received_; ///< bytes that are no whole frame yet
+    std::string received_; ///< start of an incomplete frame
 
     clock::time_point startedAt_ = clock::now();
-    clock::time_point heardAt_ = startedAt_;
+    clock::time_point receivedAt_ = startedAt_;
     clock::time_point sentAt_ = startedAt_;
-    clock::time_point usedAt_ = startedAt_; ///< last frame with content in either direction
-    clock::time_point usedSince_ = startedAt_; ///< when it was used after a pause
+    clock::time_point activeAt_ = startedAt_; ///< last frame with content in either direction
+    clock::time_point activeSince_ = startedAt_; ///< start of the current active period
 
     void begin();
-    void noteUse();
+    void recordActivity();
     void readNext();
     void onRead(const boost::system::error_code &error, std::size_t size);
-    void takeFrames();
+    void parseFrames();
     void writeNext();
     void onWritten(const boost::system::error_code &error, std::size_t size);
     void endOperation();
--- a/include/fuchsiagw/net/channel.hpp
+++ b/include/fuchsiagw/net/channel.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A bounded ring from one duty's thread to another's.
+/// @brief A bounded single-producer single-consumer queue between two threads.
 
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace fuchsiagw::net {
 
-/// One thread pushes, the thread that runs the consumer's context handles.
+/// One thread pushes messages; the thread that runs the consumer's context handles them.
 /// Invariant: messages are handled in the order in which they were pushed.
 /// The channel must outlive its consumer's context.
 template <typename message>
@@ -30,14 +30,14 @@
         , handle_(std::move(handle))
     { }
 
-    /// @brief Hands a message over without waiting.
-    /// @return false if the ring is full; the message is then unchanged
+    /// @brief Queues a message without blocking.
+    /// @return false if the queue is full; the message is then unchanged
     /// @complexity constant
     [[nodiscard]] bool push(message &&value)
     {
-        const slot carrier{ std::move(value) };
-        if (!queue_.push(carrier)) {
-            value = std::move(carrier.value);
+        const slot pushed{ std::move(value) };
+        if (!queue_.push(pushed)) {
+            value = std::move(pushed.value);
             return false;
         }
         if (!scheduled_.exchange(true, std::memory_order_acq_rel))
@@ -46,7 +46,8 @@
     }
 
 private:
-    /// spsc_queue can only copy; copying a slot moves its message, as each slot is read once.
+    /// spsc_queue requires copyable elements. Copying a slot moves its message out of the source,
+    /// which is safe because each slot is read once.
     struct slot
     {
         mutable message value;
@@ -67,11 +68,11 @@
 
     void drain()
     {
-        // An exchange and not a store: it either reads the flag that push() set, and then sees that
-        // message, or comes first, and then push() posts. With a store a message could stay in the
-        // ring with nobody to drain it.
+        // This has to be an exchange: either it reads the flag that push() set, and the message of
+        // that push() is visible here, or it precedes push(), which then posts drain() again. With
+        // a plain store a message could stay in the queue without a scheduled drain().
         scheduled_.exchange(false, std::memory_order_acq_rel);
-        // A fixed number a turn, so that one busy channel does not keep the others waiting.
+        // Bounded, so that one busy channel does not starve other handlers of the context.
         constexpr std::size_t messagesPerTurn = 256;
         for (std::size_t i = 0; i < messagesPerTurn; ++i) {
             if (!queue_.consume_one([this](const slot &each) { handle_(each.value); }))
--- a/include/fuchsiagw/net/clock.hpp
+++ b/include/fuchsiagw/net/clock.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The one place that reads the clock.
+/// @brief Reads of the system clocks, all in this file.
 
 #pragma once
 
@@ -17,7 +17,7 @@
     return core::time_point(std::chrono::duration_cast<core::duration>(sinceStart));
 }
 
-/// @return the time since the machine was started, which goes on while it is suspended
+/// @return the time since boot, including the time that the machine was suspended
 [[nodiscard]] inline core::time_point currentBootTime()
 {
     timespec time{};
@@ -28,7 +28,7 @@
             core::duration(time.tv_sec * microsPerSecond + time.tv_nsec / nanosPerMicro));
 }
 
-/// @return the same moment on the clock that Asio's timers use
+/// @return the same instant on the clock that Asio's timers use
 [[nodiscard]] inline std::chrono::steady_clock::time_point toSteady(core::time_point time)
 {
     if (time == core::noDeadline)
--- a/include/fuchsiagw/net/endpoint.hpp
+++ b/include/fuchsiagw/net/endpoint.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Addresses written as IP number and port.
+/// @brief Network endpoints written as IP address and port.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace fuchsiagw::net {
 
-/// An IP number and a port, before a protocol is chosen.
+/// An IP address and a port, independent of the transport protocol.
 struct endpoint
 {
     boost::asio::ip::address address;
@@ -21,7 +21,7 @@
     friend bool operator==(const endpoint &, const endpoint &) = default;
 };
 
-/// @brief Parses `192.0.2.1:80` or `[2001:db8::1]:80`. Names are not resolved.
+/// @brief Parses `192.0.2.1:80` or `[2001:db8::1]:80`. Host names are not resolved.
 /// @return error_kind::InvalidValue if @p text is anything else; @p result is then unchanged
 [[nodiscard]] std::error_code parseEndpoint(std::string_view text, endpoint &result);
 
--- a/include/fuchsiagw/net/http_client.hpp
+++ b/include/fuchsiagw/net/http_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Single HTTP calls over a small set of kept connections.
+/// @brief Single HTTP calls over a small pool of idle connections.
 
 #pragma once
 
@@ -15,8 +15,8 @@
 
 namespace fuchsiagw::net {
 
-/// For control requests, the platform and the operators' command: any number of calls at a time.
-/// Lives on one context's thread.
+/// Used for control requests, for the platform and by fuchsiagwctl. Any number of calls may run
+/// concurrently. Not thread-safe: used only on the thread of its context.
 class http_client
 {
 public:
@@ -24,12 +24,12 @@
         : context_(context)
     { }
 
-    /// @brief Makes one call; @p done is called exactly once, at the deadline at the latest.
+    /// @brief Makes one call; @p done is called exactly once, no later than the deadline.
     /// @complexity logarithmic in the number of peers
     void call(const endpoint &peer, const http_request &request, core::time_point deadline,
               http_connection::exchange_handler done);
 
-    /// @brief Drops the kept connections to every peer.
+    /// @brief Closes the idle connections to every peer.
     void closeIdle() { idle_.clear(); }
 
 private:
@@ -41,7 +41,7 @@
     std::map<std::string, std::vector<std::shared_ptr<http_connection>>> idle_;
 };
 
-/// @brief Makes one call and waits for it; for command-line tools.
+/// @brief Makes one call and waits for its result; for command-line tools.
 /// @complexity blocks until the deadline at the latest
 [[nodiscard]] http_exchange callAndWait(const endpoint &peer, const http_request &request,
                                         core::time_point deadline);
--- a/include/fuchsiagw/net/http_connection.hpp
+++ b/include/fuchsiagw/net/http_connection.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One client connection that carries one HTTP exchange at a time.
+/// @brief An HTTP client connection that carries one exchange at a time.
 
 #pragma once
 
@@ -15,17 +15,17 @@
 
 namespace fuchsiagw::net {
 
-/// What came of one exchange.
+/// Result of one exchange.
 struct http_exchange
 {
-    std::error_code error; ///< empty if a whole response came
+    std::error_code error; ///< empty if a complete response was received
     bool sent = false; ///< false only if no byte of the request can have left this process
     http_response response;
 };
 
-/// Lives on one context's thread; every call and callback happens there.
+/// Not thread-safe: calls and callbacks happen on the thread of its context.
 /// Invariant: at most one exchange at a time. Any error closes the connection, so a late response
-/// can never be taken for the answer to another request.
+/// can never be matched to a later request.
 class http_connection : public std::enable_shared_from_this<http_connection>
 {
 public:
@@ -37,11 +37,11 @@
                                                                  endpoint peer);
     ~http_connection();
 
-    /// @brief Connects, or reports `timed_out` at the deadline.
+    /// @brief Connects; reports `timed_out` if that takes until the deadline.
     void connect(core::time_point deadline, connect_handler done);
 
-    /// @brief Sends a request and waits for the whole response until the deadline.
-    /// @param request its Host header is set here
+    /// @brief Sends a request and waits for the complete response until the deadline.
+    /// @param request sent with a Host header that names the peer
     void exchange(const http_request &request, core::time_point deadline, exchange_handler done);
 
     /// @brief Reports once when the peer closes the connection between exchanges.
--- a/include/fuchsiagw/net/http_message.hpp
+++ b/include/fuchsiagw/net/http_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief HTTP requests and answers as plain values, free of any library's types.
+/// @brief HTTP requests and responses as plain values, independent of the HTTP libraries.
 
 #pragma once
 
@@ -27,8 +27,8 @@
     std::string body;
 };
 
-/// @brief Finds a header by name, without regard to case.
-/// @return empty if there is none
+/// @brief Finds a header by its case-insensitive name.
+/// @return the value, empty if there is no such header
 /// @complexity linear in the number of headers
 [[nodiscard]] std::string_view findHeader(const http_headers &headers, std::string_view name);
 
--- a/include/fuchsiagw/net/http_server.hpp
+++ b/include/fuchsiagw/net/http_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief An HTTP/1.1 server whose answers may be given later and from any thread.
+/// @brief An HTTP/1.1 server whose requests may be answered asynchronously and from any thread.
 
 #pragma once
 
@@ -18,13 +18,13 @@
 
 using connection_number = std::uint64_t;
 
-/// @brief The right to answer one request, once, from any thread.
+/// @brief Answers one request, at most once, from any thread.
 ///
-/// A request whose reply is destroyed unused has its connection closed by the server's timeout.
+/// If it is destroyed without an answer, the server's handler timeout closes the connection.
 class http_responder
 {
 public:
-    /// Sends the response; @p close ends the connection after it.
+    /// Sends the response; with @p close the connection is closed afterwards.
     using sender = std::function<void(const http_response &, bool close)>;
 
     http_responder() = default;
@@ -32,7 +32,7 @@
         : send_(std::move(send))
     { }
 
-    /// @brief Answers the request; further calls do nothing.
+    /// @brief Answers the request; further calls have no effect.
     void send(const http_response &response, bool close = false)
     {
         const sender once = std::exchange(send_, nullptr);
@@ -48,12 +48,12 @@
 {
     endpoint listenAddress; ///< port 0: the kernel chooses
     std::size_t maxBody = 0; ///< bytes; a larger body closes the connection
-    std::chrono::seconds idleLimit{ 60 }; ///< for a connection that sends nothing, or a slow caller
-    std::chrono::seconds handleLimit{ 75 }; ///< for the handler of a request
+    std::chrono::seconds idleTimeout{ 60 }; ///< for reading a request and for writing a response
+    std::chrono::seconds handlerTimeout{ 75 }; ///< for the handler of a request
     std::size_t maxConnections = 0;
 };
 
-/// Runs on the context given to it; handlers are called on that context's thread.
+/// Runs on the given context; handlers are called on that context's thread.
 class http_server
 {
 public:
@@ -67,14 +67,15 @@
     http_server(const http_server &) = delete;
     http_server &operator=(const http_server &) = delete;
 
-    /// @brief Binds and starts to accept; call it before the context runs or on its thread.
+    /// @brief Binds and starts to accept connections. Call it before the context runs or on its
+    /// thread.
     /// @return the system's error if the address can't be bound
     [[nodiscard]] std::error_code start();
 
-    /// @return the port that is bound; 0 before start()
+    /// @return the bound port; 0 before start()
     [[nodiscard]] std::uint16_t port() const;
 
-    /// @brief Stops accepting; open connections live on. Call it on the context's thread.
+    /// @brief Stops accepting; open connections stay open. Call it on the context's thread.
     void stopAccepting();
 
 private:
--- a/include/fuchsiagw/net/line_connection.hpp
+++ b/include/fuchsiagw/net/line_connection.hpp
@@ -13,18 +13,19 @@
 
 namespace fuchsiagw::net {
 
-/// How soon a connection whose far end is gone is noticed while nothing is sent.
+/// How soon the loss of the peer is detected on a connection without traffic.
 enum class keepalive_profile {
     Short, ///< about three seconds
     Long, ///< about half a minute
 };
 
-/// @brief Sets keep-alive probes and the limit of unacknowledged data.
-void configureKeepalive(boost::asio::ip::tcp::socket &socket, keepalive_profile check);
+/// @brief Sets TCP keep-alive probes and the timeout of unacknowledged data.
+void configureKeepalive(boost::asio::ip::tcp::socket &socket, keepalive_profile profile);
 
-/// Lives on one context's thread. Lines end with LF; a CR before it is removed.
-/// Invariant: no handler is called after close(), nor after the closed handler. The handlers live
-/// as long as the connection, so they must not own it.
+/// Not thread-safe: used only on the thread of its context. Lines end with LF; a CR before it is
+/// removed.
+/// Invariant: no handler is called after close() or after the closed handler. The connection owns
+/// its handlers, so they must not own the connection.
 class line_connection : public std::enable_shared_from_this<line_connection>
 {
 public:
@@ -39,17 +40,17 @@
 
     void setHandlers(line_handler onLine, closed_handler onClosed);
 
-    /// @brief Connects and then reads; what is sent before is kept until then.
-    void connect(const boost::asio::ip::tcp::endpoint &peer, keepalive_profile check);
-    /// @brief Reads from a connection that was accepted.
-    void start(keepalive_profile check);
+    /// @brief Connects and starts reading; text sent before that is queued.
+    void connect(const boost::asio::ip::tcp::endpoint &peer, keepalive_profile profile);
+    /// @brief Starts reading from an accepted connection.
+    void start(keepalive_profile profile);
 
     void send(std::string &&text);
 
-    /// @brief Closes at once. The handlers are not called any more.
+    /// @brief Closes immediately. No handler is called afterwards.
     void close();
-    /// @brief Sends what is queued, ends the sending side and closes once the peer has too.
-    /// If nothing was queued, input that still comes is answered with a reset.
+    /// @brief Sends the queued text, shuts down the sending side and closes after the peer has
+    /// closed its side. If nothing is queued at the call, later input is answered with a reset.
     void closeGracefully();
 
     [[nodiscard]] std::size_t queuedBytes() const { return queue_.size() + writing_.size(); }
@@ -66,14 +67,14 @@
     boost::asio::ip::tcp::socket socket_;
     std::size_t maxLine_;
     std::string input_;
-    std::size_t filled_ = 0; ///< bytes of input_ that were received and not handled
-    std::size_t searched_ = 0; ///< of these, bytes without a line end
+    std::size_t receivedBytes_ = 0; ///< bytes of input_ that are not handled yet
+    std::size_t scannedBytes_ = 0; ///< prefix of these bytes known to hold no LF
     std::string queue_;
     std::string writing_;
     bool open_ = false;
     bool closed_ = false;
-    bool closing_ = false; ///< input is dropped; closed when the peer closes
-    bool closedAtRest_ = false; ///< nothing was queued when closing_ was set
+    bool closing_ = false; ///< graceful close in progress: input is discarded
+    bool wasIdleAtClose_ = false; ///< nothing was queued when the graceful close began
     line_handler onLine_;
     closed_handler onClosed_;
 };
--- a/include/fuchsiagw/net/pending_requests.hpp
+++ b/include/fuchsiagw/net/pending_requests.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Requests to other daemons that wait for their answer.
+/// @brief Table of requests to other daemons that await an answer.
 
 #pragma once
 
@@ -16,8 +16,8 @@
 
 namespace fuchsiagw::net {
 
-/// Matches answers to requests. An answer counts only if it has the id of a request and comes on
-/// the link on which the request was sent; a second answer finds nothing.
+/// Matches answers to requests. An answer is accepted only if it has the id of a pending request
+/// and arrives on the link on which the request was sent. A duplicate answer matches no entry.
 /// Invariant: every entry has exactly one element in deadlines_.
 template <typename context>
 class pending_requests
@@ -35,7 +35,7 @@
         : capacity_(capacity)
     { }
 
-    /// @return false if the id is in use or there are too many requests
+    /// @return false if the id is in use or the table is full
     /// @complexity logarithmic in the number of requests
     [[nodiscard]] bool add(const core::request_id &id, link_id link, core::time_point deadline,
                            context value)
@@ -49,7 +49,7 @@
         return isNew;
     }
 
-    /// @return the request, nullptr if there is none with this id on this link
+    /// @return the request with this id on this link, or nullptr
     /// @complexity logarithmic in the number of requests
     [[nodiscard]] entry *find(const core::request_id &id, link_id link)
     {
@@ -57,7 +57,7 @@
         return found == entries_.end() || found->second.link != link ? nullptr : &found->second;
     }
 
-    /// @brief Removes a request whose answer is complete.
+    /// @brief Removes and returns the request that an answer completes.
     /// @complexity logarithmic in the number of requests
     [[nodiscard]] std::optional<entry> take(const core::request_id &id, link_id link)
     {
@@ -66,7 +66,7 @@
         return remove(entries_.find(id));
     }
 
-    /// @brief Removes the requests of a link that has closed.
+    /// @brief Removes and returns the requests of a closed link.
     /// @complexity linear in the number of requests
     [[nodiscard]] std::vector<entry> takeByLink(link_id link)
     {
@@ -80,8 +80,8 @@
         return taken;
     }
 
-    /// @brief Removes the requests whose deadline has come.
-    /// @complexity logarithmic in the number of requests for each
+    /// @brief Removes and returns the requests whose deadline has been reached.
+    /// @complexity logarithmic in the number of requests for each removed one
     [[nodiscard]] std::vector<entry> takeExpired(core::time_point now)
     {
         std::vector<entry> taken;
@@ -90,7 +90,7 @@
         return taken;
     }
 
-    /// @return when takeExpired() has something to do
+    /// @return the earliest deadline, noDeadline if there is no request
     [[nodiscard]] core::time_point nextDeadline() const
     {
         return deadlines_.empty() ? core::noDeadline : deadlines_.begin()->first;
--- a/include/fuchsiagw/net/udp_link.hpp
+++ b/include/fuchsiagw/net/udp_link.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The UDP socket of a daemon for messages to other daemons.
+/// @brief UDP socket for messages between daemons.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace fuchsiagw::net {
 
-/// Bytes of the IP and UDP headers of a datagram; they count as traffic.
+/// IPv4 and UDP headers of a datagram, included in the traffic counters.
 inline constexpr std::uint64_t datagramOverheadBytes = 28;
 
 struct udp_counters
@@ -24,13 +24,13 @@
     std::uint64_t received = 0;
     std::uint64_t bytesSent = 0; ///< with headers
     std::uint64_t bytesReceived = 0; ///< with headers
-    std::uint64_t sendsDropped = 0; ///< too large, or the system did not take them
-    std::uint64_t receivesDropped = 0; ///< larger than the bound
+    std::uint64_t sendsDropped = 0; ///< too large, or rejected by the kernel
+    std::uint64_t receivesDropped = 0; ///< larger than wire::maxDatagramBytes
 };
 
 /// Sends and receives datagrams of at most wire::maxDatagramBytes. Datagrams are never queued: one
-/// that the system does not take at once is dropped, as the network may drop it too.
-/// Used on the thread of its context.
+/// that the kernel does not accept immediately is dropped, as the network may drop it too.
+/// Not thread-safe: used only on the thread of its context.
 class udp_link
 {
 public:
@@ -42,19 +42,19 @@
     udp_link(const udp_link &) = delete;
     udp_link &operator=(const udp_link &) = delete;
 
-    /// @brief Opens the socket and starts to receive.
-    /// @param local port 0 lets the system choose
+    /// @brief Opens the socket and starts receiving.
+    /// @param local port 0: the kernel chooses
     [[nodiscard]] std::error_code open(const endpoint &local);
 
-    /// @return the address that it is open on
+    /// @return the endpoint that the socket is bound to
     [[nodiscard]] endpoint local() const;
 
     /// @brief Sends a datagram.
-    /// @return whether the system took it; it may still be lost
+    /// @return whether the kernel accepted it; it may still be lost
     /// @complexity linear in the size of the message
     bool send(const endpoint &to, std::string_view message);
 
-    /// @brief Stops to receive. It is safe in the receiver.
+    /// @brief Closes the socket. It may be called from the receiver.
     void close();
 
     [[nodiscard]] const udp_counters &counters() const;
--- a/scripts/bootstrap.sh
+++ b/scripts/bootstrap.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build, the tests, the formatter and the linter need.
+# Installs the Debian packages required by the build, the tests, the formatter and the linter.
 set -euo pipefail
 
 packages=(
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs the main job on loopback: a daemon, stand-ins for the platform and a group, a release note, a write
-# and a read of it from a replica. With "sessions" it runs the session interface instead: four daemons, stand-ins for
-# the users' platform and callers, without faults. Everything that it starts is ended again.
+# Demonstrates the proxy on loopback: starts a daemon and stand-ins for the platform and a group, submits a release
+# note, writes a value and reads it back with the session token, possibly from a replica. With "sessions" it runs the
+# session interface instead: four daemons and stand-ins for the users' platform and callers, without faults. All
+# processes that it starts are stopped at the end.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks formatting and runs the linter. With --fix it formats in place. Needs a configured build directory.
+# Checks formatting and runs the linter; with --fix, formats in place. Requires a configured build directory.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds and runs every test. BUILD_DIR and CMAKE_ARGS may be set.
+# Installs missing packages, builds and runs all tests. The variables BUILD_DIR and CMAKE_ARGS are optional.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/src/ctl/admin_client.cpp
+++ b/src/ctl/admin_client.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Requests to the admin port and what their answers mean.
+/// @brief Requests to the admin API and interpretation of the responses.
 
 #include <utility>
 
@@ -13,9 +13,10 @@
 
 namespace {
 
-constexpr auto requestTime = std::chrono::seconds(12); ///< a submit of the daemon takes up to 10 s
+/// Exceeds the 10 s that the daemon may take to submit a note.
+constexpr auto requestTimeout = std::chrono::seconds(12);
 
-std::string adviceFor(const std::string &error)
+std::string nextStepFor(const std::string &error)
 {
     static const std::vector<std::pair<std::string_view, std::string_view>> advice{
         { "operator_denied", "check --secret_file or FUCHSIAGW_OPERATOR_SECRET" },
@@ -51,7 +52,7 @@
         if (!body.empty())
             request.headers.emplace_back("Content-Type", "application/json");
         net::http_exchange exchange =
-                net::callAndWait(peer, request, net::currentTime() + requestTime);
+                net::callAndWait(peer, request, net::currentTime() + requestTimeout);
         reply.wasSent = exchange.sent;
         if (!exchange.error) {
             reply.status = exchange.response.status;
@@ -68,13 +69,14 @@
     admin_result result;
     admin_reply reply = transport(address, method, target, body);
     if (reply.status == 0) {
-        const bool isOpen = isChange && reply.wasSent;
-        result.code = isOpen ? exit_code::Unknown : exit_code::Unreachable;
-        result.problem =
-                isOpen ? "the daemon at " + address
-                                 + " did not answer; the change may have been made"
-                       : "no daemon answers at " + address
-                                 + "\nnext: check the address or use --address of another instance";
+        const bool isOutcomeUnknown = isChange && reply.wasSent;
+        result.code = isOutcomeUnknown ? exit_code::Unknown : exit_code::Unreachable;
+        result.problem = isOutcomeUnknown
+                                 ? "the daemon at " + address
+                                           + " did not answer; the change may have been made"
+                                 : "no daemon answers at " + address
+                                           + "\nnext: check the address or use --address of "
+                                             "another instance";
         return result;
     }
     result.text = std::move(reply.body);
@@ -92,7 +94,7 @@
     const bool isUnknown = isChange && result.json.value("outcome", "unknown") == "unknown";
     result.code = isUnknown ? exit_code::Unknown : exit_code::Refused;
     result.problem =
-            result.error + ": " + result.json.value("problem", "") + adviceFor(result.error);
+            result.error + ": " + result.json.value("problem", "") + nextStepFor(result.error);
     return result;
 }
 
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Table of the commands, and the help.
+/// @brief Command table, dispatch and help text.
 
 #include <fuchsiagw/ctl/commands.hpp>
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t longestCommand = 2; ///< words
+constexpr std::size_t maxCommandWords = 2;
 
 std::string usageOf(const command &each)
 {
@@ -23,7 +23,7 @@
 
 const command *findCommand(std::vector<std::string> &words)
 {
-    for (std::size_t count = std::min(longestCommand, words.size()); count > 0; --count) {
+    for (std::size_t count = std::min(maxCommandWords, words.size()); count > 0; --count) {
         std::string name = words[0];
         for (std::size_t i = 1; i < count; ++i)
             name.append(" ").append(words[i]);
@@ -120,7 +120,7 @@
 {
     command_line line = parseCommandLine(arguments);
     if (!line.problem.empty())
-        return refuseUsage(context, line.problem);
+        return reportUsageError(context, line.problem);
     if (line.words.empty()) {
         printHelp(line.wantsHelp ? context.out : context.err);
         return line.wantsHelp ? exit_code::Done : exit_code::Usage;
@@ -128,13 +128,13 @@
     const std::string first = line.words[0];
     const command *found = findCommand(line.words);
     if (found == nullptr)
-        return refuseUsage(context, "there is no command '" + first + "' of this form");
+        return reportUsageError(context, "there is no command '" + first + "' of this form");
     if (line.wantsHelp) {
         printCommandHelp(context.out, *found);
         return exit_code::Done;
     }
-    if (line.words.size() < found->fewest || line.words.size() > found->most)
-        return refuseUsage(context, "usage: fuchsiagwctl " + usageOf(*found));
+    if (line.words.size() < found->minParameters || line.words.size() > found->maxParameters)
+        return reportUsageError(context, "usage: fuchsiagwctl " + usageOf(*found));
     return found->run(context, line.words);
 }
 
--- a/src/ctl/configuration_commands.cpp
+++ b/src/ctl/configuration_commands.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Commands that read the configuration, or change one part of it by a note of their own.
+/// @brief Commands that show the configuration or change one section with a generated release note.
 
 #include <fuchsiagw/ctl/commands.hpp>
 #include <fuchsiagw/ctl/flags.hpp>
@@ -19,9 +19,10 @@
 using core::section_kind;
 
 constexpr std::size_t shownHashLength = 12;
-constexpr std::size_t fewestHashDigits = 8; ///< of a prefix that names a key
+constexpr std::size_t minHashPrefixDigits = 8; ///< of a prefix that identifies a key
 
-/// Fetches the configuration for a command; @return Done, or the code after a report.
+/// @brief Fetches the configuration and prints the error of a failure.
+/// @return Done, or the exit code of the failure
 exit_code fetch(const command_context &context, core::configuration &config, std::string &text)
 {
     const admin_result result =
@@ -48,7 +49,8 @@
     return exit_code::Done;
 }
 
-/// Prints the whole document with --json. @return whether it did
+/// @brief Prints the unparsed document if --json is set.
+/// @return whether it was printed
 bool printDocument(const command_context &context, const std::string &text)
 {
     if (absl::GetFlag(FLAGS_json))
@@ -83,13 +85,13 @@
 {
     if (!absl::GetFlag(FLAGS_store).empty())
         return setStoreSwitch(context, name, isOn);
-    const auto known =
+    const auto foundAction =
             std::find(core::automaticActionNames.begin(), core::automaticActionNames.end(), name);
-    if (known == core::automaticActionNames.end())
-        return refuseUsage(context,
-                           "there is no switch '" + name
-                                   + "'; the switches are all, promotion, rebalancing, loans and "
-                                     "probing");
+    if (foundAction == core::automaticActionNames.end())
+        return reportUsageError(
+                context, "there is no switch '" + name
+                                 + "'; the switches are all, promotion, rebalancing, loans and "
+                                   "probing");
     core::configuration config;
     std::string text;
     if (const exit_code code = fetch(context, config, text); code != exit_code::Done)
@@ -138,7 +140,7 @@
                              const std::vector<std::string> &parameters)
 {
     if (absl::GetFlag(FLAGS_rate) <= 0)
-        return refuseUsage(context, "a workspace needs --rate, in statements per second");
+        return reportUsageError(context, "a workspace needs --rate, in statements per second");
     core::configuration config;
     std::string text;
     if (const exit_code code = fetch(context, config, text); code != exit_code::Done)
@@ -154,7 +156,8 @@
                            const std::vector<std::string> &parameters)
 {
     if (absl::GetFlag(FLAGS_rate) <= 0)
-        return refuseUsage(context, "give --rate, in statements per second, and maybe --burst");
+        return reportUsageError(context,
+                                "give --rate, in statements per second, and optionally --burst");
     core::configuration config;
     core::workspace_settings workspace;
     if (const exit_code code = fetchWorkspace(context, parameters[0], config, workspace);
@@ -176,7 +179,8 @@
     core::section_changes list;
     list.added[{ section_kind::Key, parameters[0], wire::hashKey(key) }] = core::key_section{};
     const exit_code code = submitChanges(context, config.version, list);
-    // With an open outcome the key may be valid already; without it nobody could use or find it.
+    // With an unknown outcome the key may already be valid. It cannot be recovered from its hash,
+    // so it is printed in that case too.
     if (code == exit_code::Done || code == exit_code::Unknown)
         context.out << "key " << key << "\nhash " << wire::hashKey(key)
                     << "\nThe key is shown this once; hand it to the workspace's owner.\n";
@@ -186,9 +190,10 @@
 exit_code runKeyWithdraw(const command_context &context, const std::vector<std::string> &parameters)
 {
     const std::string &prefix = parameters[1];
-    if (prefix.size() < fewestHashDigits || prefix.starts_with(wire::keyPrefix))
-        return refuseUsage(context, "name the key by at least 8 digits of its hash, as 'key list' "
-                                    "shows it; never type the key itself");
+    if (prefix.size() < minHashPrefixDigits || prefix.starts_with(wire::keyPrefix))
+        return reportUsageError(context,
+                                "name the key by at least 8 digits of its hash, as 'key list' "
+                                "shows it; never type the key itself");
     core::configuration config;
     core::workspace_settings workspace;
     if (const exit_code code = fetchWorkspace(context, parameters[0], config, workspace);
@@ -240,7 +245,7 @@
 {
     const std::int64_t age = absl::GetFlag(FLAGS_max_age_ms);
     if (age <= 0)
-        return refuseUsage(context, "give --max_age_ms, the age that these reads accept");
+        return reportUsageError(context, "give --max_age_ms, the age that these reads accept");
     core::configuration config;
     core::workspace_settings workspace;
     if (const exit_code code = fetchWorkspace(context, parameters[0], config, workspace);
--- a/src/ctl/flags.cpp
+++ b/src/ctl/flags.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Flags of fuchsiagwctl and the parser of its command line.
+/// @brief Flags of fuchsiagwctl and its command-line parser.
 
 #include <fuchsiagw/ctl/flags.hpp>
 
@@ -38,16 +38,16 @@
     "burst",   "groups",      "max_age_ms", "version", "against",    "for_s", "store"
 };
 
-/// Finds the flag of an argument such as `--name` or `--noname`.
+/// Finds the flag for an argument name such as `name` or `noname`.
 absl::CommandLineFlag *findFlag(std::string_view name, bool &isNegated)
 {
     isNegated = false;
-    const auto isOwn = [](std::string_view each) {
+    const auto isOwnFlag = [](std::string_view each) {
         return std::find(ownFlags.begin(), ownFlags.end(), each) != ownFlags.end();
     };
-    if (isOwn(name))
+    if (isOwnFlag(name))
         return absl::FindCommandLineFlag(std::string(name));
-    if (!name.starts_with("no") || !isOwn(name.substr(2)))
+    if (!name.starts_with("no") || !isOwnFlag(name.substr(2)))
         return nullptr;
     absl::CommandLineFlag *flag = absl::FindCommandLineFlag(std::string(name.substr(2)));
     isNegated = flag != nullptr && flag->IsOfType<bool>();
@@ -98,12 +98,12 @@
             }
             value = arguments[i];
         }
-        std::string why;
-        if (!flag->ParseFrom(value, &why)) {
+        std::string parseError;
+        if (!flag->ParseFrom(value, &parseError)) {
             line.problem.append("the flag '--")
                     .append(name)
                     .append("' has a wrong value: ")
-                    .append(why);
+                    .append(parseError);
             return line;
         }
     }
--- a/src/ctl/instance_commands.cpp
+++ b/src/ctl/instance_commands.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Commands on groups, instances and freshness.
+/// @brief Commands for groups, instances, freshness statements and status.
 
 #include <fuchsiagw/ctl/commands.hpp>
 #include <fuchsiagw/ctl/flags.hpp>
@@ -14,12 +14,14 @@
 
 using nlohmann::json;
 
-/// Statements are renewed well within the shortest wait that daemons may be set to, 1 s.
-constexpr std::chrono::milliseconds vouchPause{ 500 };
-constexpr std::chrono::milliseconds referencePause{ 100 };
-constexpr std::chrono::milliseconds referenceTime{ 6000 }; ///< two proofs of the slowest kind
+/// Well below 1 s, the minimum that daemons accept for keys.unproven_wait_ms.
+constexpr std::chrono::milliseconds vouchInterval{ 500 };
+constexpr std::chrono::milliseconds referencePollInterval{ 100 };
+constexpr std::chrono::milliseconds referenceTimeout{
+    6000
+}; ///< two intervals of the slowest proof source
 
-std::string textOf(const json &object, const char *name)
+std::string fieldText(const json &object, const char *name)
 {
     const auto field = object.find(name);
     if (field == object.end() || field->is_null())
@@ -46,16 +48,16 @@
     text_table table{ { "GROUP", "MEMBER", "ROLE", "ZONE", "ADDRESS", "APPLIED", "STATE" } };
     bool isFound = only.empty();
     for (const json &group : result.json.value("groups", json::array())) {
-        const std::string name = textOf(group, "group");
+        const std::string name = fieldText(group, "group");
         if (!only.empty() && name != only)
             continue;
         isFound = true;
         for (const json &member : group.value("members", json::array())) {
             const json applied = member.value("applied", json::object());
-            table.push_back({ name, textOf(member, "member"), textOf(member, "role"),
-                              textOf(member, "zone"), textOf(member, "address"),
-                              textOf(applied, "term") + "/" + textOf(applied, "index"),
-                              textOf(member, "state") });
+            table.push_back({ name, fieldText(member, "member"), fieldText(member, "role"),
+                              fieldText(member, "zone"), fieldText(member, "address"),
+                              fieldText(applied, "term") + "/" + fieldText(applied, "index"),
+                              fieldText(member, "state") });
         }
     }
     if (!isFound) {
@@ -67,24 +69,24 @@
     return exit_code::Done;
 }
 
-/// Asks another instance until its proof is younger than the challenge, which was issued before
-/// this call: an older proof says nothing about the time of the challenge.
-exit_code askReference(const command_context &context, const std::string &against,
-                       core::configuration_version &version, admin_result &result)
+/// Polls another instance until its proof is newer than the challenge, which was issued before this
+/// call. An older proof does not show which version was the newest when the challenge was issued.
+exit_code fetchReferenceVersion(const command_context &context, const std::string &against,
+                                core::configuration_version &version, admin_result &result)
 {
     const std::chrono::milliseconds start = context.elapsed();
-    while (context.elapsed() - start < referenceTime) {
-        const std::chrono::milliseconds asked = context.elapsed() - start;
+    while (context.elapsed() - start < referenceTimeout) {
+        const std::chrono::milliseconds requestOffset = context.elapsed() - start;
         result = callAdmin(context.transport, against, "GET", "/v1/admin/status", {}, false);
         if (result.code != exit_code::Done)
             return result.code;
         const json proof = result.json.value("proof", json::object());
         if (proof.value("proven", false) && proof.value("source", "") != "operator"
-            && proof.value("age_ms", asked.count()) < asked.count()) {
+            && proof.value("age_ms", requestOffset.count()) < requestOffset.count()) {
             version = result.json.value("version", core::configuration_version{ 0 });
             return exit_code::Done;
         }
-        context.sleep(referencePause);
+        context.sleep(referencePollInterval);
     }
     result.code = exit_code::Refused;
     result.problem = "the instance at " + against
@@ -93,7 +95,8 @@
     return result.code;
 }
 
-/// Hands one statement to the instance. @param result the last answer
+/// @brief Sends one signed statement to the instance.
+/// @param result the last response
 exit_code vouchOnce(const command_context &context, admin_result &result)
 {
     const std::string address = absl::GetFlag(FLAGS_address);
@@ -101,12 +104,12 @@
             callAdmin(context.transport, address, "POST", "/v1/admin/vouch/challenge", "{}", false);
     if (result.code != exit_code::Done)
         return result.code;
-    const std::string challenge = textOf(result.json, "challenge");
-    const std::string instance = textOf(result.json, "instance");
+    const std::string challenge = fieldText(result.json, "challenge");
+    const std::string instance = fieldText(result.json, "instance");
     core::configuration_version version = absl::GetFlag(FLAGS_version);
     const std::string against = absl::GetFlag(FLAGS_against);
     if (!against.empty()) {
-        const exit_code code = askReference(context, against, version, result);
+        const exit_code code = fetchReferenceVersion(context, against, version, result);
         if (code != exit_code::Done)
             return code;
     }
@@ -136,7 +139,7 @@
                           const std::vector<std::string> &parameters)
 {
     if (!core::isName(parameters[0]))
-        return refuseUsage(context, "'" + parameters[0] + "' is not the name of a group");
+        return reportUsageError(context, "'" + parameters[0] + "' is not the name of a group");
     json body = json::object();
     if (parameters.size() > 1)
         body["member"] = parameters[1];
@@ -153,8 +156,9 @@
     if (absl::GetFlag(FLAGS_json))
         context.out << result.text << '\n';
     else
-        context.out << "group " << parameters[0] << " has primary " << textOf(result.json, "member")
-                    << " under term " << textOf(result.json, "term") << '\n';
+        context.out << "group " << parameters[0] << " has primary "
+                    << fieldText(result.json, "member") << " under term "
+                    << fieldText(result.json, "term") << '\n';
     return exit_code::Done;
 }
 
@@ -170,8 +174,9 @@
     }
     text_table table{ { "INSTANCE", "KIND", "ZONE", "ADDRESS", "STATE" } };
     for (const json &each : result.json.value("instances", json::array()))
-        table.push_back({ textOf(each, "instance"), textOf(each, "kind"), textOf(each, "zone"),
-                          textOf(each, "address"), textOf(each, "state") });
+        table.push_back({ fieldText(each, "instance"), fieldText(each, "kind"),
+                          fieldText(each, "zone"), fieldText(each, "address"),
+                          fieldText(each, "state") });
     printTable(context.out, table);
     return exit_code::Done;
 }
@@ -179,9 +184,10 @@
 exit_code runVouch(const command_context &context, const std::vector<std::string> & /*parameters*/)
 {
     if ((absl::GetFlag(FLAGS_version) == 0) == absl::GetFlag(FLAGS_against).empty())
-        return refuseUsage(context, "give either --version N, which you know to be the newest, or "
-                                    "--against with the address of an instance that reads the "
-                                    "platform");
+        return reportUsageError(context,
+                                "give either --version N, which you know to be the newest, or "
+                                "--against with the address of an instance that reads the "
+                                "platform");
     const std::chrono::seconds span(absl::GetFlag(FLAGS_for_s));
     admin_result result;
     do {
@@ -189,15 +195,15 @@
         if (code != exit_code::Done)
             return report(context, result);
         if (span.count() > 0)
-            context.sleep(vouchPause);
+            context.sleep(vouchInterval);
     } while (context.elapsed() < span);
     if (absl::GetFlag(FLAGS_json))
         context.out << result.text << '\n';
     else
-        context.out << "the instance holds version " << textOf(result.json, "version")
+        context.out << "the instance holds version " << fieldText(result.json, "version")
                     << (result.json.value("proven", false)
                                 ? " and accepts keys for another "
-                                          + textOf(result.json, "proven_ms") + " ms\n"
+                                          + fieldText(result.json, "proven_ms") + " ms\n"
                                 : " and accepts no keys: it lacks the version vouched for\n");
     return result.json.value("proven", false) ? exit_code::Done : exit_code::Refused;
 }
@@ -213,17 +219,18 @@
     }
     const json proof = result.json.value("proof", json::object());
     printTable(context.out,
-               { { "instance", textOf(result.json, "instance") },
-                 { "zone", textOf(result.json, "zone") },
-                 { "state", textOf(result.json, "state") },
-                 { "version", textOf(result.json, "version") },
-                 { "in force everywhere", textOf(result.json, "in_force_everywhere") },
+               { { "instance", fieldText(result.json, "instance") },
+                 { "zone", fieldText(result.json, "zone") },
+                 { "state", fieldText(result.json, "state") },
+                 { "version", fieldText(result.json, "version") },
+                 { "in force everywhere", fieldText(result.json, "in_force_everywhere") },
                  { "accepts keys", proof.value("proven", false) ? "yes" : "no" },
-                 { "proof", textOf(proof, "source") + ", " + textOf(proof, "age_ms") + " ms old" },
-                 { "platform reachable", textOf(result.json, "platform_reachable") },
-                 { "parent", textOf(result.json, "parent") },
-                 { "children", textOf(result.json, "children") },
-                 { "instances listed", textOf(result.json, "listed") } });
+                 { "proof",
+                   fieldText(proof, "source") + ", " + fieldText(proof, "age_ms") + " ms old" },
+                 { "platform reachable", fieldText(result.json, "platform_reachable") },
+                 { "parent", fieldText(result.json, "parent") },
+                 { "children", fieldText(result.json, "children") },
+                 { "instances listed", fieldText(result.json, "listed") } });
     return exit_code::Done;
 }
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief fuchsiagwctl, the operators' command.
+/// @brief Entry point of fuchsiagwctl, the operators' command-line tool.
 
 #include <utility>
 
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// Reads the secret of operators; it is never an argument, which other processes can see.
+/// Reads the operators' secret from a file or the environment. It is never passed as an argument,
+/// because other processes can read arguments.
 std::string readSecret()
 {
     std::string secret;
@@ -43,7 +44,7 @@
     if (sodium_init() < 0)
         return static_cast<int>(ctl::exit_code::Usage);
     const auto start = std::chrono::steady_clock::now();
-    // The flags are known only when the command line is parsed, so the secret is read late.
+    // The secret is read at the first request, after runCommandLine() has parsed the flags.
     const ctl::admin_transport transport = [](const std::string &address, const std::string &method,
                                               const std::string &target, const std::string &body) {
         static const ctl::admin_transport http = ctl::httpTransport(readSecret());
--- a/src/ctl/note_commands.cpp
+++ b/src/ctl/note_commands.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Commands on release notes, and the submit that all changes share.
+/// @brief Release note commands and the submission shared by all changes.
 
 #include <fuchsiagw/ctl/commands.hpp>
 #include <fuchsiagw/ctl/flags.hpp>
@@ -16,14 +16,14 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds retryPause{ 500 };
+constexpr std::chrono::milliseconds retryDelay{ 500 };
 
 std::string address()
 {
     return absl::GetFlag(FLAGS_address);
 }
 
-bool hasTime(const command_context &context)
+bool hasTimeLeft(const command_context &context)
 {
     return context.elapsed() < std::chrono::milliseconds(absl::GetFlag(FLAGS_timeout_ms));
 }
@@ -62,16 +62,16 @@
     context.out << '\n';
 }
 
-admin_result askStatus(const command_context &context, const std::string &id)
+admin_result fetchNoteStatus(const command_context &context, const std::string &id)
 {
     return callAdmin(context.transport, address(), "GET", "/v1/admin/notes/" + id, {}, false);
 }
 
-/// Waits until a note that was applied is in force everywhere.
+/// Polls until an applied note is in force everywhere or --timeout_ms has elapsed.
 exit_code waitForNote(const command_context &context, const std::string &id)
 {
     for (;;) {
-        const admin_result result = askStatus(context, id);
+        const admin_result result = fetchNoteStatus(context, id);
         if (result.code == exit_code::Done) {
             if (result.json.value("in_force_everywhere", false)
                 || !result.json.value("applied", false)) {
@@ -81,12 +81,12 @@
         } else if (result.code == exit_code::Refused && result.error == "operator_denied") {
             return report(context, result);
         }
-        if (!hasTime(context)) {
+        if (!hasTimeLeft(context)) {
             context.err << "note " << id << " is not known to be in force everywhere in time"
                         << "\nnext: 'fuchsiagwctl status' of each zone shows who lags\n";
             return exit_code::Unknown;
         }
-        context.sleep(retryPause);
+        context.sleep(retryDelay);
     }
 }
 
@@ -127,7 +127,7 @@
     return result.code;
 }
 
-exit_code refuseUsage(const command_context &context, const std::string &problem)
+exit_code reportUsageError(const command_context &context, const std::string &problem)
 {
     context.err << problem << "\nnext: 'fuchsiagwctl --help' lists the commands and flags\n";
     return exit_code::Usage;
@@ -146,21 +146,22 @@
             printNote(context, result);
             return exit_code::Done;
         }
-        // After an open outcome only the daemon's judgement of the note itself settles it.
-        const bool isJudged =
+        // After an unknown outcome only a rejection of the note itself proves that no earlier
+        // attempt applied it.
+        const bool isNoteRejected =
                 result.error.starts_with("note_") && result.code == exit_code::Refused;
         mayBeApplied = mayBeApplied || result.code == exit_code::Unknown;
-        if (mayBeApplied && !isJudged)
+        if (mayBeApplied && !isNoteRejected)
             result.code = exit_code::Unknown;
-        // The same note may be sent again: it is applied once.
-        if (result.code != exit_code::Unknown || !hasTime(context)) {
+        // Retrying is safe because the note is idempotent: its id is applied once.
+        if (result.code != exit_code::Unknown || !hasTimeLeft(context)) {
             const exit_code code = report(context, result);
             if (code == exit_code::Unknown)
                 context.err << "next: 'fuchsiagwctl note status " << note.id
                             << "' tells whether it was applied\n";
             return code;
         }
-        context.sleep(retryPause);
+        context.sleep(retryDelay);
     }
 }
 
@@ -196,7 +197,7 @@
     const admin_result result = fetchConfiguration(context.transport, address(), newest);
     if (result.code != exit_code::Done)
         return report(context, result);
-    note.base = newest.version; // shows the effect on the newest version, whatever the base
+    note.base = newest.version; // the diff is against the newest version, not the note's base
     core::configuration next;
     core::note_problem problem;
     const std::error_code error = core::applyNote(newest, note, next, problem);
@@ -226,10 +227,10 @@
 exit_code runNoteStatus(const command_context &context, const std::vector<std::string> &parameters)
 {
     if (!core::isName(parameters[0]))
-        return refuseUsage(context, "'" + parameters[0] + "' is not the id of a note");
+        return reportUsageError(context, "'" + parameters[0] + "' is not the id of a note");
     if (absl::GetFlag(FLAGS_wait))
         return waitForNote(context, parameters[0]);
-    const admin_result result = askStatus(context, parameters[0]);
+    const admin_result result = fetchNoteStatus(context, parameters[0]);
     if (result.code != exit_code::Done)
         return report(context, result);
     printNote(context, result);
--- a/src/ctl/note_file.cpp
+++ b/src/ctl/note_file.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Conversion of operators' files to notes.
+/// @brief Parser of release note files.
 
 #include <fuchsiagw/ctl/note_file.hpp>
 
@@ -27,13 +27,13 @@
     std::string text;
 };
 
-[[noreturn]] void fail(const YAML::Node &node, const std::string &what)
+[[noreturn]] void throwAt(const YAML::Node &node, const std::string &what)
 {
     throw yaml_error{ "line " + std::to_string(node.Mark().line + 1) + ": " + what };
 }
 
-/// A plain scalar is a number or a truth value where it reads as one; a quoted one is text.
-json scalarOf(const YAML::Node &node)
+/// A plain scalar becomes a number or a boolean if it has that form; a quoted one is a string.
+json parseScalar(const YAML::Node &node)
 {
     const std::string &text = node.Scalar();
     if (node.Tag() == "!")
@@ -52,7 +52,7 @@
     return text;
 }
 
-/// Fields whose content is text even where it looks like a number.
+/// Fields that are strings even if the content has the form of a number.
 bool isTextField(const std::string &name)
 {
     static const std::set<std::string> fields{ "id",   "group", "workspace", "member", "name",
@@ -60,25 +60,25 @@
     return fields.contains(name);
 }
 
-json jsonOf(const YAML::Node &node, int depth)
+json parseNode(const YAML::Node &node, int depth)
 {
     if (depth > maxDepth)
-        fail(node, "nested too deeply");
+        throwAt(node, "nested too deeply");
     if (node.IsScalar())
-        return scalarOf(node);
+        return parseScalar(node);
     if (node.IsSequence()) {
         json list = json::array();
         for (const YAML::Node &each : node)
-            list.push_back(jsonOf(each, depth + 1));
+            list.push_back(parseNode(each, depth + 1));
         return list;
     }
     if (!node.IsMap())
-        fail(node, "is empty");
+        throwAt(node, "is empty");
     json object = json::object();
     for (const auto &each : node) {
         const std::string name = each.first.Scalar();
         if (object.contains(name))
-            fail(each.first, "the name '" + name + "' is repeated");
+            throwAt(each.first, "the name '" + name + "' is repeated");
         if (isTextField(name) && each.second.IsScalar())
             object[name] = each.second.Scalar();
         else if (name == "groups" && each.second.IsSequence()) {
@@ -86,7 +86,7 @@
             for (const YAML::Node &group : each.second)
                 object[name].push_back(group.IsScalar() ? json(group.Scalar()) : json());
         } else {
-            object[name] = jsonOf(each.second, depth + 1);
+            object[name] = parseNode(each.second, depth + 1);
         }
     }
     return object;
@@ -98,7 +98,7 @@
 {
     json document;
     try {
-        document = jsonOf(YAML::Load(text), 0);
+        document = parseNode(YAML::Load(text), 0);
     } catch (const YAML::Exception &error) {
         return "line " + std::to_string(error.mark.line + 1) + ": " + error.msg;
     } catch (const yaml_error &error) {
--- a/src/ctl/store_call.cpp
+++ b/src/ctl/store_call.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One call to the platform's store.
+/// @brief Calls to the platform's store.
 
 #include <fuchsiagw/ctl/store_call.hpp>
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds callTime{ 3'000 };
+constexpr std::chrono::milliseconds callTimeout{ 3'000 };
 
 net::http_exchange callAddress(const std::string &address, const net::http_request &request)
 {
@@ -26,7 +26,7 @@
         result.error = failed;
         return result;
     }
-    return net::callAndWait(peer, request, net::currentTime() + callTime);
+    return net::callAndWait(peer, request, net::currentTime() + callTimeout);
 }
 
 } // namespace
@@ -37,7 +37,7 @@
     return context.store ? context.store(address, request) : callAddress(address, request);
 }
 
-exit_code complain(const command_context &context, exit_code code, const std::string &text)
+exit_code reportError(const command_context &context, exit_code code, const std::string &text)
 {
     context.err << text << '\n';
     return code;
--- a/src/ctl/store_switch.cpp
+++ b/src/ctl/store_switch.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reads and writes the operators' switch in the platform's store.
+/// @brief Reads and writes the promotion switch in the platform's store.
 
 #include <fuchsiagw/ctl/store_switch.hpp>
 
@@ -15,12 +15,12 @@
 
 namespace {
 
-/// What the store says of the switch.
+/// Stored state of the switch, or the exit code of a failed read.
 struct switch_state
 {
     exit_code code = exit_code::Unreachable;
     bool allowed = true;
-    std::uint64_t version = 0; ///< 0: it was never set
+    std::uint64_t version = 0; ///< 0: the switch was never set
 };
 
 switch_state readState(const command_context &context)
@@ -45,7 +45,7 @@
     return state;
 }
 
-std::string describe(bool allowed)
+std::string describePromotion(bool allowed)
 {
     return std::string("promotion is ") + (allowed ? "on" : "off");
 }
@@ -55,32 +55,34 @@
 exit_code setStoreSwitch(const command_context &context, const std::string &name, bool isOn)
 {
     if (name != wire::promotionSwitch && name != "all")
-        return refuseUsage(context, "there is no switch '" + name
-                                            + "' in the store; the switches are all and promotion");
+        return reportUsageError(context,
+                                "there is no switch '" + name
+                                        + "' in the store; the switches are all and promotion");
     adapter::row_change change;
     change.table = wire::automationTable;
     change.key = wire::promotionSwitch;
     change.value = wire::toJson({ isOn });
     const net::http_exchange exchange = callStore(context, adapter::changeRows({ change }));
     if (exchange.error && !exchange.sent)
-        return complain(context, exit_code::Unreachable,
-                        "the store does not answer; nothing was changed");
+        return reportError(context, exit_code::Unreachable,
+                           "the store does not answer; nothing was changed");
     if (!exchange.error && exchange.response.status != storeStatusOk)
-        return complain(context, exit_code::Refused,
-                        "the store refused the change with status "
-                                + std::to_string(exchange.response.status)
-                                + "; nothing was changed");
+        return reportError(context, exit_code::Refused,
+                           "the store refused the change with status "
+                                   + std::to_string(exchange.response.status)
+                                   + "; nothing was changed");
     if (exchange.error && readState(context).code != exit_code::Done)
-        return complain(context, exit_code::Unknown,
-                        "the store's answer was lost; ask with 'fuchsiagwctl switch list --store'");
+        return reportError(
+                context, exit_code::Unknown,
+                "the store's answer was lost; ask with 'fuchsiagwctl switch list --store'");
     const switch_state now = readState(context);
     if (now.code != exit_code::Done || now.allowed != isOn)
-        return complain(context, exit_code::Unknown,
-                        "the change may still be carried out; ask with "
-                        "'fuchsiagwctl switch list --store'");
-    context.out << describe(isOn) << '\n';
+        return reportError(context, exit_code::Unknown,
+                           "the change may still be carried out; ask with "
+                           "'fuchsiagwctl switch list --store'");
+    context.out << describePromotion(isOn) << '\n';
     if (!isOn)
-        context.out << "an attempt that had begun ends within 3 s; no other one starts\n";
+        context.out << "a promotion that is already running ends within 3 s; no new one starts\n";
     return exit_code::Done;
 }
 
@@ -88,10 +90,10 @@
 {
     const switch_state state = readState(context);
     if (state.code == exit_code::Unreachable)
-        return complain(context, state.code, "the store does not answer");
+        return reportError(context, state.code, "the store does not answer");
     if (state.code != exit_code::Done)
-        return complain(context, state.code, "the store refused the question");
-    context.out << describe(state.allowed);
+        return reportError(context, state.code, "the store rejected the read");
+    context.out << describePromotion(state.allowed);
     if (state.version == 0)
         context.out << " (never set)\n";
     else
--- a/src/ctl/table.cpp
+++ b/src/ctl/table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Aligned tables.
+/// @brief Formatting of tables.
 
 #include <fuchsiagw/ctl/table.hpp>
 
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Parsing of addresses.
+/// @brief Parsing and formatting of endpoints.
 
 #include <fuchsiagw/net/endpoint.hpp>
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reuse of connections between single calls.
+/// @brief Connection reuse between single HTTP calls.
 
 #include <utility>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t idlePerPeer = 2; // connections
+constexpr std::size_t maxIdlePerPeer = 2;
 
 } // namespace
 
@@ -17,10 +17,10 @@
                        http_connection::exchange_handler done)
 {
     const std::string name = toString(peer);
-    auto &kept = idle_[name];
-    while (!kept.empty()) {
-        const auto connection = kept.back();
-        kept.pop_back();
+    auto &idleConnections = idle_[name];
+    while (!idleConnections.empty()) {
+        const auto connection = idleConnections.back();
+        idleConnections.pop_back();
         if (connection->isOpen()) {
             run(name, connection, request, deadline, std::move(done));
             return;
@@ -42,9 +42,9 @@
 {
     connection->exchange(request, deadline,
                          [this, name, connection, done = std::move(done)](http_exchange &&result) {
-                             auto &kept = idle_[name];
-                             if (connection->isOpen() && kept.size() < idlePerPeer)
-                                 kept.push_back(connection);
+                             auto &idleConnections = idle_[name];
+                             if (connection->isOpen() && idleConnections.size() < maxIdlePerPeer)
+                                 idleConnections.push_back(connection);
                              done(std::move(result));
                          });
 }
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The client connection on Boost.Beast.
+/// @brief HTTP client connection based on Boost.Beast.
 
 #include <utility>
 
@@ -35,7 +35,7 @@
     return std::make_error_code(std::errc::connection_reset);
 }
 
-http_response toPlain(http::response<http::string_body> &&from)
+http_response toResponse(http::response<http::string_body> &&from)
 {
     http_response response;
     response.status = static_cast<int>(from.result_int());
@@ -55,10 +55,10 @@
     boost::beast::flat_buffer buffer;
     http::request<http::string_body> request;
     std::optional<http::response_parser<http::string_body>> parser;
-    exchange_handler done; ///< set exactly while an exchange is under way
+    exchange_handler done; ///< set exactly while an exchange is in progress
     closed_handler closedWhileIdle;
     bool open = false;
-    std::uint64_t idleWatch = 0; ///< tells an outdated idle watch from the current one
+    std::uint64_t idleWatchGeneration = 0; ///< a handler of an older generation does nothing
 };
 
 std::shared_ptr<http_connection> http_connection::create(boost::asio::io_context &context,
@@ -99,7 +99,7 @@
     implementation &self = *implementation_;
     assert(!self.done);
     self.done = std::move(done);
-    ++self.idleWatch;
+    ++self.idleWatchGeneration;
     if (!self.open) {
         finish({ std::make_error_code(std::errc::not_connected), false, {} });
         return;
@@ -128,17 +128,17 @@
                     keep->finish({ toStd(writeError), true, {} });
                     return;
                 }
-                http::async_read(state.stream, state.buffer, *state.parser,
-                                 [keep](const boost::system::error_code &readError, std::size_t) {
-                                     if (readError) {
-                                         keep->finish({ toStd(readError), true, {} });
-                                         return;
-                                     }
-                                     keep->finish(
-                                             { {},
-                                               true,
-                                               toPlain(keep->implementation_->parser->release()) });
-                                 });
+                http::async_read(
+                        state.stream, state.buffer, *state.parser,
+                        [keep](const boost::system::error_code &readError, std::size_t) {
+                            if (readError) {
+                                keep->finish({ toStd(readError), true, {} });
+                                return;
+                            }
+                            keep->finish({ {},
+                                           true,
+                                           toResponse(keep->implementation_->parser->release()) });
+                        });
             });
 }
 
@@ -164,18 +164,18 @@
     implementation_->closedWhileIdle = std::move(closed);
 }
 
-// A connection that the peer has closed while idle would make the next write's outcome unknown;
-// noticing it here keeps such a connection from being used.
+// A write to a connection that the peer has closed while idle would have an unknown outcome.
+// Detecting the close here prevents such a connection from being reused.
 void http_connection::watchIdle()
 {
     implementation &self = *implementation_;
-    const std::uint64_t watch = ++self.idleWatch;
+    const std::uint64_t generation = ++self.idleWatchGeneration;
     self.stream.socket().async_wait(
             tcp::socket::wait_read,
-            [weak = weak_from_this(), watch](const boost::system::error_code &error) {
+            [weak = weak_from_this(), generation](const boost::system::error_code &error) {
                 const auto keep = weak.lock();
                 if (!keep || error == boost::asio::error::operation_aborted
-                    || keep->implementation_->idleWatch != watch)
+                    || keep->implementation_->idleWatchGeneration != generation)
                     return;
                 keep->close();
                 if (keep->implementation_->closedWhileIdle)
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Look-up of headers.
+/// @brief Header lookup.
 
 #include <fuchsiagw/net/http_message.hpp>
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The HTTP server on RESTinio. The only file of the product that includes it.
+/// @brief HTTP server based on RESTinio, whose headers are included only in this file.
 
 #include <utility>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Tells the server's user when a connection has ended.
+/// Forwards the end of a connection to the closed handler.
 class connection_listener
 {
 public:
@@ -118,9 +118,9 @@
                                                           .max_field_value_size(maxHeaderValue)
                                                           .max_field_count(maxHeaderCount)
                                                           .max_body_size(self.options.maxBody))
-                        .read_next_http_message_timelimit(self.options.idleLimit)
-                        .write_http_response_timelimit(self.options.idleLimit)
-                        .handle_request_timeout(self.options.handleLimit)
+                        .read_next_http_message_timelimit(self.options.idleTimeout)
+                        .write_http_response_timelimit(self.options.idleTimeout)
+                        .handle_request_timeout(self.options.handlerTimeout)
                         .max_pipelined_requests(1)
                         .concurrent_accepts_count(8)
                         .max_parallel_connections(self.options.maxConnections)
--- a/src/net/line_connection.cpp
+++ b/src/net/line_connection.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reads and writes of line connections.
+/// @brief Reading, writing and closing of line connections.
 
 #include <fuchsiagw/net/line_connection.hpp>
 
@@ -19,40 +19,41 @@
 
 using boost::asio::ip::tcp;
 
-constexpr std::size_t firstInputBytes = 2048;
-/// A peer that does not close after the farewell is left.
-constexpr std::chrono::milliseconds farewellLimit{ 1'000 };
+constexpr std::size_t initialInputBytes = 2048;
+/// Wait for the peer to close its side in a graceful close.
+constexpr std::chrono::milliseconds gracefulCloseTimeout{ 1'000 };
 
-/// Keep-alive times in seconds and the limit of unacknowledged data in milliseconds.
-struct silence_times
+/// TCP keep-alive options and the timeout of unacknowledged data.
+struct keepalive_times
 {
-    int idle;
-    int interval;
-    int count;
-    int unacknowledged;
+    int idleSeconds;
+    int intervalSeconds;
+    int probeCount;
+    int unacknowledgedMs;
 };
 
-constexpr silence_times shortTimes{ 1, 1, 2, 2'500 };
-constexpr silence_times longTimes{ 15, 5, 3, 20'000 };
+constexpr keepalive_times shortKeepalive{ 1, 1, 2, 2'500 };
+constexpr keepalive_times longKeepalive{ 15, 5, 3, 20'000 };
 
 void setOption(tcp::socket &socket, int name, int value)
 {
-    // Without the option the connection still works; its end is only noticed later.
+    // The connection works without the option; the loss of the peer is only detected later.
     static_cast<void>(setsockopt(socket.native_handle(), IPPROTO_TCP, name, &value, sizeof(value)));
 }
 
 } // namespace
 
-void configureKeepalive(tcp::socket &socket, keepalive_profile check)
+void configureKeepalive(tcp::socket &socket, keepalive_profile profile)
 {
-    const silence_times &times = check == keepalive_profile::Short ? shortTimes : longTimes;
+    const keepalive_times &times =
+            profile == keepalive_profile::Short ? shortKeepalive : longKeepalive;
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
-    setOption(socket, TCP_KEEPIDLE, times.idle);
-    setOption(socket, TCP_KEEPINTVL, times.interval);
-    setOption(socket, TCP_KEEPCNT, times.count);
-    setOption(socket, TCP_USER_TIMEOUT, times.unacknowledged);
+    setOption(socket, TCP_KEEPIDLE, times.idleSeconds);
+    setOption(socket, TCP_KEEPINTVL, times.intervalSeconds);
+    setOption(socket, TCP_KEEPCNT, times.probeCount);
+    setOption(socket, TCP_USER_TIMEOUT, times.unacknowledgedMs);
 }
 
 line_connection::line_connection(tcp::socket &&socket, std::size_t maxLine)
@@ -77,24 +78,24 @@
     onClosed_ = std::move(onClosed);
 }
 
-void line_connection::connect(const tcp::endpoint &peer, keepalive_profile check)
+void line_connection::connect(const tcp::endpoint &peer, keepalive_profile profile)
 {
     socket_.async_connect(
-            peer, [keep = shared_from_this(), check](const boost::system::error_code &error) {
+            peer, [keep = shared_from_this(), profile](const boost::system::error_code &error) {
                 if (keep->closed_)
                     return;
                 if (error)
                     keep->fail();
                 else
-                    keep->start(check);
+                    keep->start(profile);
             });
 }
 
-void line_connection::start(keepalive_profile check)
+void line_connection::start(keepalive_profile profile)
 {
     open_ = true;
-    configureKeepalive(socket_, check);
-    input_.resize(firstInputBytes);
+    configureKeepalive(socket_, profile);
+    input_.resize(initialInputBytes);
     read();
     write();
 }
@@ -112,52 +113,53 @@
 
 void line_connection::read()
 {
-    if (filled_ == input_.size())
+    if (receivedBytes_ == input_.size())
         input_.resize(input_.size() * 2);
-    socket_.async_read_some(boost::asio::buffer(input_.data() + filled_, input_.size() - filled_),
-                            [keep = shared_from_this()](const boost::system::error_code &error,
-                                                        std::size_t length) {
-                                if (keep->closed_)
-                                    return;
-                                if (error) {
-                                    keep->fail();
-                                    return;
-                                }
-                                keep->handleInput(length);
-                            });
+    socket_.async_read_some(
+            boost::asio::buffer(input_.data() + receivedBytes_, input_.size() - receivedBytes_),
+            [keep = shared_from_this()](const boost::system::error_code &error,
+                                        std::size_t length) {
+                if (keep->closed_)
+                    return;
+                if (error) {
+                    keep->fail();
+                    return;
+                }
+                keep->handleInput(length);
+            });
 }
 
 void line_connection::handleInput(std::size_t length)
 {
-    // The far end has not seen the close yet, which may be on its way again: it learns now that
-    // nothing will be answered.
-    if (closing_ && closedAtRest_) {
+    // The peer sent this input before it saw the FIN, which may be lost and being retransmitted.
+    // A reset tells the peer without that delay that the request will not be answered.
+    if (closing_ && wasIdleAtClose_) {
         reset();
         return;
     }
-    filled_ = closing_ ? 0 : filled_ + length;
+    receivedBytes_ = closing_ ? 0 : receivedBytes_ + length;
     std::size_t begin = 0;
     while (!closed_ && !closing_) {
-        const auto *const from = input_.data() + std::max(begin, searched_);
-        const auto *const found =
-                static_cast<const char *>(std::memchr(from, '\n', input_.data() + filled_ - from));
+        const auto *const from = input_.data() + std::max(begin, scannedBytes_);
+        const auto *const found = static_cast<const char *>(
+                std::memchr(from, '\n', input_.data() + receivedBytes_ - from));
         if (found == nullptr)
             break;
         std::string_view line(input_.data() + begin, found - input_.data() - begin);
         if (!line.empty() && line.back() == '\r')
             line.remove_suffix(1);
         begin = found - input_.data() + 1;
-        searched_ = begin;
+        scannedBytes_ = begin;
         onLine_(line);
     }
     if (closed_)
         return;
     if (closing_)
-        begin = filled_ = 0;
-    std::memmove(input_.data(), input_.data() + begin, filled_ - begin);
-    filled_ -= begin;
-    searched_ = filled_;
-    if (filled_ > maxLine_) {
+        begin = receivedBytes_ = 0;
+    std::memmove(input_.data(), input_.data() + begin, receivedBytes_ - begin);
+    receivedBytes_ -= begin;
+    scannedBytes_ = receivedBytes_;
+    if (receivedBytes_ > maxLine_) {
         fail();
         return;
     }
@@ -201,7 +203,7 @@
 
 void line_connection::close()
 {
-    // A reset: what a partition holds up must not arrive later.
+    // A reset discards unsent data, so that data delayed by a partition does not arrive later.
     if (open_ && !closing_) {
         reset();
         return;
@@ -228,11 +230,11 @@
         return;
     }
     closing_ = true;
-    closedAtRest_ = queue_.empty() && writing_.empty();
+    wasIdleAtClose_ = queue_.empty() && writing_.empty();
     write();
-    const auto limit =
-            std::make_shared<boost::asio::steady_timer>(socket_.get_executor(), farewellLimit);
-    limit->async_wait([limit, weak = weak_from_this()](const boost::system::error_code &) {
+    const auto timer = std::make_shared<boost::asio::steady_timer>(socket_.get_executor(),
+                                                                   gracefulCloseTimeout);
+    timer->async_wait([timer, weak = weak_from_this()](const boost::system::error_code &) {
         if (const auto keep = weak.lock())
             keep->close();
     });
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Frames, heartbeats and the end of one TCP link.
+/// @brief Framing, heartbeats and closing of one TCP link.
 
 #include <fuchsiagw/detail/tcp_connection.hpp>
 
@@ -18,11 +18,12 @@
 namespace {
 
 constexpr std::size_t lengthBytes = 4;
-constexpr std::size_t maxBatchBytes = 262'144; ///< handed to the system in one write
-constexpr std::size_t maxBatchFrames = 64; ///< the system takes no more buffers at once
-constexpr std::size_t frameOverheadBytes = 64; ///< memory of a queued frame besides its bytes
-/// A heartbeat with its IP and TCP headers and the acknowledgement that it causes.
-constexpr std::uint64_t heartbeatCost = lengthBytes + 40 + 40;
+constexpr std::size_t maxBatchBytes = 262'144; ///< of one write
+constexpr std::size_t maxBatchFrames = 64; ///< Asio passes at most 64 buffers to one writev() call
+constexpr std::size_t frameOverheadBytes =
+        64; ///< memory of a queued frame in addition to its bytes
+/// A heartbeat with its IP and TCP headers and the TCP acknowledgement of the peer.
+constexpr std::uint64_t heartbeatTrafficBytes = lengthBytes + 40 + 40;
 
 std::string withLength(std::string_view content)
 {
@@ -57,7 +58,7 @@
 void tcp_connection::startConnect(const tcp::endpoint &to)
 {
     peer_ = to;
-    ++pending_;
+    ++pendingOperations_;
     socket_.async_connect(to, [self = shared_from_this()](const boost::system::error_code &error) {
         if (error)
             self->close(error);
@@ -71,7 +72,7 @@
 {
     boost::system::error_code error;
     peer_ = socket_.remote_endpoint(error);
-    ++pending_;
+    ++pendingOperations_;
     boost::asio::post(socket_.get_executor(), [self = shared_from_this(), error] {
         if (error)
             self->close(error);
@@ -83,10 +84,10 @@
 
 void tcp_connection::begin()
 {
-    boost::system::error_code ignored; // Without the option small frames are only later.
+    boost::system::error_code ignored; // The option only reduces the latency of small frames.
     socket_.set_option(tcp::no_delay(true), ignored);
     isOpen_ = true;
-    heardAt_ = sentAt_ = usedAt_ = usedSince_ = clock::now();
+    receivedAt_ = sentAt_ = activeAt_ = activeSince_ = clock::now();
     events_.onOpen();
     readNext();
     writeNext();
@@ -101,7 +102,7 @@
     queue_.push_back({ tag, withLength(content) });
     queuedBytes_ += size;
     ++counters_->framesSent;
-    noteUse();
+    recordActivity();
     writeNext();
     return true;
 }
@@ -114,50 +115,52 @@
     cause_ = cause;
     boost::system::error_code ignored;
     socket_.close(ignored);
-    // Reported from the context, so that close() is safe in every handler.
-    ++pending_;
+    // onClosed is called from the context, so that every handler may call close().
+    ++pendingOperations_;
     boost::asio::post(socket_.get_executor(),
                       [self = shared_from_this()] { self->endOperation(); });
 }
 
-void tcp_connection::noteUse()
+void tcp_connection::recordActivity()
 {
     const clock::time_point now = clock::now();
-    if (now - usedAt_ > settings_.useLasts)
-        usedSince_ = now;
-    usedAt_ = now;
+    if (now - activeAt_ > settings_.activePeriod)
+        activeSince_ = now;
+    activeAt_ = now;
 }
 
-void tcp_connection::check(clock::time_point now)
+void tcp_connection::checkLiveness(clock::time_point now)
 {
     if (isClosing_)
         return;
     const auto timedOut = std::make_error_code(std::errc::timed_out);
     if (!isOpen_) {
-        if (now - startedAt_ > settings_.connectLimit)
+        if (now - startedAt_ > settings_.connectTimeout)
             close(timedOut);
         return;
     }
-    if (!isTrusted_ && now - startedAt_ > settings_.connectLimit + settings_.trustLimit) {
+    if (!isTrusted_ && now - startedAt_ > settings_.connectTimeout + settings_.trustTimeout) {
         close(core::error_kind::MessageForeign);
         return;
     }
-    const bool isInUse = now - usedAt_ <= settings_.useLasts;
-    const auto silence = isInUse ? settings_.silence : settings_.idleSilence;
-    const clock::time_point since = isInUse ? std::max(heardAt_, usedSince_) : heardAt_;
-    if (now - since > silence) {
+    const bool isActive = now - activeAt_ <= settings_.activePeriod;
+    const auto heartbeatTimeout =
+            isActive ? settings_.heartbeatTimeout : settings_.idleHeartbeatTimeout;
+    const clock::time_point since = isActive ? std::max(receivedAt_, activeSince_) : receivedAt_;
+    if (now - since > heartbeatTimeout) {
         close(timedOut);
         return;
     }
-    if (!isIncoming_ && now - usedAt_ > settings_.idleLimit) {
+    if (!isIncoming_ && now - activeAt_ > settings_.idleTimeout) {
         close(std::make_error_code(std::errc::operation_canceled));
         return;
     }
-    const auto heartbeat = isInUse ? settings_.heartbeat : settings_.idleHeartbeat;
-    if (now - sentAt_ >= heartbeat && writing_.empty() && queue_.empty()) {
+    const auto heartbeatInterval =
+            isActive ? settings_.heartbeatInterval : settings_.idleHeartbeatInterval;
+    if (now - sentAt_ >= heartbeatInterval && writing_.empty() && queue_.empty()) {
         queue_.push_back({ 0, withLength({}) });
         queuedBytes_ += frameOverheadBytes + lengthBytes;
-        counters_->heartbeatBytes += heartbeatCost;
+        counters_->heartbeatBytes += heartbeatTrafficBytes;
         writeNext();
     }
 }
@@ -166,7 +169,7 @@
 {
     if (isClosing_)
         return;
-    ++pending_;
+    ++pendingOperations_;
     socket_.async_read_some(
             boost::asio::buffer(chunk_),
             [self = shared_from_this()](const boost::system::error_code &error, std::size_t size) {
@@ -183,36 +186,37 @@
         close(error);
         return;
     }
-    heardAt_ = clock::now();
+    receivedAt_ = clock::now();
     counters_->bytesReceived += size;
     received_.append(chunk_.data(), size);
-    takeFrames();
+    parseFrames();
     readNext();
 }
 
-void tcp_connection::takeFrames()
+void tcp_connection::parseFrames()
 {
-    std::size_t taken = 0;
-    while (!isClosing_ && received_.size() - taken >= lengthBytes) {
-        const std::string_view rest = std::string_view(received_).substr(taken);
+    std::size_t consumed = 0;
+    while (!isClosing_ && received_.size() - consumed >= lengthBytes) {
+        const std::string_view rest = std::string_view(received_).substr(consumed);
         const std::size_t length = readLength(rest);
-        const std::size_t most = isTrusted_ ? wire::maxFrameBytes : settings_.untrustedFrameBytes;
-        if (length > most) {
+        const std::size_t maxLength =
+                isTrusted_ ? wire::maxFrameBytes : settings_.untrustedFrameBytes;
+        if (length > maxLength) {
             close(core::error_kind::MessageTooLarge);
             return;
         }
         if (rest.size() - lengthBytes < length)
             break;
-        taken += lengthBytes + length;
+        consumed += lengthBytes + length;
         if (length == 0) {
-            counters_->heartbeatBytes += heartbeatCost;
+            counters_->heartbeatBytes += heartbeatTrafficBytes;
             continue;
         }
         ++counters_->framesReceived;
-        noteUse();
+        recordActivity();
         events_.onFrame(rest.substr(lengthBytes, length));
     }
-    received_.erase(0, taken);
+    received_.erase(0, consumed);
 }
 
 void tcp_connection::writeNext()
@@ -230,7 +234,7 @@
     buffers.reserve(writing_.size());
     for (const frame &each : writing_)
         buffers.emplace_back(each.bytes.data(), each.bytes.size());
-    ++pending_;
+    ++pendingOperations_;
     boost::asio::async_write(
             socket_, buffers,
             [self = shared_from_this()](const boost::system::error_code &error, std::size_t size) {
@@ -244,7 +248,7 @@
     counters_->bytesSent += size;
     std::size_t begin = 0;
     for (const frame &each : writing_) {
-        // A frame of which one byte was taken by the system may arrive.
+        // A frame may arrive at the peer once one byte of it was written.
         if (error && begin >= size && each.tag != 0)
             unwritten_.push_back(each.tag);
         begin += each.bytes.size();
@@ -261,8 +265,8 @@
 
 void tcp_connection::endOperation()
 {
-    --pending_;
-    if (!isClosing_ || pending_ > 0 || isReported_)
+    --pendingOperations_;
+    if (!isClosing_ || pendingOperations_ > 0 || isReported_)
         return;
     isReported_ = true;
     net::link_closure end{ cause_, std::move(unwritten_) };
--- a/src/net/tcp_link.cpp
+++ b/src/net/tcp_link.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Opening, accepting, watching and closing of TCP links.
+/// @brief Opening, accepting, monitoring and closing of TCP links.
 
 #include <fuchsiagw/net/tcp_link.hpp>
 
@@ -18,11 +18,11 @@
 using boost::asio::ip::tcp;
 using detail::tcp_connection;
 
-/// How often links are checked for heartbeats and silence.
-constexpr std::chrono::milliseconds checkEvery{ 50 };
+/// How often links are checked for due heartbeats and timeouts.
+constexpr std::chrono::milliseconds checkInterval{ 50 };
 
-/// Pause after a failed accept, for example without free file descriptors.
-constexpr std::chrono::milliseconds acceptPause{ 100 };
+/// Delay after a failed accept, for example without free file descriptors.
+constexpr std::chrono::milliseconds acceptRetryDelay{ 100 };
 
 } // namespace
 
@@ -36,11 +36,11 @@
     boost::asio::steady_timer acceptTimer;
     boost::asio::steady_timer checkTimer;
     bool isChecking = false;
-    bool isShut = false;
-    link_id last = 0;
+    bool isShutDown = false;
+    link_id lastId = 0;
     std::map<link_id, std::shared_ptr<tcp_connection>> links;
     std::map<tcp::endpoint, link_id> outgoing; ///< only links that are not closing
-    std::map<tcp::endpoint, tcp_connection::clock::time_point> failedUntil;
+    std::map<tcp::endpoint, tcp_connection::clock::time_point> reconnectAllowedAt;
 
     state(boost::asio::io_context &ioContext, const tcp_settings &tcpSettings,
           tcp_handlers tcpHandlers)
@@ -54,7 +54,7 @@
 
     std::shared_ptr<tcp_connection> add(tcp::socket socket, bool isIncoming)
     {
-        const link_id id = ++last;
+        const link_id id = ++lastId;
         const std::weak_ptr<state> weak = weak_from_this();
         detail::connection_events events;
         events.onOpen = [weak, id] {
@@ -62,7 +62,7 @@
                 self->onOpen(id);
         };
         events.onFrame = [weak, id](std::string_view frame) {
-            if (const auto self = weak.lock(); self && !self->isShut)
+            if (const auto self = weak.lock(); self && !self->isShutDown)
                 self->handlers.onFrame(id, frame);
         };
         events.onClosed = [weak, id](const link_closure &end) {
@@ -79,7 +79,7 @@
     void onOpen(link_id id)
     {
         const auto entry = links.find(id);
-        if (isShut || entry == links.end())
+        if (isShutDown || entry == links.end())
             return;
         ++counters->opened;
         const tcp::endpoint peer = entry->second->peer();
@@ -89,29 +89,29 @@
     void onClosed(link_id id, const link_closure &end)
     {
         const auto entry = links.find(id);
-        if (isShut || entry == links.end())
+        if (isShutDown || entry == links.end())
             return;
         const std::shared_ptr<tcp_connection> connection = entry->second;
         links.erase(entry);
-        forgetOutgoing(id, *connection);
+        removeOutgoing(id, *connection);
         if (!connection->wasOpen() && !connection->isIncoming())
-            noteFailure(connection->peer());
+            recordConnectFailure(connection->peer());
         ++counters->closed;
         handlers.onClose(id, end);
     }
 
-    void forgetOutgoing(link_id id, const tcp_connection &connection)
+    void removeOutgoing(link_id id, const tcp_connection &connection)
     {
         const auto entry = outgoing.find(connection.peer());
         if (entry != outgoing.end() && entry->second == id)
             outgoing.erase(entry);
     }
 
-    void noteFailure(const tcp::endpoint &peer)
+    void recordConnectFailure(const tcp::endpoint &peer)
     {
         const auto now = tcp_connection::clock::now();
-        std::erase_if(failedUntil, [now](const auto &each) { return each.second <= now; });
-        failedUntil[peer] = now + settings.retryAfter;
+        std::erase_if(reconnectAllowedAt, [now](const auto &each) { return each.second <= now; });
+        reconnectAllowedAt[peer] = now + settings.reconnectDelay;
     }
 
     void accept()
@@ -124,12 +124,12 @@
 
     void onAccepted(const boost::system::error_code &error, tcp::socket socket)
     {
-        if (isShut || !acceptor.is_open())
+        if (isShutDown || !acceptor.is_open())
             return;
         if (error) {
-            acceptTimer.expires_after(acceptPause);
+            acceptTimer.expires_after(acceptRetryDelay);
             acceptTimer.async_wait([self = shared_from_this()](const boost::system::error_code &) {
-                if (!self->isShut && self->acceptor.is_open())
+                if (!self->isShutDown && self->acceptor.is_open())
                     self->accept();
             });
             return;
@@ -143,10 +143,10 @@
 
     void startChecking()
     {
-        if (isChecking || isShut)
+        if (isChecking || isShutDown)
             return;
         isChecking = true;
-        checkTimer.expires_after(checkEvery);
+        checkTimer.expires_after(checkInterval);
         checkTimer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
             if (const auto self = weak.lock(); self && !error)
                 self->checkAll();
@@ -158,18 +158,18 @@
         isChecking = false;
         const auto now = tcp_connection::clock::now();
         for (const auto &[id, connection] : links) {
-            connection->check(now);
-            // A link that is closing takes no frames, so the next one goes to a new link.
+            connection->checkLiveness(now);
+            // A closing link accepts no frames, so the next frame needs a new link.
             if (connection->isClosing())
-                forgetOutgoing(id, *connection);
+                removeOutgoing(id, *connection);
         }
         if (!links.empty())
             startChecking();
     }
 
-    void shut()
+    void shutDown()
     {
-        isShut = true;
+        isShutDown = true;
         boost::system::error_code ignored;
         acceptor.close(ignored);
         acceptTimer.cancel();
@@ -187,7 +187,7 @@
 
 tcp_links::~tcp_links()
 {
-    state_->shut();
+    state_->shutDown();
 }
 
 std::error_code tcp_links::listen(const endpoint &local)
@@ -221,22 +221,23 @@
 {
     isNew = false;
     const tcp::endpoint address(to.address, to.port);
-    const auto known = state_->outgoing.find(address);
-    if (known != state_->outgoing.end()) {
-        const auto entry = state_->links.find(known->second);
+    const auto existing = state_->outgoing.find(address);
+    if (existing != state_->outgoing.end()) {
+        const auto entry = state_->links.find(existing->second);
         if (entry != state_->links.end() && !entry->second->isClosing())
-            return known->second;
+            return existing->second;
     }
-    const auto failed = state_->failedUntil.find(address);
-    const bool isTooSoon =
-            failed != state_->failedUntil.end() && tcp_connection::clock::now() < failed->second;
-    if (state_->isShut || isTooSoon || state_->links.size() >= state_->settings.maxLinks)
+    const auto failed = state_->reconnectAllowedAt.find(address);
+    const bool isReconnectDelayed = failed != state_->reconnectAllowedAt.end()
+                                    && tcp_connection::clock::now() < failed->second;
+    if (state_->isShutDown || isReconnectDelayed
+        || state_->links.size() >= state_->settings.maxLinks)
         return 0;
     isNew = true;
     const auto connection = state_->add(tcp::socket(state_->context), false);
-    state_->outgoing[address] = state_->last;
+    state_->outgoing[address] = state_->lastId;
     connection->startConnect(address);
-    return state_->last;
+    return state_->lastId;
 }
 
 bool tcp_links::send(link_id link, frame_tag tag, std::string_view frame)
@@ -257,7 +258,7 @@
     const auto entry = state_->links.find(link);
     if (entry == state_->links.end())
         return;
-    state_->forgetOutgoing(link, *entry->second);
+    state_->removeOutgoing(link, *entry->second);
     entry->second->close(std::make_error_code(std::errc::operation_canceled));
 }
 
--- a/src/net/udp_link.cpp
+++ b/src/net/udp_link.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sending and receiving of datagrams.
+/// @brief Sending and receiving datagrams.
 
 #include <fuchsiagw/net/udp_link.hpp>
 
@@ -18,10 +18,10 @@
 
 using boost::asio::ip::udp;
 
-/// Pause after a failed receive, so that a lasting error does not use up the processor.
-constexpr std::chrono::milliseconds errorPause{ 10 };
+/// Delay after a failed receive, so that a persistent error does not cause a busy loop.
+constexpr std::chrono::milliseconds receiveRetryDelay{ 10 };
 
-/// Datagrams that wait in the kernel while the thread is busy.
+/// Kernel buffer for datagrams that arrive while the thread is busy.
 constexpr int receiveBufferBytes = 1'048'576;
 
 } // namespace
@@ -29,16 +29,16 @@
 struct udp_link::state : std::enable_shared_from_this<udp_link::state>
 {
     udp::socket socket;
-    boost::asio::steady_timer pause;
+    boost::asio::steady_timer retryTimer;
     udp_link::receiver receive;
     udp_counters counters;
-    /// One byte more than the bound shows that a datagram was larger.
+    /// The additional byte reveals datagrams that exceed the limit.
     std::array<char, wire::maxDatagramBytes + 1> buffer{};
     udp::endpoint from;
 
     state(boost::asio::io_context &context, udp_link::receiver handler)
         : socket(context)
-        , pause(context)
+        , retryTimer(context)
         , receive(std::move(handler))
     { }
 
@@ -57,9 +57,9 @@
         if (!socket.is_open())
             return;
         if (error) {
-            // A peer without a socket shows as an error of the next receive.
-            pause.expires_after(errorPause);
-            pause.async_wait([self = shared_from_this()](const boost::system::error_code &) {
+            // An ICMP error from an unreachable peer is reported by the next receive.
+            retryTimer.expires_after(receiveRetryDelay);
+            retryTimer.async_wait([self = shared_from_this()](const boost::system::error_code &) {
                 self->receiveNext();
             });
             return;
@@ -77,7 +77,7 @@
     {
         boost::system::error_code ignored;
         socket.close(ignored);
-        pause.cancel();
+        retryTimer.cancel();
     }
 };
 
@@ -103,7 +103,7 @@
         state_->close();
         return error;
     }
-    boost::system::error_code ignored; // A smaller buffer only loses more datagrams.
+    boost::system::error_code ignored; // With a smaller buffer more datagrams are lost.
     state_->socket.set_option(boost::asio::socket_base::receive_buffer_size(receiveBufferBytes),
                               ignored);
     state_->receiveNext();
--- a/tests/unit-ctl.cpp
+++ b/tests/unit-ctl.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the operators' command and of the admin API behind it.
+/// @brief Tests of fuchsiagwctl and of the admin API that it uses.
 
 #include <fuchsiagw/ctl/commands.hpp>
 #include <fuchsiagw/ctl/flags.hpp>
@@ -26,7 +26,7 @@
 
 const std::string secret = "operators";
 
-/// A daemon whose submits take effect at once. The command reaches it without a network.
+/// A daemon that applies submitted notes immediately and is called without a network.
 struct fake_daemon
 {
     core::config_store store;
@@ -34,14 +34,14 @@
     core::freshness proofs;
     wire::vouch_challenges challenges;
     std::map<std::string, core::configuration_version> notes;
-    int lostAnswers = 0; ///< submits that take effect without an answer
+    int lostAnswers = 0; ///< submissions that are applied but not answered
     bool isDown = false;
     std::string sentBodies;
     milliseconds elapsed{ 0 };
     std::ostringstream out;
     std::ostringstream err;
-    nlohmann::json storeRow; ///< null: never written
-    nlohmann::json storeRemoved; ///< the call that removed it
+    nlohmann::json storeRow; ///< null: the row was never written
+    nlohmann::json storeRemoved; ///< the request that removed the row
     int storeStatus = 200;
     bool storeLosesAnswers = false;
 
@@ -53,10 +53,10 @@
         config.workspaces[{ "cafe" }].rate = 5;
         config.workspaces[{ "cafe" }].burst = 9;
         config.workspaces[{ "cafe" }].keys[core::key_hash(64, 'a')] = core::key_state::Valid;
-        takeInNow(config);
+        installConfiguration(config);
     }
 
-    void takeInNow(const core::configuration &config)
+    void installConfiguration(const core::configuration &config)
     {
         (void)core::installVersion(store, { { "p" }, config.version, "" },
                                    wire::writeConfiguration(config), wire::configurationCodec());
@@ -79,13 +79,13 @@
             result.version = next.version;
             if (!result.error) {
                 notes[note.id] = next.version;
-                takeInNow(next);
+                installConfiguration(next);
             }
         }
         return wire::answerSubmit(store, note, result);
     }
 
-    /// Reads the platform at every full second.
+    /// Renews the proof from the platform at every full second.
     [[nodiscard]] wire::status_report statusReport() const
     {
         wire::status_report report;
@@ -140,7 +140,7 @@
         return { true, answer.status, answer.body };
     }
 
-    /// The platform's store with the row of the switch.
+    /// Emulates the platform's store with a single row.
     net::http_exchange handleStore(const net::http_request &request)
     {
         net::http_exchange result;
@@ -202,7 +202,8 @@
     fake_daemon daemon;
 };
 
-// Guards against a mistake that is sent, or that a script takes for a refusal.
+// Guards against sending a request for an invalid command line, and against an exit code that
+// scripts would interpret as a rejection by the daemon.
 TEST(ctl, wrongCommandLinesExitWithUsage)
 {
     const std::vector<std::vector<std::string>> lines{ {},
@@ -224,7 +225,7 @@
     STRCMP_EQUAL("", daemon.sentBodies.c_str());
 }
 
-// Guards against a command without help or an example that does not parse.
+// Guards against a command without help text or with an example that does not parse.
 TEST(ctl, everyCommandHasHelp)
 {
     for (const ctl::command &each : ctl::allCommands()) {
@@ -239,7 +240,7 @@
     }
 }
 
-// Guards against a key that is lost, shown twice, or sent to a daemon.
+// Guards against a key that is not printed, is printed twice, or is sent to a daemon.
 TEST(ctl, keyIsShownOnceAndNeverSent)
 {
     checkCode(exit_code::Done, daemon.run({ "key", "issue", "cafe" }), daemon);
@@ -256,8 +257,8 @@
                == core::key_state::Withdrawn);
 }
 
-// Guards against a note that is applied twice, or called failed, after a lost answer.
-TEST(ctl, lostAnswerIsAskedAgain)
+// Guards against a note that is applied twice, or reported as failed, after a lost answer.
+TEST(ctl, submissionIsRetriedAfterALostAnswer)
 {
     daemon.lostAnswers = 2;
     checkCode(exit_code::Done, daemon.run({ "workspace", "rate", "cafe", "--rate", "7" }), daemon);
@@ -270,7 +271,7 @@
     checkCode(exit_code::Unreachable, daemon.run({ "status" }), daemon);
 }
 
-// Guards against --wait that returns before the change is in force everywhere.
+// Guards against --wait returning before the change is in force everywhere.
 TEST(ctl, waitsUntilInForceEverywhere)
 {
     checkCode(exit_code::Done, daemon.run({ "switch", "off", "loans", "--wait" }), daemon);
@@ -281,7 +282,8 @@
               daemon);
 }
 
-// Guards against a statement for another instance or version, and against one used twice.
+// Guards against accepting a signed statement that was made for another instance or version, and
+// against replaying one.
 TEST(ctl, vouchNeedsAFreshChallengeAndTheSecret)
 {
     checkCode(exit_code::Done, daemon.run({ "vouch", "--version", "4" }), daemon);
@@ -301,7 +303,7 @@
     LONGS_EQUAL(400, daemon.handle("POST", "/v1/admin/vouch", valid.dump()).status);
 }
 
-// Guards against a statement that rests on a proof from before the challenge.
+// Guards against a statement based on a proof that is older than the challenge.
 TEST(ctl, vouchWaitsForAProofAfterTheChallenge)
 {
     daemon.elapsed = milliseconds(300);
@@ -329,7 +331,8 @@
 
 TEST_GROUP(note_file){};
 
-// Guards against names that turn into numbers, and against mistakes without a place.
+// Guards against names that are parsed as numbers, and against error messages without a line or
+// field.
 TEST(note_file, readsYamlAndJsonAlike)
 {
     const std::string yaml = "id: 20261204\nbase: 4\nadded:\n"
@@ -351,7 +354,7 @@
     STRCMP_CONTAINS("base", ctl::parseNote("id: a\nbase: \"1\"\n", note).c_str());
 }
 
-// Guards against promotions that go on over a holiday although the command said that they are off.
+// Guards against promotions that continue although the command reported that they are off.
 TEST(ctl, storeSwitchIsWrittenAndReadBack)
 {
     checkCode(exit_code::Done, daemon.run({ "switch", "list", "--store=127.0.0.1:1" }), daemon);
@@ -366,7 +369,7 @@
     CHECK(daemon.out.str().find("promotion is on") != std::string::npos);
 }
 
-TEST(ctl, storeSwitchTellsWhatBecameOfIt)
+TEST(ctl, storeSwitchReportsItsOutcome)
 {
     checkCode(exit_code::Usage, daemon.run({ "switch", "off", "loans", "--store=127.0.0.1:1" }),
               daemon);
@@ -374,15 +377,15 @@
     checkCode(exit_code::Refused,
               daemon.run({ "switch", "off", "promotion", "--store=127.0.0.1:1" }), daemon);
     daemon.storeStatus = 200;
-    // The answer to the change is lost, but reading back shows it.
+    // The answer to the change is lost, but a read of the row shows that it was applied.
     daemon.storeLosesAnswers = true;
     checkCode(exit_code::Done, daemon.run({ "switch", "off", "promotion", "--store=127.0.0.1:1" }),
               daemon);
 }
 
-// Guards against the part of a limit that nobody uses once its daemon's machine is gone for good,
-// and against a row that is removed although its daemon has started again.
-TEST(ctl, instanceThatIsGoneIsForgotten)
+// Guards against the unused share of a limit that a permanently lost instance leaves behind, and
+// against removing the row of an instance that has restarted.
+TEST(ctl, lostInstanceIsRemovedFromTheStore)
 {
     checkCode(exit_code::Usage, daemon.run({ "instance", "forget", "n1" }), daemon);
     const std::vector<std::string> forget{ "instance", "forget", "n1", "--store=127.0.0.1:1" };
@@ -399,7 +402,7 @@
     checkCode(exit_code::Refused, daemon.run(forget), daemon);
 }
 
-// Guards against a damaged row that is taken for a permission.
+// Guards against a corrupt row that is interpreted as permission to promote.
 TEST(ctl, unreadableStoreSwitchCountsAsOff)
 {
     CHECK_FALSE(wire::readSwitch("{").allowed);
--- a/tests/unit-http.cpp
+++ b/tests/unit-http.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the HTTP server and client over loopback.
+/// @brief Tests of the HTTP server and client over loopback, the channel and endpoint parsing.
 
 #include <utility>
 
@@ -82,7 +82,8 @@
     CHECK_EQUAL(std::string("1"), std::string(net::findHeader(result.response.headers, "x-back")));
 }
 
-// Guards against calling a request sent that never left: its outcome would be reported as unknown.
+// Guards against reporting a request as sent although the connect failed: its outcome would be
+// treated as unknown, which prevents a safe retry.
 TEST(http, refusedConnectionCountsAsNotSent)
 {
     net::http_client client(context);
@@ -91,7 +92,7 @@
     CHECK_FALSE(result.sent);
 }
 
-// Guards against waiting for ever on a connection that went silent.
+// Guards against waiting forever for a server that accepts a request and never responds.
 TEST(http, silentServerEndsAtTheDeadlineAsSent)
 {
     net::http_server server(context, options(), [this](auto &&, auto, net::http_responder &&reply) {
@@ -104,7 +105,7 @@
     CHECK_TRUE(result.sent);
 }
 
-// Guards against using a kept connection that the server has closed meanwhile.
+// Guards against reusing a pooled connection that the server has closed after its response.
 TEST(http, closedIdleConnectionIsNotUsedAgain)
 {
     int served = 0;
@@ -124,7 +125,8 @@
         context.run_one();
 }
 
-// Guards against two servers on one port, which would split the callers between them.
+// Guards against two servers bound to the same port, which would split the connections between
+// them.
 TEST(http, reportsAnAddressInUse)
 {
     net::http_server first(context, options(), [](auto &&, auto, auto &&) {});
@@ -137,8 +139,8 @@
 
 TEST_GROUP(channel){};
 
-// Guards against lost, doubled or reordered messages between two threads, and against a ring
-// without a bound.
+// Guards against lost, duplicated or reordered messages between two threads, and against a queue
+// that grows beyond its capacity.
 TEST(channel, deliversInOrderAndRefusesWhenFull)
 {
     boost::asio::io_context consumer;
@@ -168,10 +170,10 @@
     CHECK_FALSE(full.push(3));
 }
 
-// Guards against a message that stays in the ring because the consumer has just found it empty.
-// That needs a push while the consumer runs a turn for which nothing is left, so each round pushes
-// a few messages with short pauses between them and then waits until all are handled.
-TEST(channel, leavesNoMessageBehind)
+// Guards against a lost wakeup: a message stays in the queue if it is pushed while the consumer
+// finds the queue empty and no further drain is scheduled. Each round pushes a few messages with
+// short delays between them, to hit that moment, and waits until all are handled.
+TEST(channel, lastMessageIsAlwaysHandled)
 {
     boost::asio::io_context consumer;
     std::atomic<int> handled{ 0 };
@@ -201,8 +203,8 @@
 
 TEST_GROUP(endpoint){};
 
-// Guards against a settings mistake that is only noticed when the first connection fails.
-TEST(endpoint, acceptsNumbersOnly)
+// Guards against an invalid address in the settings that is only detected at the first connect.
+TEST(endpoint, acceptsNumericAddressesOnly)
 {
     net::endpoint value;
     CHECK_FALSE(net::parseEndpoint("127.0.0.1:80", value));
--- a/tests/unit-line-connection.cpp
+++ b/tests/unit-line-connection.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the end of a line connection over loopback.
+/// @brief Tests of closing a line connection, over loopback.
 
 #include <fuchsiagw/net/line_connection.hpp>
 
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A caller's plain socket and the daemon's side of its connection.
+/// The caller's socket and the daemon's end of the same connection.
 struct connected_pair
 {
     boost::asio::io_context context;
@@ -34,7 +34,7 @@
         daemon->start(net::keepalive_profile::Long);
     }
 
-    /// @return the bytes up to the end of the daemon's sending side
+    /// @return the bytes received until the daemon shuts down its sending side
     std::string readToEnd()
     {
         std::string text;
@@ -46,7 +46,7 @@
 
     void send(const std::string &text) { boost::asio::write(caller, boost::asio::buffer(text)); }
 
-    /// @return whether the connection was reset
+    /// @return whether the daemon has reset the connection
     bool isReset()
     {
         context.restart();
@@ -62,10 +62,10 @@
 
 TEST_GROUP(line_connection){};
 
-// Guards against a caller that waits for an answer that nobody gives: its request crosses the close
-// of a session at rest, and the close is lost on the way and sent again 0.2 s later (LOST at
-// planned stops: ends 200 to 212 ms after the request).
-TEST(line_connection, requestThatCrossesTheCloseIsReset)
+// Guards against a caller that waits for an answer that never comes. At a planned stop its request
+// crosses the close of an idle session, whose FIN is lost and retransmitted 0.2 s later: without a
+// reset the caller saw the connection end only 200 to 212 ms after its request.
+TEST(line_connection, requestAfterCloseOfIdleConnectionIsReset)
 {
     connected_pair pair;
     pair.daemon->closeGracefully();
@@ -76,8 +76,9 @@
     CHECK_EQUAL(0, pair.lines);
 }
 
-// Guards against a reset that overtakes an answer: the caller sends more before it has read it.
-TEST(line_connection, lastAnswerArrivesAlthoughMoreIsAsked)
+// Guards against a reset that discards a queued answer because the caller sends another request
+// before it has read that answer.
+TEST(line_connection, queuedAnswerArrivesDespiteFurtherRequests)
 {
     connected_pair pair;
     pair.daemon->send("ERROR NOAUTH\r\n");
--- a/tests/unit-main.cc
+++ b/tests/unit-main.cc
@@ -1,13 +1,13 @@
 /// @file
-/// @brief Entry point shared by the unit test programs.
+/// @brief Entry point of the unit test programs.
 
 #include <CppUTest/CommandLineTestRunner.h>
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
 int main(int argc, char **argv)
 {
-    // The sanitizer build looks for leaks; CppUTest's own count is wrong for static caches of the
-    // standard library.
+    // CppUTest reports static caches of the standard library as leaks. Leaks are detected by the
+    // sanitizer build instead.
     MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
     return CommandLineTestRunner::RunAllTests(argc, argv);
 }
--- a/tests/unit-tcp-link.cpp
+++ b/tests/unit-tcp-link.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the links between daemons over loopback.
+/// @brief Tests of the TCP links between daemons over loopback, and of pending requests.
 
 #include <fuchsiagw/net/pending_requests.hpp>
 #include <fuchsiagw/net/tcp_link.hpp>
@@ -24,30 +24,30 @@
 
 namespace {
 
-/// One daemon's side; it remembers what happened.
-struct side
+/// One daemon's end of the links; records the events that its handlers receive.
+struct link_peer
 {
     std::vector<link_id> opened;
     std::vector<std::string> frames;
-    std::map<link_id, net::link_closure> ended;
-    bool shallTrust = true;
-    bool shallEcho = false;
+    std::map<link_id, net::link_closure> closures;
+    bool trustsPeers = true;
+    bool echoesFrames = false;
     tcp_links links;
 
-    explicit side(boost::asio::io_context &context, const net::tcp_settings &settings = {})
+    explicit link_peer(boost::asio::io_context &context, const net::tcp_settings &settings = {})
         : links(context, settings,
                 { [this](link_id link, const endpoint &, bool) {
                      opened.push_back(link);
-                     if (shallTrust)
+                     if (trustsPeers)
                          links.trust(link);
                  },
                   [this](link_id link, std::string_view frame) {
                       frames.emplace_back(frame);
-                      if (shallEcho && !links.send(link, 0, frame))
-                          shallEcho = false;
+                      if (echoesFrames && !links.send(link, 0, frame))
+                          echoesFrames = false;
                   },
                   [this](link_id link, const net::link_closure &end) {
-                      CHECK_TRUE(ended.emplace(link, end).second);
+                      CHECK_TRUE(closures.emplace(link, end).second);
                   } })
     { }
 };
@@ -58,16 +58,16 @@
 {
     boost::asio::io_context context;
     const endpoint loopback{ boost::asio::ip::make_address("127.0.0.1"), 0 };
-    net::tcp_settings quick;
+    net::tcp_settings shortTimeouts;
     bool isNew = false;
 
     void setup() override
     {
-        quick.heartbeat = 50ms;
-        quick.silence = 300ms;
+        shortTimeouts.heartbeatInterval = 50ms;
+        shortTimeouts.heartbeatTimeout = 300ms;
     }
 
-    /// Runs the context until the condition holds, at most 20 s.
+    /// Runs the context until the condition holds, for at most 20 s.
     bool runUntil(const std::function<bool()> &condition)
     {
         const auto end = std::chrono::steady_clock::now() + 20s;
@@ -79,13 +79,13 @@
     }
 };
 
-// Guards against frames that are cut, joined or reordered, and against a second connection for the
-// same peer.
+// Guards against frames that are truncated, merged or reordered, and against a second connection to
+// the same peer.
 TEST(tcp_link, framesArriveWholeAndInOrder)
 {
-    side server(context);
-    side client(context);
-    server.shallEcho = true;
+    link_peer server(context);
+    link_peer client(context);
+    server.echoesFrames = true;
     CHECK_FALSE(server.links.listen(loopback));
     const link_id link = client.links.findOrOpenLink(server.links.local(), isNew);
     CHECK_TRUE(isNew);
@@ -103,75 +103,77 @@
     LONGS_EQUAL(1, server.opened.size());
 }
 
-// Guards against a sender that waits for ever for a peer which accepts and then says nothing.
+// Guards against a sender that waits forever for a peer which accepts the connection and then sends
+// nothing.
 TEST(tcp_link, silentPeerIsClosedInTime)
 {
     tcp::acceptor silent(context, tcp::endpoint(loopback.address, 0));
-    side client(context, quick);
+    link_peer client(context, shortTimeouts);
     const link_id link = client.links.findOrOpenLink(
             { loopback.address, silent.local_endpoint().port() }, isNew);
     CHECK_TRUE(client.links.send(link, 5, "request"));
     CHECK_TRUE(runUntil([&] { return !client.opened.empty(); }));
     const auto openedAt = std::chrono::steady_clock::now();
-    CHECK_TRUE(runUntil([&] { return client.ended.contains(link); }));
+    CHECK_TRUE(runUntil([&] { return client.closures.contains(link); }));
     CHECK_TRUE(std::chrono::steady_clock::now() - openedAt >= 250ms);
-    CHECK_TRUE(client.ended[link].cause == std::errc::timed_out);
-    // The frame was taken by the system, so it may have arrived.
-    LONGS_EQUAL(0, client.ended[link].unsentFrames.size());
+    CHECK_TRUE(client.closures[link].cause == std::errc::timed_out);
+    // The kernel accepted the frame, so it may have arrived.
+    LONGS_EQUAL(0, client.closures[link].unsentFrames.size());
 }
 
-// Guards against links that close although both ends are alive but have nothing to say.
-TEST(tcp_link, heartbeatsKeepALinkInUse)
+// Guards against closing a link whose ends are both alive but have no frames to send.
+TEST(tcp_link, heartbeatsKeepAnActiveLinkOpen)
 {
-    quick.heartbeat = 15ms; // The check comes every 50 ms.
-    quick.silence = 1s;
-    side server(context, quick);
-    side client(context, quick);
+    shortTimeouts.heartbeatInterval = 15ms; // Heartbeats are checked only every 50 ms.
+    shortTimeouts.heartbeatTimeout = 1s;
+    link_peer server(context, shortTimeouts);
+    link_peer client(context, shortTimeouts);
     CHECK_FALSE(server.links.listen(loopback));
     const link_id link = client.links.findOrOpenLink(server.links.local(), isNew);
     CHECK_TRUE(client.links.send(link, 0, "one"));
-    // At one heartbeat every 50 ms this takes longer than the allowed silence.
+    // At one heartbeat every 50 ms, 30 heartbeats take longer than the heartbeat timeout.
     CHECK_TRUE(runUntil([&] {
         return client.links.counters().bytesSent > 30 * 4
                && server.links.counters().bytesSent > 30 * 4;
     }));
-    CHECK_TRUE(client.ended.empty() && server.ended.empty());
+    CHECK_TRUE(client.closures.empty() && server.closures.empty());
     CHECK_TRUE(client.links.counters().heartbeatBytes > 0);
     LONGS_EQUAL(1, server.frames.size());
 }
 
-// Guards against heartbeats that cost traffic on links which nobody uses.
+// Guards against heartbeat traffic on unused links that are never closed.
 TEST(tcp_link, idleLinkIsClosedByItsOpener)
 {
-    quick.useLasts = 1ms;
-    quick.idleLimit = 200ms;
-    side server(context, quick);
-    side client(context, quick);
+    shortTimeouts.activePeriod = 1ms;
+    shortTimeouts.idleTimeout = 200ms;
+    link_peer server(context, shortTimeouts);
+    link_peer client(context, shortTimeouts);
     CHECK_FALSE(server.links.listen(loopback));
     const link_id link = client.links.findOrOpenLink(server.links.local(), isNew);
-    CHECK_TRUE(runUntil([&] { return client.ended.contains(link) && !server.ended.empty(); }));
-    CHECK_TRUE(client.ended[link].cause == std::errc::operation_canceled);
+    CHECK_TRUE(
+            runUntil([&] { return client.closures.contains(link) && !server.closures.empty(); }));
+    CHECK_TRUE(client.closures[link].cause == std::errc::operation_canceled);
     LONGS_EQUAL(0, client.links.size() + server.links.size());
 }
 
-// Guards against a false claim that a request was not sent, and against one that is lost without a
-// word: a frame counts as unsentFrames only if no byte of it was handed to the system.
-TEST(tcp_link, unwrittenFramesAreReported)
+// Guards against reporting a request as unsent that may have arrived, and against losing one
+// without a report: a frame counts as unsent exactly if no byte of it was handed to the kernel.
+TEST(tcp_link, unsentFramesAreReported)
 {
     tcp::acceptor acceptor(context, tcp::endpoint(loopback.address, 0));
     acceptor.set_option(boost::asio::socket_base::receive_buffer_size(4096));
-    side client(context, quick);
+    link_peer client(context, shortTimeouts);
     const link_id link = client.links.findOrOpenLink(
             { loopback.address, acceptor.local_endpoint().port() }, isNew);
     tcp::socket peer(context);
     acceptor.async_accept(peer, [](const boost::system::error_code &) {});
-    // The peer never reads, so the system's buffers fill up.
+    // The peer never reads, so the kernel's socket buffers fill up.
     net::frame_tag accepted = 0;
     while (client.links.send(link, accepted + 1, std::string(wire::maxFrameBytes / 2, 'x')))
         ++accepted;
     CHECK_TRUE(accepted >= 8);
-    CHECK_TRUE(runUntil([&] { return client.ended.contains(link); }));
-    const std::vector<net::frame_tag> &unsentFrames = client.ended[link].unsentFrames;
+    CHECK_TRUE(runUntil([&] { return client.closures.contains(link); }));
+    const std::vector<net::frame_tag> &unsentFrames = client.closures[link].unsentFrames;
     std::size_t readable = 0;
     std::string buffer(1'048'576, '\0');
     boost::system::error_code error;
@@ -185,56 +187,57 @@
         LONGS_EQUAL(accepted - unsentFrames.size() + 1 + i, unsentFrames[i]);
 }
 
-// Guards against requests to a dead instance that each start a connection of their own.
-TEST(tcp_link, failedConnectReportsAndPauses)
+// Guards against a new connection attempt for every request to an instance that is down.
+TEST(tcp_link, failedConnectIsReportedAndDelaysReconnect)
 {
-    tcp::acceptor gone(context, tcp::endpoint(loopback.address, 0));
-    const endpoint nobody{ loopback.address, gone.local_endpoint().port() };
-    gone.close();
-    side client(context);
-    const link_id link = client.links.findOrOpenLink(nobody, isNew);
+    tcp::acceptor closedAcceptor(context, tcp::endpoint(loopback.address, 0));
+    const endpoint closedEndpoint{ loopback.address, closedAcceptor.local_endpoint().port() };
+    closedAcceptor.close();
+    link_peer client(context);
+    const link_id link = client.links.findOrOpenLink(closedEndpoint, isNew);
     CHECK_TRUE(client.links.send(link, 7, "request"));
-    CHECK_TRUE(runUntil([&] { return client.ended.contains(link); }));
-    CHECK_TRUE((client.ended[link].unsentFrames == std::vector<net::frame_tag>{ 7 }));
+    CHECK_TRUE(runUntil([&] { return client.closures.contains(link); }));
+    CHECK_TRUE((client.closures[link].unsentFrames == std::vector<net::frame_tag>{ 7 }));
     CHECK_TRUE(client.opened.empty());
-    LONGS_EQUAL(0, client.links.findOrOpenLink(nobody, isNew));
+    LONGS_EQUAL(0, client.links.findOrOpenLink(closedEndpoint, isNew));
     CHECK_FALSE(client.links.send(link, 8, "late"));
     link_id second = 0;
     CHECK_TRUE(runUntil([&] {
         if (second == 0)
-            second = client.links.findOrOpenLink(nobody, isNew);
+            second = client.links.findOrOpenLink(closedEndpoint, isNew);
         return second != 0;
     }));
     CHECK_TRUE(isNew && second != link);
 }
 
-// Guards against strangers that claim a large frame, send garbage or just stay connected.
-TEST(tcp_link, strangersAreClosed)
+// Guards against unauthenticated peers that announce a large frame or stay connected without
+// authenticating.
+TEST(tcp_link, unauthenticatedLinksAreClosed)
 {
-    quick.trustLimit = 100ms;
-    quick.connectLimit = 100ms;
-    quick.silence = 10s;
-    side server(context, quick);
-    server.shallTrust = false;
+    shortTimeouts.trustTimeout = 100ms;
+    shortTimeouts.connectTimeout = 100ms;
+    shortTimeouts.heartbeatTimeout = 10s;
+    link_peer server(context, shortTimeouts);
+    server.trustsPeers = false;
     CHECK_FALSE(server.links.listen(loopback));
     const tcp::endpoint to(loopback.address, server.links.local().port);
-    tcp::socket claims(context);
-    tcp::socket waits(context);
-    claims.connect(to);
-    waits.connect(to);
-    boost::asio::write(claims, boost::asio::buffer(std::string("\x00\x00\x10\x01", 4)));
-    CHECK_TRUE(runUntil([&] { return server.ended.size() == 2; }));
-    CHECK_TRUE(server.ended[server.opened[0]].cause == core::error_kind::MessageTooLarge);
-    CHECK_TRUE(server.ended[server.opened[1]].cause == core::error_kind::MessageForeign);
+    tcp::socket oversizedSender(context);
+    tcp::socket silentClient(context);
+    oversizedSender.connect(to);
+    silentClient.connect(to);
+    boost::asio::write(oversizedSender, boost::asio::buffer(std::string("\x00\x00\x10\x01", 4)));
+    CHECK_TRUE(runUntil([&] { return server.closures.size() == 2; }));
+    CHECK_TRUE(server.closures[server.opened[0]].cause == core::error_kind::MessageTooLarge);
+    CHECK_TRUE(server.closures[server.opened[1]].cause == core::error_kind::MessageForeign);
     CHECK_TRUE(server.frames.empty());
 }
 
-// Guards against memory that grows with connections and with a peer that reads slowly.
+// Guards against unbounded memory for many connections or for a peer that reads slowly.
 TEST(tcp_link, linksAndQueuesAreBounded)
 {
-    quick.maxLinks = 1;
-    quick.maxQueuedBytes = 1000;
-    side server(context, quick);
+    shortTimeouts.maxLinks = 1;
+    shortTimeouts.maxQueuedBytes = 1000;
+    link_peer server(context, shortTimeouts);
     CHECK_FALSE(server.links.listen(loopback));
     const tcp::endpoint to(loopback.address, server.links.local().port);
     tcp::socket first(context);
@@ -249,13 +252,14 @@
     CHECK_FALSE(server.links.send(server.opened[0], 0, ""));
 }
 
-// Guards against handlers that run after a link was closed or everything is gone.
-TEST(tcp_link, closingIsReportedOnceAndDestructionIsSilent)
+// Guards against duplicate close reports and against handlers called after the destruction of the
+// links.
+TEST(tcp_link, closingIsReportedOnceAndDestructionCallsNoHandler)
 {
-    side server(context);
+    link_peer server(context);
     CHECK_FALSE(server.links.listen(loopback));
     {
-        side client(context);
+        link_peer client(context);
         const link_id link = client.links.findOrOpenLink(server.links.local(), isNew);
         CHECK_TRUE(runUntil([&] { return !client.opened.empty(); }));
         client.links.close(link);
@@ -263,7 +267,7 @@
         CHECK_FALSE(client.links.send(link, 1, "late"));
         CHECK_TRUE(client.links.findOrOpenLink(server.links.local(), isNew) != link);
         CHECK_TRUE(isNew);
-        CHECK_TRUE(runUntil([&] { return client.ended.contains(link); }));
+        CHECK_TRUE(runUntil([&] { return client.closures.contains(link); }));
     }
     CHECK_TRUE(runUntil([&] { return server.links.size() == 0; }));
     context.restart();
@@ -276,7 +280,8 @@
     const core::time_point now{ 10s };
 };
 
-// Guards against an answer that reaches another request, comes twice or on another link (M8).
+// Guards against matching an answer to another request, accepting a duplicate answer, or accepting
+// one that arrives on another link.
 TEST(pending_requests, answersAreMatchedByIdAndLink)
 {
     CHECK_TRUE(pending.add({ 1, 1 }, 7, now + 1s, 11));
@@ -289,7 +294,8 @@
     CHECK_TRUE(pending.nextDeadline() == now + 2s);
 }
 
-// Guards against requests that are never answered to their callers.
+// Guards against requests that stay pending forever after their link closed or their deadline
+// passed, so that their callers get no answer.
 TEST(pending_requests, closedLinksAndDeadlinesReleaseRequests)
 {
     CHECK_TRUE(pending.add({ 1, 1 }, 7, now + 1s, 11));
--- a/tests/unit-udp-link.cpp
+++ b/tests/unit-udp-link.cpp
@@ -21,7 +21,7 @@
     boost::asio::io_context context;
     const endpoint loopback{ boost::asio::ip::make_address("127.0.0.1"), 0 };
 
-    /// Runs the context until the condition holds, at most 10 s.
+    /// Runs the context until the condition holds, for at most 10 s.
     bool runUntil(const std::function<bool()> &condition)
     {
         const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(10);
@@ -33,7 +33,7 @@
     }
 };
 
-// Guards against cut messages and wrong addresses.
+// Guards against truncated messages and wrong sender addresses.
 TEST(udp_link, messagesArriveWithTheirSender)
 {
     std::vector<std::string> got;
@@ -56,7 +56,7 @@
                 sender.counters().bytesSent);
 }
 
-// Guards against datagrams beyond the bound, in both directions.
+// Guards against sending or delivering datagrams that exceed the size limit.
 TEST(udp_link, largeDatagramsAreDroppedAndCounted)
 {
     std::vector<std::string> got;
@@ -76,24 +76,25 @@
     LONGS_EQUAL(2, link.counters().receivesDropped);
 }
 
-// Guards against a socket that stops to receive after a peer's process has ended.
-TEST(udp_link, unreachablePeersDoNoHarm)
+// Guards against a socket that stops receiving after an ICMP error: datagrams to a terminated peer
+// make the next receive fail.
+TEST(udp_link, unreachablePeersDoNotStopReceiving)
 {
     bool arrived = false;
     udp_link link(context, [&](std::string_view, const endpoint &) { arrived = true; });
     CHECK_FALSE(link.open(loopback));
-    boost::asio::ip::udp::socket gone(context, { loopback.address, 0 });
-    const endpoint nobody{ loopback.address, gone.local_endpoint().port() };
-    gone.close();
+    boost::asio::ip::udp::socket closedSocket(context, { loopback.address, 0 });
+    const endpoint closedEndpoint{ loopback.address, closedSocket.local_endpoint().port() };
+    closedSocket.close();
     for (int i = 0; i < 20; ++i)
-        link.send(nobody, "lost");
+        link.send(closedEndpoint, "lost");
     udp_link other(context, [](std::string_view, const endpoint &) {});
     CHECK_FALSE(other.open(loopback));
     CHECK_TRUE(other.send(link.local(), "hello"));
     CHECK_TRUE(runUntil([&] { return arrived; }));
 }
 
-// Guards against handlers that run after the link is gone.
+// Guards against calls of the receiver after the link was closed.
 TEST(udp_link, closingInTheReceiverIsSafe)
 {
     int calls = 0;
