--- a/include/fuchsiagw/net/clock.hpp
+++ b/include/fuchsiagw/net/clock.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reads of the system clocks, all in this file.
+/// @brief Current time on the monotonic clock and the boot clock.
 
 #pragma once
 
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -13,7 +13,7 @@
 names='X-Fencing-Token|X-Lease-Holder|X-Tenant-Id|rows-tx|rows-feed|rows-get|target-latency-ms|max-staleness-ms'
 names+='|bounded_staleness|db-role|cold-remaining-ms|tx-idle-ms|STEPDOWN|CONNLIMIT|MISROUTED|DATAROW'
 if git grep -nE "$names" -- include src; then
-    echo "lint: these names belong into platform/" >&2
+    echo "lint: these names belong in platform/" >&2
     exit 1
 fi
 echo "lint: clang-format on ${#sources[@]} files"
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -20,8 +20,8 @@
 constexpr std::size_t lengthBytes = 4;
 constexpr std::size_t maxBatchBytes = 262'144; ///< of one write
 constexpr std::size_t maxBatchFrames = 64; ///< Asio passes at most 64 buffers to one writev() call
-constexpr std::size_t frameOverheadBytes =
-        64; ///< memory of a queued frame in addition to its bytes
+/// Memory of a queued frame in addition to its bytes.
+constexpr std::size_t frameOverheadBytes = 64;
 /// A heartbeat with its IP and TCP headers and the TCP acknowledgement of the peer.
 constexpr std::uint64_t heartbeatTrafficBytes = lengthBytes + 40 + 40;
 
