--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks formatting and runs the linter. With --fix it formats in place. Needs a configured build directory.
+# Checks formatting and runs the linter; with --fix, formats in place. Requires a configured build directory.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -13,7 +13,7 @@
 names='X-Fencing-Token|X-Lease-Holder|X-Tenant-Id|rows-tx|rows-feed|rows-get|target-latency-ms|max-staleness-ms'
 names+='|bounded_staleness|db-role|cold-remaining-ms|tx-idle-ms|STEPDOWN|CONNLIMIT|MISROUTED|DATAROW'
 if git grep -nE "$names" -- include src; then
-    echo "lint: these names belong into platform/" >&2
+    echo "lint: these names belong in platform/" >&2
     exit 1
 fi
 echo "lint: clang-format on ${#sources[@]} files"
