--- a/include/fuchsiagw/testing/gateway_world.hpp
+++ b/include/fuchsiagw/testing/gateway_world.hpp
@@ -103,7 +103,7 @@
     ProofWithoutQuestion, ///< a gateway proves its version to itself
     TokensRefilled, ///< a gateway's buckets are always full
     AnswersSwapped, ///< two members' answers change places, with the ids corrected
-    ClaimNotRun, ///< an unknown outcome is reported as `not_run`
+    ReportNotRun, ///< an unknown outcome is reported as `not_run`
     SentWriteRepeated, ///< a lost write is reported as never sent, so that it is sent again
     LeavingIgnored, ///< a leaving member still counts as live
     StopsAtOnce, ///< a draining gateway drops what it has accepted
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -217,9 +217,9 @@
 }
 
 /// Runs a history with long pauses, crashes and bad links, in which the checkers can detect each
-/// mutation of the protocols.
+/// limits_defect of the protocols.
 /// @return the number of violations
-std::uint64_t violationsUnder(mutation mutated, std::uint64_t seed)
+std::uint64_t violationsUnder(limits_defect mutated, std::uint64_t seed)
 {
     world_settings settings = settingsOf(seed);
     settings.fault = mutated;
@@ -264,17 +264,17 @@
     LONGS_EQUAL(pairs.run, pairs.passed);
 }
 
-// Guards against checkers that do not detect a violation: each mutation breaks one rule of the
+// Guards against checkers that do not detect a violation: each limits_defect breaks one rule of the
 // protocols, and some seed must show it.
 TEST(limits_matrix, checkersCatchDeliberateFaults)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed)
-        LONGS_EQUAL(0, violationsUnder(mutation::None, seed));
-    for (std::size_t i = 1; i < mutationNames.size(); ++i) {
+        LONGS_EQUAL(0, violationsUnder(limits_defect::None, seed));
+    for (std::size_t i = 1; i < limitsDefectNames.size(); ++i) {
         std::uint64_t seed = 1;
-        while (seed <= 5 && violationsUnder(static_cast<mutation>(i), seed) == 0)
+        while (seed <= 5 && violationsUnder(static_cast<limits_defect>(i), seed) == 0)
             ++seed;
-        std::printf("%s: %s, seed %llu\n", mutationNames.at(i).data(),
+        std::printf("%s: %s, seed %llu\n", limitsDefectNames.at(i).data(),
                     seed <= 5 ? "caught" : "not caught", static_cast<unsigned long long>(seed));
         CHECK_TRUE(seed <= 5);
     }
