--- a/testing/gateway_world.cpp
+++ b/testing/gateway_world.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The events of the gateway world, its network and its instances.
+/// @brief Event loop, instances, platform calls and instance links of the gateway simulation.
 
 #include <fuchsiagw/testing/gateway_world.hpp>
 
@@ -13,17 +13,17 @@
 
 namespace {
 
-constexpr duration tickEvery = std::chrono::milliseconds(10);
-constexpr duration tickLeast = std::chrono::milliseconds(1);
-constexpr duration refreshEvery = std::chrono::milliseconds(250);
-constexpr duration liveFor = std::chrono::seconds(1);
-constexpr duration platformLimit = std::chrono::seconds(2);
+constexpr duration maxTickInterval = std::chrono::milliseconds(10);
+constexpr duration minTickInterval = std::chrono::milliseconds(1);
+constexpr duration refreshInterval = std::chrono::milliseconds(250);
+constexpr duration livenessTimeout = std::chrono::seconds(1);
+constexpr duration platformTimeout = std::chrono::seconds(2);
 constexpr duration platformDelay = std::chrono::milliseconds(5); ///< one way
-constexpr duration platformSlowness = std::chrono::milliseconds(1500); ///< at most, one way
-constexpr duration shareReturnLimit = std::chrono::seconds(5);
-constexpr duration linkRefused = std::chrono::milliseconds(200);
+constexpr duration maxExtraPlatformDelay = std::chrono::milliseconds(1500); ///< one way
+constexpr duration shareReturnTimeout = std::chrono::seconds(5);
+constexpr duration connectionFailureDelay = std::chrono::milliseconds(200);
 constexpr duration settleTime = std::chrono::seconds(9);
-/// Shorter than the product's default, so that short runs reach the bound.
+/// Shorter than the default of the daemon, so that short runs exceed it.
 constexpr duration proofLifetime = std::chrono::seconds(2);
 
 duration drawUpTo(gateway_world &world, duration greatest)
@@ -32,37 +32,37 @@
             drawBelow(world.random, static_cast<std::uint64_t>(greatest.count()) + 1)));
 }
 
-/// Calls the platform; @p answer is empty if none comes in time.
+/// Calls the platform. @p done receives no answer if none arrives before the timeout.
 template <typename answer_type>
 void callPlatform(gateway_world &world, std::size_t gateway,
                   std::function<std::optional<answer_type>()> apply,
                   std::function<void(gateway_turn &, const std::optional<answer_type> &)> done)
 {
-    const std::uint64_t life = world.gateways[gateway].life;
+    const std::uint64_t generation = world.gateways[gateway].generation;
     const auto isDone = std::make_shared<bool>(false);
-    const auto finish = [&world, gateway, life, isDone,
+    const auto finish = [&world, gateway, generation, isDone,
                          done = std::move(done)](const std::optional<answer_type> &answer) {
         if (!std::exchange(*isDone, true))
-            atGateway(world, gateway, life,
-                      [done, answer](gateway_turn &turn) { done(turn, answer); });
+            runAtGateway(world, gateway, generation,
+                         [done, answer](gateway_turn &turn) { done(turn, answer); });
     };
-    after(world, platformLimit, [finish] { finish(std::nullopt); });
+    after(world, platformTimeout, [finish] { finish(std::nullopt); });
     if (isPlatformCut(world, gateway))
         return;
-    const auto way = [&world] {
+    const auto drawDelay = [&world] {
         const bool isSlow = world.conditions.platformSlow > 0;
-        return platformDelay + (isSlow ? drawUpTo(world, platformSlowness) : duration::zero());
+        return platformDelay + (isSlow ? drawUpTo(world, maxExtraPlatformDelay) : duration::zero());
     };
-    after(world, way(), [&world, apply = std::move(apply), finish, way] {
+    after(world, drawDelay(), [&world, apply = std::move(apply), finish, drawDelay] {
         if (world.conditions.platformDown > 0)
             return;
         const std::optional<answer_type> answer = apply();
         if (world.conditions.answersLost == 0)
-            after(world, way(), [finish, answer] { finish(answer); });
+            after(world, drawDelay(), [finish, answer] { finish(answer); });
     });
 }
 
-void performKeeperCall(gateway_world &world, std::size_t gateway, limit_platform_call &&call)
+void performLimitCall(gateway_world &world, std::size_t gateway, limit_platform_call &&call)
 {
     const std::uint64_t number = call.number;
     if (const auto *prefix = std::get_if<std::string>(&call.order)) {
@@ -103,26 +103,26 @@
             });
 }
 
-/// A datagram between gateways: lost in a cut.
+/// Sends a datagram between gateways. A partition drops it.
 void sendDatagram(gateway_world &world, std::size_t from, std::size_t to,
                   const std::function<void(gateway_turn &)> &event)
 {
-    const std::uint64_t life = world.gateways[to].life;
+    const std::uint64_t generation = world.gateways[to].generation;
     if (to == from || isLinkCut(world, from, to)
-        || (world.conditions.peersLost > 0 && draw(world, 40)))
+        || (world.conditions.peersLost > 0 && drawPercent(world, 40)))
         return;
     const int copies = world.conditions.peersDoubled > 0 ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         after(world, linkDelay(world, from, to),
-              [&world, to, life, event] { atGateway(world, to, life, event); });
+              [&world, to, generation, event] { runAtGateway(world, to, generation, event); });
     }
 }
 
-void failForward(gateway_world &world, std::size_t gateway, std::uint64_t life,
+void failForward(gateway_world &world, std::size_t gateway, std::uint64_t generation,
                  std::uint64_t handle, duration delay, bool wasWritten)
 {
-    after(world, delay, [&world, gateway, life, handle, wasWritten] {
-        atGateway(world, gateway, life, [handle, wasWritten](gateway_turn &turn) {
+    after(world, delay, [&world, gateway, generation, handle, wasWritten] {
+        runAtGateway(world, gateway, generation, [handle, wasWritten](gateway_turn &turn) {
             onForwardFailed(turn, handle, wasWritten);
         });
     });
@@ -131,47 +131,49 @@
 void performForward(gateway_world &world, std::size_t from, forward_statement &&forward)
 {
     reachStep(world, gateway_step::ForwardWritten, from);
-    const std::uint64_t life = world.gateways[from].life;
+    const std::uint64_t generation = world.gateways[from].generation;
     const auto found =
             std::find_if(world.gateways.begin(), world.gateways.end(),
                          [&](const world_gateway &each) { return each.instance == forward.to; });
     const auto to = static_cast<std::size_t>(found - world.gateways.begin());
     const std::uint64_t handle = forward.handle;
     if (to == world.gateways.size() || !found->isUp) {
-        failForward(world, from, life, handle, tickLeast, false);
+        failForward(world, from, generation, handle, minTickInterval, false);
         return;
     }
-    if (isLinkCut(world, from, to) && draw(world, 50)) {
-        failForward(world, from, life, handle, linkRefused, false);
+    if (isLinkCut(world, from, to) && drawPercent(world, 50)) {
+        failForward(world, from, generation, handle, connectionFailureDelay, false);
         return;
     }
-    const bool isLost = world.conditions.peersLost > 0 && draw(world, 20);
+    const bool isLost = world.conditions.peersLost > 0 && drawPercent(world, 20);
     if (isLost) {
-        // The link closes; half of the time the request had arrived.
-        failForward(world, from, life, handle, linkRefused, true);
-        if (draw(world, 50))
+        // The connection closes; in half of the cases the request has already arrived.
+        failForward(world, from, generation, handle, connectionFailureDelay, true);
+        if (drawPercent(world, 50))
             return;
     }
     const duration left = forward.request.deadline == noDeadline
-                                  ? platformLimit
+                                  ? platformTimeout
                                   : forward.request.deadline - world.now;
-    const std::uint64_t toLife = found->life;
+    const std::uint64_t toGeneration = found->generation;
     sendReliably(
             world, from, to,
-            [&world, from, life, to, toLife, handle, left, request = std::move(forward.request)] {
-                if (!world.gateways[to].isUp || world.gateways[to].life != toLife) {
-                    failForward(world, from, life, handle, tickLeast, true);
+            [&world, from, generation, to, toGeneration, handle, left,
+             request = std::move(forward.request)] {
+                if (!world.gateways[to].isUp || world.gateways[to].generation != toGeneration) {
+                    failForward(world, from, generation, handle, minTickInterval, true);
                     return;
                 }
-                atGateway(world, to, toLife,
-                          [&world, from, life, to, handle, left, request](gateway_turn &turn) {
-                              world_gateway &node = world.gateways[to];
-                              const std::uint64_t ticket = node.nextOrigin++;
-                              node.origins[ticket] = { from, life, handle };
-                              statement_request arrived = request;
-                              arrived.deadline = turn.now + left;
-                              onForwarded(turn, world.gateways[from].instance, ticket, arrived);
-                          });
+                runAtGateway(
+                        world, to, toGeneration,
+                        [&world, from, generation, to, handle, left, request](gateway_turn &turn) {
+                            world_gateway &node = world.gateways[to];
+                            const std::uint64_t ticket = node.nextOrigin++;
+                            node.origins[ticket] = { from, generation, handle };
+                            statement_request arrived = request;
+                            arrived.deadline = turn.now + left;
+                            onForwarded(turn, world.gateways[from].instance, ticket, arrived);
+                        });
             });
 }
 
@@ -183,18 +185,19 @@
         return;
     const world_gateway::origin origin = entry->second;
     origins.erase(entry);
-    if (world.conditions.peersLost > 0 && draw(world, 20)) {
-        failForward(world, origin.gateway, origin.life, origin.handle, linkRefused, true);
+    if (world.conditions.peersLost > 0 && drawPercent(world, 20)) {
+        failForward(world, origin.gateway, origin.generation, origin.handle, connectionFailureDelay,
+                    true);
         return;
     }
     const instance_id sender = world.gateways[from].instance;
     const int copies = world.conditions.peersDoubled > 0 ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         sendReliably(world, from, origin.gateway, [&world, origin, sender, answer = result.answer] {
-            atGateway(world, origin.gateway, origin.life,
-                      [origin, sender, answer](gateway_turn &turn) {
-                          onForwardResult(turn, sender, origin.handle, answer);
-                      });
+            runAtGateway(world, origin.gateway, origin.generation,
+                         [origin, sender, answer](gateway_turn &turn) {
+                             onForwardResult(turn, sender, origin.handle, answer);
+                         });
         });
     }
 }
@@ -218,7 +221,7 @@
 void perform(gateway_world &world, std::size_t gateway, gateway_action &&action)
 {
     if (auto *reply = std::get_if<caller_reply>(&action)) {
-        takeReply(world, gateway, std::move(*reply));
+        onCallerReply(world, gateway, std::move(*reply));
     } else if (auto *message = std::get_if<limit_message>(&action)) {
         const std::size_t to = findGateway(world, message->to);
         if (to == world.gateways.size())
@@ -235,7 +238,7 @@
                                  });
                      });
     } else if (auto *call = std::get_if<limit_platform_call>(&action)) {
-        performKeeperCall(world, gateway, std::move(*call));
+        performLimitCall(world, gateway, std::move(*call));
     } else if (auto *forward = std::get_if<forward_statement>(&action)) {
         performForward(world, gateway, std::move(*forward));
     } else if (auto *result = std::get_if<forward_result>(&action)) {
@@ -250,10 +253,10 @@
     }
 }
 
-/// Statements that got their token in this turn.
+/// Records the statements that obtained a token in this turn.
 void recordGrants(gateway_world &world, world_gateway &node)
 {
-    std::erase_if(node.undecided, [&](const auto &each) {
+    std::erase_if(node.awaitingToken, [&](const auto &each) {
         const auto entry = node.state.entries.find(each.second);
         if (entry != node.state.entries.end() && entry->second.isWaiting)
             return false;
@@ -269,10 +272,10 @@
 
 void watchSteps(gateway_world &world, std::size_t gateway)
 {
-    if (!world.awaited)
+    if (!world.awaitedStep)
         return;
     const world_gateway &node = world.gateways[gateway];
-    if (*world.awaited == gateway_step::WaitingForToken && !node.undecided.empty())
+    if (*world.awaitedStep == gateway_step::WaitingForToken && !node.awaitingToken.empty())
         reachStep(world, gateway_step::WaitingForToken, gateway);
     for (const auto &[group, owner] : node.state.owners) {
         if (owner.queue.length + owner.readyCount > 0)
@@ -282,7 +285,7 @@
     }
 }
 
-/// The deliberate errors that concern a gateway's state.
+/// Injects the defects that change the state of a gateway.
 void injectDefect(gateway_world &world, world_gateway &node)
 {
     if (world.settings.defect == gateway_defect::AcknowledgeAtOnce) {
@@ -291,7 +294,7 @@
     } else if (world.settings.defect == gateway_defect::TokensRefilled) {
         for (auto &[resource, entry] : node.state.keeper.rates.limits)
             entry.book.bucket.level = entry.book.bucket.capacity;
-    } else if (world.settings.defect == gateway_defect::ProofWithoutQuestion) {
+    } else if (world.settings.defect == gateway_defect::ProofWithoutQuery) {
         addPlatformProof(node.state.proof, node.state.config.version, world.now);
     } else if (world.settings.defect == gateway_defect::VersionReverts
                && node.state.config.version > 1) {
@@ -299,7 +302,7 @@
     }
 }
 
-void takeConfiguration(gateway_turn &turn, const configuration &config)
+void adoptConfiguration(gateway_turn &turn, const configuration &config)
 {
     if (config.version > turn.state.config.version)
         applyConfiguration(turn, config);
@@ -308,15 +311,15 @@
 void readPlatform(gateway_world &world, std::size_t gateway)
 {
     const time_point sentAt = world.now;
-    struct reading
+    struct platform_snapshot
     {
         configuration config;
         std::set<member_id> leaving;
     };
-    callPlatform<reading>(
+    callPlatform<platform_snapshot>(
             world, gateway,
             [&world] {
-                reading newest{ world.versions.back(), {} };
+                platform_snapshot newest{ world.versions.back(), {} };
                 for (const world_member &each : world.members) {
                     if (each.leavingSince <= world.now
                         && world.settings.defect != gateway_defect::LeavingIgnored)
@@ -324,14 +327,14 @@
                 }
                 return std::optional(newest);
             },
-            [&world, sentAt](gateway_turn &turn, const std::optional<reading> &newest) {
+            [&world, sentAt](gateway_turn &turn, const std::optional<platform_snapshot> &newest) {
                 if (!newest)
                     return;
-                if (world.settings.defect != gateway_defect::ProofWithoutQuestion) {
-                    takeConfiguration(turn, newest->config);
+                if (world.settings.defect != gateway_defect::ProofWithoutQuery) {
+                    adoptConfiguration(turn, newest->config);
                     addPlatformProof(turn.state.proof, newest->config.version, sentAt);
                 } else if (turn.state.config.version == 0) {
-                    takeConfiguration(turn, world.versions.front());
+                    adoptConfiguration(turn, world.versions.front());
                 }
                 for (auto &[group, owner] : turn.state.owners) {
                     for (const auto &[member, view] : owner.view.members)
@@ -340,8 +343,8 @@
             });
 }
 
-/// Asks a peer for its version and its proof, as a digest does.
-void askPeer(gateway_world &world, std::size_t from, std::size_t to)
+/// Requests the configuration and freshness proof of a peer, like a digest message.
+void queryPeer(gateway_world &world, std::size_t from, std::size_t to)
 {
     const time_point sentAt = world.now;
     sendDatagram(world, from, to, [&world, from, to, sentAt](gateway_turn &peer) {
@@ -351,15 +354,15 @@
         const duration age = peer.now - proof.at;
         const configuration config = peer.state.config;
         sendDatagram(world, to, from, [&world, proof, age, config, sentAt](gateway_turn &turn) {
-            if (world.settings.defect == gateway_defect::ProofWithoutQuestion)
+            if (world.settings.defect == gateway_defect::ProofWithoutQuery)
                 return;
-            takeConfiguration(turn, config);
+            adoptConfiguration(turn, config);
             addPeerProof(turn.state.proof, proof.version, age, sentAt);
         });
     });
 }
 
-void tellPeers(gateway_world &world, std::size_t gateway)
+void updateLivePeers(gateway_world &world, std::size_t gateway)
 {
     world_gateway &node = world.gateways[gateway];
     std::vector<peer_ref> live;
@@ -368,11 +371,11 @@
         const world_gateway &other = world.gateways[i];
         if (i == gateway || !other.isUp)
             continue;
-        if (!isLinkCut(world, gateway, i) && other.frozen == 0)
-            node.heard[i] = world.now;
-        const auto heard = node.heard.find(i);
-        const bool isLive = heard != node.heard.end() && heard->second + liveFor > world.now
-                            && !other.isStopping;
+        if (!isLinkCut(world, gateway, i) && other.freezeCount == 0)
+            node.lastHeardAt[i] = world.now;
+        const auto entry = node.lastHeardAt.find(i);
+        const bool isLive = entry != node.lastHeardAt.end()
+                            && entry->second + livenessTimeout > world.now && !other.isStopping;
         peer_instance &peer = peers[other.instance];
         peer.incarnation = other.state.incarnation;
         peer.zone = other.zone;
@@ -387,46 +390,48 @@
             peer.avoidUntil = old->second.avoidUntil;
     }
     node.state.peers = std::move(peers);
-    if (live == node.known)
+    if (live == node.reportedPeers)
         return;
-    node.known = live;
-    atGateway(world, gateway, node.life,
-              [&](gateway_turn &turn) { onLivePeers(turn, std::move(live)); });
+    node.reportedPeers = live;
+    runAtGateway(world, gateway, node.generation,
+                 [&](gateway_turn &turn) { onLivePeers(turn, std::move(live)); });
 }
 
-void refresh(gateway_world &world, std::size_t gateway, std::uint64_t life)
+void refresh(gateway_world &world, std::size_t gateway, std::uint64_t generation)
 {
     const world_gateway &node = world.gateways[gateway];
-    if (!node.isUp || node.life != life)
+    if (!node.isUp || node.generation != generation)
         return;
-    if (node.frozen == 0) {
-        tellPeers(world, gateway);
+    if (node.freezeCount == 0) {
+        updateLivePeers(world, gateway);
         readPlatform(world, gateway);
-        askPeer(world, gateway, drawBelow(world.random, world.gateways.size()));
+        queryPeer(world, gateway, drawBelow(world.random, world.gateways.size()));
     }
-    after(world, refreshEvery, [&world, gateway, life] { refresh(world, gateway, life); });
+    after(world, refreshInterval,
+          [&world, gateway, generation] { refresh(world, gateway, generation); });
 }
 
-void tick(gateway_world &world, std::size_t gateway, std::uint64_t life)
+void tick(gateway_world &world, std::size_t gateway, std::uint64_t generation)
 {
     world_gateway &node = world.gateways[gateway];
-    if (!node.isUp || node.life != life)
+    if (!node.isUp || node.generation != generation)
         return;
-    if (node.frozen == 0) {
-        atGateway(world, gateway, life, [](gateway_turn &turn) { advance(turn); });
+    if (node.freezeCount == 0) {
+        runAtGateway(world, gateway, generation, [](gateway_turn &turn) { advance(turn); });
         if (node.isStopping && isDrained(node.state)) {
             if (node.stopsAt == noDeadline)
-                node.stopsAt = world.now + shareReturnLimit;
+                node.stopsAt = world.now + shareReturnTimeout;
             if (hasLeft(node.state.keeper) || world.now >= node.stopsAt) {
                 killGateway(world, gateway);
-                after(world, refreshEvery, [&world, gateway] { startGateway(world, gateway); });
+                after(world, refreshInterval, [&world, gateway] { startGateway(world, gateway); });
                 return;
             }
         }
     }
-    const time_point next =
-            std::clamp(nextWakeup(node.state), world.now + tickLeast, world.now + tickEvery);
-    after(world, next - world.now, [&world, gateway, life] { tick(world, gateway, life); });
+    const time_point next = std::clamp(nextWakeup(node.state), world.now + minTickInterval,
+                                       world.now + maxTickInterval);
+    after(world, next - world.now,
+          [&world, gateway, generation] { tick(world, gateway, generation); });
 }
 
 } // namespace
@@ -440,24 +445,25 @@
     return static_cast<std::size_t>(found - world.gateways.begin());
 }
 
-void atGateway(gateway_world &world, std::size_t gateway, std::uint64_t life,
-               const std::function<void(gateway_turn &)> &event)
+void runAtGateway(gateway_world &world, std::size_t gateway, std::uint64_t generation,
+                  const std::function<void(gateway_turn &)> &event)
 {
     world_gateway &node = world.gateways[gateway];
-    if (!node.isUp || node.life != life)
+    if (!node.isUp || node.generation != generation)
         return;
-    if (node.frozen > 0) {
-        node.inbox.emplace_back(
-                [&world, gateway, life, event] { atGateway(world, gateway, life, event); });
+    if (node.freezeCount > 0) {
+        node.inbox.emplace_back([&world, gateway, generation, event] {
+            runAtGateway(world, gateway, generation, event);
+        });
         return;
     }
     injectDefect(world, node);
     gateway_turn turn{ node.state, world.now, node.random, node.actions };
     event(turn);
-    settleTurn(world, gateway);
+    completeTurn(world, gateway);
 }
 
-void settleTurn(gateway_world &world, std::size_t gateway)
+void completeTurn(gateway_world &world, std::size_t gateway)
 {
     world_gateway &node = world.gateways[gateway];
     while (!node.actions.empty()) {
@@ -466,9 +472,9 @@
             perform(world, gateway, std::move(each));
     }
     recordGrants(world, node);
-    if (node.recorded != node.state.config.version) {
-        node.recorded = node.state.config.version;
-        world.history.versions.push_back({ gateway, node.life, node.recorded });
+    if (node.recordedVersion != node.state.config.version) {
+        node.recordedVersion = node.state.config.version;
+        world.history.versions.push_back({ gateway, node.generation, node.recordedVersion });
     }
     watchSteps(world, gateway);
 }
@@ -476,20 +482,20 @@
 void startGateway(gateway_world &world, std::size_t gateway)
 {
     world_gateway &node = world.gateways[gateway];
-    ++node.life;
+    ++node.generation;
     node.isUp = true;
     node.isStopping = false;
     node.stopsAt = noDeadline;
     node.random.seed(world.random());
     node.state = makeGateway({ node.random(), node.instance, node.zone }, {}, world.now);
     node.state.proof.proofLifetime = proofLifetime;
-    node.known.clear();
-    node.heard.clear();
-    node.recorded = 0;
-    const std::uint64_t life = node.life;
-    after(world, drawUpTo(world, tickEvery), [&world, gateway, life] {
-        refresh(world, gateway, life);
-        tick(world, gateway, life);
+    node.reportedPeers.clear();
+    node.lastHeardAt.clear();
+    node.recordedVersion = 0;
+    const std::uint64_t generation = node.generation;
+    after(world, drawUpTo(world, maxTickInterval), [&world, gateway, generation] {
+        refresh(world, gateway, generation);
+        tick(world, gateway, generation);
     });
 }
 
@@ -512,7 +518,7 @@
             member.model.member = { group.value + "-" + std::to_string(j) };
             member.model.group = group;
             member.zoneNumber = j % settings.zones;
-            member.slots.resize(settings.slots);
+            member.slotsFreeAt.resize(settings.slots);
             value.members[member.model.member] = { { "zone" + std::to_string(member.zoneNumber) },
                                                    member.model.member.value };
             acceptTerm(member.model, 256);
--- a/testing/gateway_world_callers.cpp
+++ b/testing/gateway_world_callers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The callers of the gateway world and their sessions.
+/// @brief Callers of the gateway simulation and their sessions.
 
 #include <fuchsiagw/testing/gateway_world_parts.hpp>
 
@@ -11,30 +11,30 @@
 
 namespace {
 
-constexpr duration toCaller = std::chrono::milliseconds(1); ///< one way
-constexpr duration deadlineAfter = std::chrono::milliseconds(1500);
-constexpr duration patience = std::chrono::milliseconds(2500);
+constexpr duration callerLinkDelay = std::chrono::milliseconds(1); ///< one way
+constexpr duration statementTimeout = std::chrono::milliseconds(1500);
+constexpr duration callerTimeout = std::chrono::milliseconds(2500);
 constexpr duration thinkTime = std::chrono::milliseconds(20);
-constexpr unsigned mostRetries = 3;
+constexpr unsigned maxRetries = 3;
 constexpr unsigned lostAnswerPercent = 1;
-constexpr unsigned movePercent = 20;
+constexpr unsigned gatewayChangePercent = 20;
 
-void next(gateway_world &world, std::size_t session);
+void sendNextRequest(gateway_world &world, std::size_t session);
 
-void nextLater(gateway_world &world, std::size_t session)
+void scheduleNextRequest(gateway_world &world, std::size_t session)
 {
     const auto pause = drawBelow(world.random, 2 * static_cast<std::uint64_t>(thinkTime.count()));
-    after(world, duration(static_cast<std::int64_t>(pause)) + toCaller,
-          [&world, session] { next(world, session); });
+    after(world, duration(static_cast<std::int64_t>(pause)) + callerLinkDelay,
+          [&world, session] { sendNextRequest(world, session); });
 }
 
-/// Callers see whether an instance is ready, but not whether it is frozen.
+/// Chooses a running gateway that does not drain. Callers cannot detect that a gateway is frozen.
 bool chooseGateway(gateway_world &world, world_session &session)
 {
     const auto isUsable = [&](std::size_t each) {
         return world.gateways[each].isUp && !world.gateways[each].isStopping;
     };
-    if (isUsable(session.gateway) && !draw(world, movePercent))
+    if (isUsable(session.gateway) && !drawPercent(world, gatewayChangePercent))
         return true;
     std::vector<std::size_t> usable;
     for (std::size_t i = 0; i < world.gateways.size(); ++i) {
@@ -62,16 +62,16 @@
         operation.request.text = "append $1 $2";
 }
 
-/// What a session does next within its transaction.
-statement_kind nextInUnit(gateway_world &world, world_session &session)
+/// @return the kind of the next statement in the transaction of a session
+statement_kind nextTransactionStatement(gateway_world &world, world_session &session)
 {
-    ++session.unitStep;
-    if (session.unitStep < 4)
-        return session.unitStep == 2 ? statement_kind::Read : statement_kind::Write;
-    return draw(world, 10) ? statement_kind::Rollback : statement_kind::Commit;
+    ++session.transactionStep;
+    if (session.transactionStep < 4)
+        return session.transactionStep == 2 ? statement_kind::Read : statement_kind::Write;
+    return drawPercent(world, 10) ? statement_kind::Rollback : statement_kind::Commit;
 }
 
-void choose(gateway_world &world, world_session &session, caller_operation &operation)
+void chooseOperation(gateway_world &world, world_session &session, caller_operation &operation)
 {
     if (session.retry != 0) {
         const caller_operation &first = world.history.operations[session.retry - 1];
@@ -81,39 +81,39 @@
     }
     const std::string own = dataKeyOf(session.number);
     if (session.transaction) {
-        setText(operation, nextInUnit(world, session), own);
+        setText(operation, nextTransactionStatement(world, session), own);
         operation.request.transaction = session.transaction;
-        operation.unit = session.unit;
+        operation.transactionNumber = session.transactionNumber;
         return;
     }
-    const std::uint64_t lot = drawBelow(world.random, 100);
-    if (lot < 8) {
+    const std::uint64_t drawn = drawBelow(world.random, 100);
+    if (drawn < 8) {
         setText(operation, statement_kind::Begin, own);
-        operation.unit = session.unit = world.nextUnit++;
-        session.unitStep = 0;
-        session.unitItems.clear();
-    } else if (lot < 35) {
+        operation.transactionNumber = session.transactionNumber = world.nextTransactionNumber++;
+        session.transactionStep = 0;
+        session.transactionItems.clear();
+    } else if (drawn < 35) {
         setText(operation, statement_kind::Write, own);
-        if (draw(world, 50))
+        if (drawPercent(world, 50))
             operation.request.idempotencyKey = "write-" + std::to_string(operation.item);
     } else {
-        operation.isOwnKey = lot < 90;
+        operation.isOwnData = drawn < 90;
         const std::size_t other = drawBelow(world.random, world.sessions.size());
-        const bool isOther = !operation.isOwnKey
+        const bool isOther = !operation.isOwnData
                              && world.sessions[other].workspace == session.workspace
                              && world.sessions[other].group == session.group;
-        operation.isOwnKey = !isOther;
+        operation.isOwnData = !isOther;
         setText(operation, statement_kind::Read, isOther ? dataKeyOf(other) : own);
-        if (draw(world, 70))
+        if (drawPercent(world, 70))
             operation.request.readClass = "recent";
     }
 }
 
-void forgetUnit(world_session &session)
+void forgetTransaction(world_session &session)
 {
-    session.unit = 0;
+    session.transactionNumber = 0;
     session.transaction.reset();
-    session.unitItems.clear();
+    session.transactionItems.clear();
 }
 
 void acknowledge(gateway_world &world, world_session &session, std::uint64_t item)
@@ -121,8 +121,8 @@
     world.history.acknowledged[{ session.number, session.group }].push_back(item);
 }
 
-void takeSuccess(gateway_world &world, world_session &session, const caller_operation &operation,
-                 const std::optional<core::session> &known)
+void applySuccess(gateway_world &world, world_session &session, const caller_operation &operation,
+                  const std::optional<core::session> &known)
 {
     if (known)
         session.known = known;
@@ -132,58 +132,59 @@
         break;
     case statement_kind::Write:
         if (session.transaction)
-            session.unitItems.push_back(operation.item);
+            session.transactionItems.push_back(operation.item);
         else
             acknowledge(world, session, operation.item);
         break;
     case statement_kind::Commit:
-        for (const std::uint64_t item : session.unitItems)
+        for (const std::uint64_t item : session.transactionItems)
             acknowledge(world, session, item);
-        forgetUnit(session);
+        forgetTransaction(session);
         break;
     case statement_kind::Rollback:
-        forgetUnit(session);
+        forgetTransaction(session);
         break;
     case statement_kind::Read:
         break;
     }
 }
 
-/// The caller goes on without an answer, or with an error.
+/// Ends an operation without an answer or with an error: schedules a retry if the operation has an
+/// idempotency key, else the next request.
 void giveUp(gateway_world &world, world_session &session, const caller_operation &operation)
 {
     const bool mayRepeat = !operation.request.idempotencyKey.empty();
-    if (mayRepeat && session.retries < mostRetries) {
+    if (mayRepeat && session.retries < maxRetries) {
         session.retry = operation.number;
         ++session.retries;
     } else {
         session.retry = 0;
         session.retries = 0;
     }
-    forgetUnit(session);
-    nextLater(world, session.number);
+    forgetTransaction(session);
+    scheduleNextRequest(world, session.number);
 }
 
 void send(gateway_world &world, std::uint64_t number, const std::optional<core::session> &known,
-          bool isNamed)
+          bool hasSessionToken)
 {
     caller_operation &operation = world.history.operations[number - 1];
     world_gateway &node = world.gateways[operation.gateway];
     if (!node.isUp)
         return;
     operation.arrivedAt = world.now;
-    operation.request.deadline = world.now + deadlineAfter;
+    operation.request.deadline = world.now + statementTimeout;
     caller_request request;
     request.ticket = number;
     request.key = operation.key;
     request.known = known;
-    request.hasSessionToken = isNamed;
+    request.hasSessionToken = hasSessionToken;
     request.statement = operation.request;
     const std::size_t gateway = operation.gateway;
     if (operation.request.kind == statement_kind::Write)
         reachStep(world, gateway_step::Admission, gateway);
-    atGateway(world, gateway, node.life, [&world, gateway, request](gateway_turn &turn) {
-        // A frozen gateway reads the request when it goes on.
+    runAtGateway(world, gateway, node.generation, [&world, gateway, request](gateway_turn &turn) {
+        // A frozen gateway reads the request only when the freeze ends.
         caller_operation &arrived = world.history.operations[request.ticket - 1];
         arrived.arrivedAt = turn.now;
         const std::uint64_t handle = turn.state.nextHandle;
@@ -191,49 +192,50 @@
                                && request.statement.kind != statement_kind::Rollback;
         onCallerRequest(turn, request);
         if (turn.state.nextHandle != handle && isLimited)
-            world.gateways[gateway].undecided[request.ticket] = handle;
+            world.gateways[gateway].awaitingToken[request.ticket] = handle;
     });
 }
 
-void next(gateway_world &world, std::size_t place)
+void sendNextRequest(gateway_world &world, std::size_t index)
 {
-    world_session &session = world.sessions[place];
+    world_session &session = world.sessions[index];
     if (world.areCallersStopped)
         return;
     if (!chooseGateway(world, session)) {
-        nextLater(world, place);
+        scheduleNextRequest(world, index);
         return;
     }
     caller_operation operation;
     operation.number = world.history.operations.size() + 1;
     operation.item = operation.number;
-    operation.session = place;
+    operation.session = index;
     operation.key = session.key;
     operation.workspace = session.workspace;
     operation.gateway = session.gateway;
-    choose(world, session, operation);
+    chooseOperation(world, session, operation);
     operation.request.id = { operation.number, world.settings.seed };
     operation.request.group = session.group;
     operation.request.workspace = {};
-    operation.mustSee = world.history.acknowledged[{ place, session.group }].size();
+    operation.requiredItemCount = world.history.acknowledged[{ index, session.group }].size();
     session.pending = operation.number;
     std::optional<core::session> known = session.known;
-    bool isNamed = known.has_value();
+    bool hasSessionToken = known.has_value();
     if (world.settings.defect == gateway_defect::SessionForgotten) {
         known.reset();
-        isNamed = false;
-    } else if (draw(world, 2) && isNamed) {
-        known.reset(); // a damaged token
+        hasSessionToken = false;
+    } else if (drawPercent(world, 2) && hasSessionToken) {
+        known.reset(); // simulates a damaged session token
     }
     const std::uint64_t number = operation.number;
     world.history.operations.push_back(std::move(operation));
-    after(world, toCaller,
-          [&world, number, known, isNamed] { send(world, number, known, isNamed); });
-    after(world, patience, [&world, place, number] {
-        if (world.sessions[place].pending != number)
+    after(world, callerLinkDelay, [&world, number, known, hasSessionToken] {
+        send(world, number, known, hasSessionToken);
+    });
+    after(world, callerTimeout, [&world, index, number] {
+        if (world.sessions[index].pending != number)
             return;
-        world.sessions[place].pending = 0;
-        giveUp(world, world.sessions[place], world.history.operations[number - 1]);
+        world.sessions[index].pending = 0;
+        giveUp(world, world.sessions[index], world.history.operations[number - 1]);
     });
 }
 
@@ -245,7 +247,7 @@
     for (std::size_t i = 0; i < world.settings.sessions; ++i) {
         world_session session;
         session.number = i;
-        // A quarter of the sessions belong to the workspace with the scarce rate.
+        // A quarter of the sessions belong to the workspace with the low rate limit.
         session.workspace = { i % 4 == 3 ? "south" : "north" };
         session.key = world.history.keys[(i % 4 == 3 ? 2 : 0) + (i / 4) % 2].first;
         session.group =
@@ -254,10 +256,10 @@
         world.sessions.push_back(std::move(session));
     }
     for (std::size_t i = 0; i < world.sessions.size(); ++i)
-        nextLater(world, i);
+        scheduleNextRequest(world, i);
 }
 
-void takeReply(gateway_world &world, std::size_t gateway, caller_reply &&reply)
+void onCallerReply(gateway_world &world, std::size_t gateway, caller_reply &&reply)
 {
     caller_operation &operation = world.history.operations[reply.ticket - 1];
     ++operation.replies;
@@ -270,24 +272,25 @@
     operation.answeredAt = world.now;
     if (operation.request.kind == statement_kind::Begin && !reply.answer.error)
         reachStep(world, gateway_step::TransactionOpen, gateway);
-    if (draw(world, lostAnswerPercent))
+    if (drawPercent(world, lostAnswerPercent))
         return;
-    after(world, toCaller, [&world, number = operation.number, known = std::move(reply.known)] {
-        caller_operation &answered = world.history.operations[number - 1];
-        world_session &session = world.sessions[answered.session];
-        if (session.pending != number)
-            return;
-        session.pending = 0;
-        answered.wasReceived = true;
-        if (answered.answer->error) {
-            giveUp(world, session, answered);
-            return;
-        }
-        session.retry = 0;
-        session.retries = 0;
-        takeSuccess(world, session, answered, known);
-        nextLater(world, session.number);
-    });
+    after(world, callerLinkDelay,
+          [&world, number = operation.number, known = std::move(reply.known)] {
+              caller_operation &answered = world.history.operations[number - 1];
+              world_session &session = world.sessions[answered.session];
+              if (session.pending != number)
+                  return;
+              session.pending = 0;
+              answered.wasReceived = true;
+              if (answered.answer->error) {
+                  giveUp(world, session, answered);
+                  return;
+              }
+              session.retry = 0;
+              session.retries = 0;
+              applySuccess(world, session, answered, known);
+              scheduleNextRequest(world, session.number);
+          });
 }
 
 } // namespace fuchsiagw::testing
--- a/testing/gateway_world_checks.cpp
+++ b/testing/gateway_world_checks.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The checkers of M1 to M13 over the history of a run.
+/// @brief Checkers of requirements M1 to M13 over the history of a run.
 
 #include <fuchsiagw/testing/gateway_world_history.hpp>
 
@@ -18,7 +18,7 @@
 
 using findings = std::vector<world_finding>;
 
-std::string about(const caller_operation &operation, const std::string &text)
+std::string describeOperation(const caller_operation &operation, const std::string &text)
 {
     return "operation " + std::to_string(operation.number) + " ("
            + std::string(toString(operation.request.kind)) + ", session "
@@ -43,39 +43,41 @@
                                                 : itemsOf(rows.front().front());
 }
 
-/// A session's read contains each of its writes that had been acknowledged when it was sent.
+/// M1: a read of a session returns each write of the session that was acknowledged before the read
+/// was sent.
 void checkOwnWrites(const gateway_history &history, findings &found)
 {
     for (const caller_operation &each : history.operations) {
-        if (!isAcknowledged(each) || each.request.kind != statement_kind::Read || !each.isOwnKey)
+        if (!isAcknowledged(each) || each.request.kind != statement_kind::Read || !each.isOwnData)
             continue;
         const auto own = history.acknowledged.find({ each.session, each.request.group });
         if (own == history.acknowledged.end())
             continue;
         const std::vector<std::uint64_t> items = rowItems(each);
         const std::set<std::uint64_t> seen(items.begin(), items.end());
-        for (std::size_t i = 0; i < each.mustSee; ++i) {
+        for (std::size_t i = 0; i < each.requiredItemCount; ++i) {
             if (seen.count(own->second[i]) == 0) {
                 found.push_back({ requirement::M1,
-                                  about(each, "misses item " + std::to_string(own->second[i])) });
+                                  describeOperation(
+                                          each, "misses item " + std::to_string(own->second[i])) });
                 break;
             }
         }
     }
 }
 
-/// Items that a success of the gateway covers: a write by itself, or those of a transaction.
+/// @return the acknowledged writes: single writes and the writes of committed transactions
 std::vector<const caller_operation *> acknowledgedWrites(const gateway_history &history)
 {
     std::set<std::uint64_t> committed;
     for (const caller_operation &each : history.operations) {
         if (isAcknowledged(each) && each.request.kind == statement_kind::Commit)
-            committed.insert(each.unit);
+            committed.insert(each.transactionNumber);
     }
     std::vector<const caller_operation *> writes;
     for (const caller_operation &each : history.operations) {
         if (isAcknowledged(each) && each.request.kind == statement_kind::Write
-            && (each.unit == 0 || committed.count(each.unit) != 0))
+            && (each.transactionNumber == 0 || committed.count(each.transactionNumber) != 0))
             writes.push_back(&each);
     }
     return writes;
@@ -95,7 +97,7 @@
                                         : itemsOf(stored->second.value);
 }
 
-/// Every acknowledged write is in the data of the last primary.
+/// M2: every acknowledged write is in the data of the last primary.
 void checkNoLoss(const gateway_history &history, findings &found)
 {
     for (const group_id &each : history.withoutPrimary)
@@ -110,7 +112,7 @@
             entry = cache.emplace(key, std::set(items.begin(), items.end())).first;
         }
         if (entry->second.count(each->item) == 0)
-            found.push_back({ requirement::M2, about(*each, "acknowledged but lost") });
+            found.push_back({ requirement::M2, describeOperation(*each, "acknowledged but lost") });
     }
 }
 
@@ -121,7 +123,7 @@
                                                              : &history.operations[number - 1];
 }
 
-/// Between begin and end, only statements of the connection's transaction run on it.
+/// M3: while a transaction is open on a connection, only its statements run on that connection.
 void checkTransactions(const gateway_history &history, findings &found)
 {
     std::map<connection_number, std::uint64_t> open;
@@ -134,20 +136,22 @@
         if (!each.hasRun || operation == nullptr)
             continue;
         const auto entry = open.find(each.connection);
-        const std::uint64_t carried = entry == open.end() ? 0 : entry->second;
+        const std::uint64_t openTransaction = entry == open.end() ? 0 : entry->second;
         const bool isBegin = each.request.kind == statement_kind::Begin;
-        if (isBegin ? carried != 0 : carried != operation->unit)
+        if (isBegin ? openTransaction != 0 : openTransaction != operation->transactionNumber)
             found.push_back(
-                    { requirement::M3, about(*operation, "ran on a connection of transaction "
-                                                                 + std::to_string(carried)) });
+                    { requirement::M3,
+                      describeOperation(*operation, "ran on a connection of transaction "
+                                                            + std::to_string(openTransaction)) });
         if (isBegin)
-            open[each.connection] = operation->unit;
+            open[each.connection] = operation->transactionNumber;
         else if (each.request.kind == statement_kind::Commit
                  || each.request.kind == statement_kind::Rollback)
             open.erase(each.connection);
     }
 }
 
+/// M4: a statement runs for the workspace of its key.
 void checkWorkspace(const gateway_history &history, findings &found)
 {
     for (const member_event &each : history.members) {
@@ -155,11 +159,12 @@
         if (!each.isClose && operation != nullptr && each.request.workspace != operation->workspace)
             found.push_back(
                     { requirement::M4,
-                      about(*operation, "ran for workspace " + each.request.workspace.value) });
+                      describeOperation(*operation,
+                                        "ran for workspace " + each.request.workspace.value) });
     }
 }
 
-/// No field of a request to a member contains a key.
+/// M5: no field of a request to a member contains a key.
 void checkKeys(const gateway_history &history, findings &found)
 {
     for (const member_event &each : history.members) {
@@ -178,7 +183,7 @@
     }
 }
 
-/// After the withdrawal and the allowed age of a freshness proof the key is not accepted.
+/// M6: a key is refused once the lifetime of a freshness proof has passed since its withdrawal.
 void checkWithdrawn(const gateway_history &history, findings &found)
 {
     for (const caller_operation &each : history.operations) {
@@ -189,11 +194,12 @@
         const auto error = each.answer->error;
         if (error != error_kind::KeyWithdrawn && error != error_kind::KeyUnproven
             && error != error_kind::KeyUnknown && error != error_kind::NotReady)
-            found.push_back({ requirement::M6, about(each, "accepted with a withdrawn key") });
+            found.push_back(
+                    { requirement::M6, describeOperation(each, "accepted with a withdrawn key") });
     }
 }
 
-/// One exact bucket for each workspace could have granted the same statements.
+/// M7: one exact token bucket per workspace could have granted the same statements.
 void checkRates(const gateway_history &history, findings &found)
 {
     std::map<workspace_id, token_bucket> exact;
@@ -210,16 +216,17 @@
     }
 }
 
-/// Checks the rows of an answer against its own request.
+/// M8: each request has at most one answer, with the id and the rows of this request.
 void checkAnswers(const gateway_history &history, findings &found)
 {
     for (const caller_operation &each : history.operations) {
         if (each.replies > 1)
-            found.push_back({ requirement::M8, about(each, "answered twice") });
+            found.push_back({ requirement::M8, describeOperation(each, "answered twice") });
         if (!each.answer)
             continue;
         if (each.answer->id != each.request.id)
-            found.push_back({ requirement::M8, about(each, "answer to another request") });
+            found.push_back(
+                    { requirement::M8, describeOperation(each, "answer to another request") });
         if (each.answer->error)
             continue;
         const std::vector<std::uint64_t> items = rowItems(each);
@@ -230,17 +237,18 @@
             return writer.parameters.front() != each.request.parameters.front()
                    || writer.group != each.request.group;
         });
-        const bool misses = each.request.kind == statement_kind::Write
-                            && (items.empty() || items.back() != each.item);
-        const bool hasNeedlessRows = each.request.kind != statement_kind::Write
-                                     && each.request.kind != statement_kind::Read
-                                     && !each.answer->rows.empty();
-        if (isForeign || misses || hasNeedlessRows)
-            found.push_back({ requirement::M8, about(each, "rows of another request") });
+        const bool lacksItem = each.request.kind == statement_kind::Write
+                               && (items.empty() || items.back() != each.item);
+        const bool hasUnexpectedRows = each.request.kind != statement_kind::Write
+                                       && each.request.kind != statement_kind::Read
+                                       && !each.answer->rows.empty();
+        if (isForeign || lacksItem || hasUnexpectedRows)
+            found.push_back(
+                    { requirement::M8, describeOperation(each, "rows of another request") });
     }
 }
 
-/// An item of which every attempt was answered `not_run` ran nowhere.
+/// M9: an item ran at no member if every attempt was answered `not_run`.
 void checkNotRun(const gateway_history &history, findings &found)
 {
     std::set<std::uint64_t> refused;
@@ -254,8 +262,8 @@
     }
     for (const member_event &each : history.members) {
         if (each.hasRun && refused.count(each.item) != 0)
-            found.push_back({ requirement::M9,
-                              about(history.operations[each.item - 1], "not_run, but ran") });
+            found.push_back({ requirement::M9, describeOperation(history.operations[each.item - 1],
+                                                                 "not_run, but ran") });
     }
 }
 
@@ -264,8 +272,9 @@
     return kind == statement_kind::Write || kind == statement_kind::Commit;
 }
 
-/// Without an idempotency key a statement runs once at most; with one it has one effect.
-void checkOnce(const gateway_history &history, findings &found)
+/// M10: a statement without an idempotency key runs at most once; one with a key takes effect at
+/// most once.
+void checkSingleEffect(const gateway_history &history, findings &found)
 {
     std::map<std::uint64_t, unsigned> runs;
     for (const member_event &each : history.members) {
@@ -286,8 +295,8 @@
     }
 }
 
-/// A transaction that began on a connection may end there, also if the member has dropped it since:
-/// its statements are no new work.
+/// M11: a leaving member receives no new work. A transaction that began on a connection may
+/// continue there, even if the member has dropped the transaction since.
 void checkLeaving(const gateway_history &history, findings &found)
 {
     std::set<std::pair<connection_number, std::uint64_t>> begun;
@@ -297,8 +306,9 @@
             continue;
         const bool isBegin = each.request.kind == statement_kind::Begin;
         if (isBegin && each.hasRun)
-            begun.emplace(each.connection, operation->unit);
-        const bool isOld = !isBegin && begun.count({ each.connection, operation->unit }) != 0;
+            begun.emplace(each.connection, operation->transactionNumber);
+        const bool isOld =
+                !isBegin && begun.count({ each.connection, operation->transactionNumber }) != 0;
         if (each.wasSentWhileLeaving && !isOld)
             found.push_back({ requirement::M11, "member " + each.member.value + " got item "
                                                         + std::to_string(each.item)
@@ -306,19 +316,22 @@
     }
 }
 
+/// M12: every accepted request is answered.
 void checkAnswered(const gateway_history &history, findings &found)
 {
     for (const caller_operation &each : history.operations) {
-        if (each.arrivedAt != noDeadline && !each.isExcused && each.replies == 0)
-            found.push_back({ requirement::M12, about(each, "accepted but never answered") });
+        if (each.arrivedAt != noDeadline && !each.isAnswerOptional && each.replies == 0)
+            found.push_back(
+                    { requirement::M12, describeOperation(each, "accepted but never answered") });
     }
 }
 
+/// M13: the version of a gateway never decreases, and every gateway ends with the newest version.
 void checkVersions(const gateway_history &history, findings &found)
 {
     std::map<std::pair<std::size_t, std::uint64_t>, configuration_version> newest;
     for (const version_record &each : history.versions) {
-        configuration_version &known = newest[{ each.gateway, each.life }];
+        configuration_version &known = newest[{ each.gateway, each.generation }];
         if (each.version < known)
             found.push_back({ requirement::M13, "gateway " + std::to_string(each.gateway)
                                                         + " went back to version "
@@ -354,7 +367,7 @@
     findings found;
     for (const auto &check : { checkOwnWrites, checkNoLoss, checkTransactions, checkWorkspace,
                                checkKeys, checkWithdrawn, checkRates, checkAnswers, checkNotRun,
-                               checkOnce, checkLeaving, checkAnswered, checkVersions })
+                               checkSingleEffect, checkLeaving, checkAnswered, checkVersions })
         check(history, found);
     return found;
 }
--- a/testing/gateway_world_faults.cpp
+++ b/testing/gateway_world_faults.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The faults of the gateway world.
+/// @brief Fault injection of the gateway simulation.
 
 #include <fuchsiagw/testing/gateway_world_parts.hpp>
 
@@ -12,28 +12,31 @@
 
 namespace {
 
-constexpr duration faultLasts = std::chrono::milliseconds(2500);
-/// Longer than a promise of the witnesses (6 s), the grace of a vote (2 s) and its retry.
-constexpr duration lapseLasts = std::chrono::seconds(11);
-constexpr duration restartAfter = std::chrono::seconds(1);
+constexpr duration faultDuration = std::chrono::milliseconds(2500);
+/// Longer than a promise of the witnesses (6 s), the grace period of a vote (2 s) and the vote's
+/// retry together.
+constexpr duration leaseLapseDuration = std::chrono::seconds(11);
+constexpr duration restartDelay = std::chrono::seconds(1);
 
-/// Raises a counter and lowers it again at the end of the fault.
-void during(gateway_world &world, unsigned &counter)
+/// Increments a counter for the duration of a fault.
+void countDuringFault(gateway_world &world, unsigned &counter)
 {
     ++counter;
-    after(world, faultLasts, [&world, &counter] {
+    after(world, faultDuration, [&world, &counter] {
         --counter;
-        releaseHeld(world);
+        resendBlocked(world);
     });
 }
 
-void duringIn(gateway_world &world, std::map<std::size_t, unsigned> &zones, std::size_t zone)
+/// Increments the counter of a zone for the duration of a fault.
+void countZoneDuringFault(gateway_world &world, std::map<std::size_t, unsigned> &zones,
+                          std::size_t zone)
 {
     ++zones[zone];
-    after(world, faultLasts, [&world, &zones, zone] {
+    after(world, faultDuration, [&world, &zones, zone] {
         if (--zones[zone] == 0)
             zones.erase(zone);
-        releaseHeld(world);
+        resendBlocked(world);
     });
 }
 
@@ -42,12 +45,12 @@
     world_gateway &node = world.gateways[gateway];
     if (!node.isUp)
         return;
-    ++node.frozen;
+    ++node.freezeCount;
     after(world, length, [&world, gateway] {
-        world_gateway &place = world.gateways[gateway];
-        if (--place.frozen > 0)
+        world_gateway &frozenNode = world.gateways[gateway];
+        if (--frozenNode.freezeCount > 0)
             return;
-        for (const auto &each : std::exchange(place.inbox, {}))
+        for (const auto &each : std::exchange(frozenNode.inbox, {}))
             each();
     });
 }
@@ -58,10 +61,10 @@
         return;
     for (caller_operation &each : world.history.operations) {
         if (each.gateway == gateway && each.arrivedAt != noDeadline && each.replies == 0)
-            each.isExcused = true;
+            each.isAnswerOptional = true;
     }
     killGateway(world, gateway);
-    after(world, restartAfter, [&world, gateway] {
+    after(world, restartDelay, [&world, gateway] {
         if (!world.gateways[gateway].isUp)
             startGateway(world, gateway);
     });
@@ -75,10 +78,10 @@
     node.isStopping = true;
     if (world.settings.defect == gateway_defect::StopsAtOnce) {
         killGateway(world, gateway);
-        after(world, restartAfter, [&world, gateway] { startGateway(world, gateway); });
+        after(world, restartDelay, [&world, gateway] { startGateway(world, gateway); });
         return;
     }
-    atGateway(world, gateway, node.life, [](gateway_turn &turn) { startDraining(turn); });
+    runAtGateway(world, gateway, node.generation, [](gateway_turn &turn) { startDraining(turn); });
 }
 
 void withdrawKey(gateway_world &world)
@@ -91,7 +94,7 @@
     world.versions.push_back(std::move(config));
 }
 
-void silence(gateway_world &world, std::size_t member)
+void silenceConnections(gateway_world &world, std::size_t member)
 {
     for (auto &[key, connection] : world.connections) {
         if (connection.member == member)
@@ -111,63 +114,63 @@
     switch (fault) {
     case gateway_fault::PrimaryStopped:
         stopMember(world, primary);
-        during(world, member.stopped);
+        countDuringFault(world, member.stopCount);
         return;
     case gateway_fault::PrimaryCutFromGroup:
-        during(world, member.cutFromGroup);
+        countDuringFault(world, member.groupCutCount);
         return;
     case gateway_fault::PrimaryCutFromGateways:
-        during(world, member.cutFromGateways);
+        countDuringFault(world, member.gatewayCutCount);
         return;
     case gateway_fault::ReplicaFarBehind: {
         const auto replica = std::find_if(
                 world.members.begin(), world.members.end(),
                 [](const world_member &each) { return each.model.role == member_role::Replica; });
         if (replica != world.members.end())
-            during(world, replica->behind);
+            countDuringFault(world, replica->lagFaultCount);
         return;
     }
     case gateway_fault::ZoneCut:
-        duringIn(world, conditions.cutZones, zone);
+        countZoneDuringFault(world, conditions.cutZones, zone);
         return;
     case gateway_fault::ZoneCutFromPlatform:
-        duringIn(world, conditions.zonesWithoutPlatform, zone);
+        countZoneDuringFault(world, conditions.zonesWithoutPlatform, zone);
         return;
     case gateway_fault::GatewayKilled:
         kill(world, target.gateway);
         return;
     case gateway_fault::GatewayFrozen:
-        freeze(world, target.gateway, faultLasts);
+        freeze(world, target.gateway, faultDuration);
         return;
     case gateway_fault::KeyWithdrawn:
         withdrawKey(world);
         return;
     case gateway_fault::PlatformDown:
-        during(world, conditions.platformDown);
+        countDuringFault(world, conditions.platformDown);
         return;
     case gateway_fault::PlatformSlow:
-        during(world, conditions.platformSlow);
+        countDuringFault(world, conditions.platformSlow);
         return;
     case gateway_fault::PlatformAnswerLost:
-        during(world, conditions.answersLost);
+        countDuringFault(world, conditions.answersLost);
         return;
     case gateway_fault::LeaseLapsed:
-        freeze(world, target.gateway, lapseLasts);
+        freeze(world, target.gateway, leaseLapseDuration);
         return;
     case gateway_fault::ConnectionSilent:
-        silence(world, primary);
+        silenceConnections(world, primary);
         return;
     case gateway_fault::AnswersLate:
-        during(world, conditions.answersLate);
+        countDuringFault(world, conditions.answersLate);
         return;
     case gateway_fault::AnswersCrossed:
-        during(world, conditions.answersCrossed);
+        countDuringFault(world, conditions.answersCrossed);
         return;
     case gateway_fault::PeerMessagesLost:
-        during(world, conditions.peersLost);
+        countDuringFault(world, conditions.peersLost);
         return;
     case gateway_fault::PeerMessagesDoubled:
-        during(world, conditions.peersDoubled);
+        countDuringFault(world, conditions.peersDoubled);
         return;
     case gateway_fault::MemberLeaving:
         member.model.leaving = true;
@@ -187,24 +190,24 @@
         if (!std::exchange(*hasStarted, true))
             startFault(world, fault, target);
     };
-    world.awaited = step;
+    world.awaitedStep = step;
     world.onStep = [&world, start, reached](const fault_target &target) {
         *reached = true;
         after(world, duration::zero(), [start, target] { start(target); });
     };
     after(world, limit, [&world, start] {
-        if (world.awaited)
+        if (world.awaitedStep)
             start({});
-        world.awaited.reset();
+        world.awaitedStep.reset();
     });
 }
 
 void reachStep(gateway_world &world, gateway_step step, std::size_t gateway,
                std::optional<std::size_t> member)
 {
-    if (world.awaited != step)
+    if (world.awaitedStep != step)
         return;
-    world.awaited.reset();
+    world.awaitedStep.reset();
     world.onStep({ gateway, member });
 }
 
--- a/testing/gateway_world_members.cpp
+++ b/testing/gateway_world_members.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The members of the gateway world, the connections to them and the delays in between.
+/// @brief Members of the gateway simulation, connections to members, and link delays.
 
 #include <fuchsiagw/testing/gateway_world_parts.hpp>
 
@@ -11,29 +11,29 @@
 
 namespace {
 
-constexpr duration inZone = std::chrono::microseconds(300);
+constexpr duration inZoneDelay = std::chrono::microseconds(300);
 constexpr duration serviceTime = std::chrono::milliseconds(1);
-constexpr duration copyEvery = std::chrono::milliseconds(5);
-constexpr duration farBehind = std::chrono::seconds(30);
-constexpr duration latest = std::chrono::milliseconds(2500);
-/// M11 allows new work for this long after the list names a member as leaving.
+constexpr duration replicationInterval = std::chrono::milliseconds(5);
+constexpr duration laggingReplicaDelay = std::chrono::seconds(30);
+constexpr duration maxAnswerDelay = std::chrono::milliseconds(2500);
+/// M11 allows new work for this long after a member is listed as leaving.
 constexpr duration leavingGrace = std::chrono::seconds(3);
 
 using connection_key = std::pair<std::size_t, connection_id>;
 using exchange_result = std::function<void(group_owner &, owner_actions &, gateway_turn &)>;
 
-void atOwner(gateway_world &world, std::size_t gateway, std::uint64_t life, const group_id &group,
-             const exchange_result &event)
+void runAtOwner(gateway_world &world, std::size_t gateway, std::uint64_t generation,
+                const group_id &group, const exchange_result &event)
 {
-    atGateway(world, gateway, life, [group, event](gateway_turn &turn) {
+    runAtGateway(world, gateway, generation, [group, event](gateway_turn &turn) {
         withOwner(turn, group,
                   [&](group_owner &owner, owner_actions &actions) { event(owner, actions, turn); });
     });
 }
 
 /// Connection ids are unique within an owner only.
-connection_key keyOf(const gateway_world &world, std::size_t gateway, const group_id &group,
-                     connection_id id)
+connection_key connectionKey(const gateway_world &world, std::size_t gateway, const group_id &group,
+                             connection_id id)
 {
     const auto place = std::distance(world.versions.front().groups.begin(),
                                      world.versions.front().groups.find(group));
@@ -51,24 +51,26 @@
 void endExchange(gateway_world &world, const world_connection &connection, std::uint64_t exchange,
                  const std::optional<execute_answer> &answer, bool wasSilent)
 {
-    const connection_key key = keyOf(world, connection.gateway, connection.group, connection.id);
-    atOwner(world, connection.gateway, connection.life, connection.group,
-            [&world, key, exchange, id = connection.id, answer,
-             wasSilent](group_owner &owner, owner_actions &actions, gateway_turn &turn) {
-                const auto entry = world.connections.find(key);
-                if (entry == world.connections.end() || entry->second.exchange != exchange)
-                    return;
-                entry->second.exchange = 0;
-                const bool wasSent =
-                        answer || world.settings.defect != gateway_defect::SentWriteRepeated;
-                onExecuted(owner, id, answer, wasSent, wasSilent, turn.now, turn.random, actions);
-            });
+    const connection_key key =
+            connectionKey(world, connection.gateway, connection.group, connection.id);
+    runAtOwner(world, connection.gateway, connection.generation, connection.group,
+               [&world, key, exchange, id = connection.id, answer,
+                wasSilent](group_owner &owner, owner_actions &actions, gateway_turn &turn) {
+                   const auto entry = world.connections.find(key);
+                   if (entry == world.connections.end() || entry->second.exchange != exchange)
+                       return;
+                   entry->second.exchange = 0;
+                   const bool wasSent =
+                           answer || world.settings.defect != gateway_defect::SentWriteRepeated;
+                   onExecuted(owner, id, answer, wasSent, wasSilent, turn.now, turn.random,
+                              actions);
+               });
 }
 
 void sendAnswer(gateway_world &world, const world_connection &connection, std::uint64_t exchange,
                 const execute_answer &answer)
 {
-    reachStep(world, gateway_step::AnswerOnItsWay, connection.gateway, connection.member);
+    reachStep(world, gateway_step::AnswerInTransit, connection.gateway, connection.member);
     const std::size_t from = memberNode(world, connection.member);
     const auto deliver = [&world, from, connection, exchange](const execute_answer &content) {
         sendReliably(world, from, connection.gateway, [&world, connection, exchange, content] {
@@ -76,9 +78,9 @@
         });
     };
     const bool isSwapped = world.settings.defect == gateway_defect::AnswersSwapped
-                           && !answer.rows.empty() && draw(world, 20);
+                           && !answer.rows.empty() && drawPercent(world, 20);
     if (world.conditions.answersCrossed > 0 || isSwapped || world.crossed) {
-        // Two answers on their way change places; the first one waits for the second.
+        // Swaps two answers in transit; the first waits for the second.
         if (!world.crossed) {
             world.crossed = crossed_answer{ answer, deliver };
             return;
@@ -93,7 +95,7 @@
     }
     const duration late =
             world.conditions.answersLate > 0 ? duration(static_cast<std::int64_t>(
-                    drawBelow(world.random, static_cast<std::uint64_t>(latest.count()))))
+                    drawBelow(world.random, static_cast<std::uint64_t>(maxAnswerDelay.count()))))
                                              : duration::zero();
     after(world, late, [deliver, answer] { deliver(answer); });
 }
@@ -106,22 +108,24 @@
     return items.empty() ? 0 : items.front();
 }
 
-/// Runs a statement when a slot is free.
-void serve(gateway_world &world, const world_connection &connection, std::uint64_t exchange,
-           const execute_request &request, bool wasSentWhileLeaving)
+/// Runs a statement when an execution slot is free.
+void serveStatement(gateway_world &world, const world_connection &connection,
+                    std::uint64_t exchange, const execute_request &request,
+                    bool wasSentWhileLeaving)
 {
     world_member &member = world.members[connection.member];
     if (world.closed.count(connection.number) != 0)
         return;
     const bool hadTransaction = member.model.transactions.count(connection.number) != 0;
-    const auto slot = std::min_element(member.slots.begin(), member.slots.end());
+    const auto slot = std::min_element(member.slotsFreeAt.begin(), member.slotsFreeAt.end());
     *slot = std::max(*slot, world.now) + serviceTime;
     after(world, *slot - world.now,
           [&world, connection, exchange, request, wasSentWhileLeaving, hadTransaction] {
               world_member &place = world.members[connection.member];
               const bool isClosed = world.closed.count(connection.number) != 0;
-              // A statement under way outlives its connection, but not its transaction.
-              if (place.life != connection.memberLife || (isClosed && hadTransaction))
+              // A running statement completes after its connection closes, except within a
+              // transaction, which ends with the connection.
+              if (place.generation != connection.memberGeneration || (isClosed && hadTransaction))
                   return;
               member_event event;
               const execution result = execute(place.model, connection.number, request, world.now);
@@ -144,7 +148,7 @@
     sendReliably(world, connection.gateway, memberNode(world, connection.member),
                  [&world, connection] {
                      world_member &member = world.members[connection.member];
-                     if (member.life != connection.memberLife)
+                     if (member.generation != connection.memberGeneration)
                          return;
                      closeConnection(member.model, connection.number);
                      world.closed.insert(connection.number);
@@ -162,12 +166,12 @@
 {
     const std::size_t member = findMember(world, order.member);
     reachStep(world, gateway_step::ConnectionOpening, gateway, member);
-    const std::uint64_t life = world.gateways[gateway].life;
-    const auto report = [&world, gateway, life, group, id = order.id](bool isOpen) {
-        atOwner(world, gateway, life, group,
-                [id, isOpen](group_owner &owner, owner_actions &actions, gateway_turn &turn) {
-                    onConnected(owner, id, isOpen, turn.now, turn.random, actions);
-                });
+    const std::uint64_t generation = world.gateways[gateway].generation;
+    const auto report = [&world, gateway, generation, group, id = order.id](bool isOpen) {
+        runAtOwner(world, gateway, generation, group,
+                   [id, isOpen](group_owner &owner, owner_actions &actions, gateway_turn &turn) {
+                       onConnected(owner, id, isOpen, turn.now, turn.random, actions);
+                   });
     };
     const std::size_t node = memberNode(world, member);
     if (isLinkCut(world, gateway, node)) {
@@ -175,28 +179,28 @@
         return;
     }
     const duration way = linkDelay(world, gateway, node);
-    const bool isRefused = world.members[member].stopped > 0;
+    const bool isRefused = world.members[member].stopCount > 0;
     if (!isRefused) {
         world_connection connection;
         connection.gateway = gateway;
-        connection.life = life;
+        connection.generation = generation;
         connection.group = group;
         connection.id = order.id;
         connection.member = member;
         connection.number = world.nextConnection++;
-        connection.memberLife = world.members[member].life;
-        world.connections[keyOf(world, gateway, group, order.id)] = connection;
+        connection.memberGeneration = world.members[member].generation;
+        world.connections[connectionKey(world, gateway, group, order.id)] = connection;
     }
     after(world, way + way + (isRefused ? duration::zero() : world.settings.connectionCost),
           [report, isRefused] { report(!isRefused); });
 }
 
-/// The deliberate errors that concern a request to a member.
+/// Injects the defects that change a request to a member.
 void injectDefect(gateway_world &world, execute_request &request, world_connection &connection)
 {
     switch (world.settings.defect) {
     case gateway_defect::OtherWorkspace:
-        if (draw(world, 5))
+        if (drawPercent(world, 5))
             request.workspace.value = request.workspace.value == "north" ? "south" : "north";
         break;
     case gateway_defect::KeyInField:
@@ -220,16 +224,17 @@
 void performSend(gateway_world &world, std::size_t gateway, const group_id &group,
                  send_statement &&order)
 {
-    const auto entry = world.connections.find(keyOf(world, gateway, group, order.id));
+    const auto entry = world.connections.find(connectionKey(world, gateway, group, order.id));
     if (entry == world.connections.end()) {
-        // The member has stopped and reset the connection; the statement may have left before.
-        const std::uint64_t life = world.gateways[gateway].life;
-        after(world, inZone, [&world, gateway, life, group, id = order.id] {
-            atOwner(world, gateway, life, group,
-                    [id](group_owner &owner, owner_actions &actions, gateway_turn &turn) {
-                        onExecuted(owner, id, std::nullopt, true, false, turn.now, turn.random,
-                                   actions);
-                    });
+        // The member has stopped and reset the connection. The statement counts as sent because it
+        // may have been written before the reset.
+        const std::uint64_t generation = world.gateways[gateway].generation;
+        after(world, inZoneDelay, [&world, gateway, generation, group, id = order.id] {
+            runAtOwner(world, gateway, generation, group,
+                       [id](group_owner &owner, owner_actions &actions, gateway_turn &turn) {
+                           onExecuted(owner, id, std::nullopt, true, false, turn.now, turn.random,
+                                      actions);
+                       });
         });
         return;
     }
@@ -244,12 +249,12 @@
     const std::size_t member = used.member;
     const time_point leavingSince = world.members[member].leavingSince;
     const bool isLate = leavingSince != noDeadline && world.now > leavingSince + leavingGrace;
-    const bool isUnheard = used.isSilent && draw(world, 50);
-    if (!isUnheard) {
+    const bool isRequestLost = used.isSilent && drawPercent(world, 50);
+    if (!isRequestLost) {
         sendReliably(world, gateway, memberNode(world, member),
                      [&world, used, exchange, request = std::move(order.request), isLate] {
-                         if (world.members[used.member].life == used.memberLife)
-                             serve(world, used, exchange, request, isLate);
+                         if (world.members[used.member].generation == used.memberGeneration)
+                             serveStatement(world, used, exchange, request, isLate);
                      });
     }
     if (kind == statement_kind::Write)
@@ -258,38 +263,41 @@
         reachStep(world, gateway_step::CommitSent, gateway, member);
 }
 
-void answerControl(gateway_world &world, std::size_t gateway, std::uint64_t life,
+void answerControl(gateway_world &world, std::size_t gateway, std::uint64_t generation,
                    const group_id &group, std::size_t member, const control_answer &answer)
 {
     if (world.settings.defect == gateway_defect::LeavingIgnored && answer.status) {
         control_answer changed = answer;
         changed.status->leaving = false;
-        sendReliably(
-                world, memberNode(world, member), gateway, [&world, gateway, life, group, changed] {
-                    atOwner(world, gateway, life, group,
-                            [changed](group_owner &owner, owner_actions &actions,
-                                      gateway_turn &turn) {
-                                onControlAnswer(owner, changed, turn.now, turn.random, actions);
-                            });
-                });
+        sendReliably(world, memberNode(world, member), gateway,
+                     [&world, gateway, generation, group, changed] {
+                         runAtOwner(world, gateway, generation, group,
+                                    [changed](group_owner &owner, owner_actions &actions,
+                                              gateway_turn &turn) {
+                                        onControlAnswer(owner, changed, turn.now, turn.random,
+                                                        actions);
+                                    });
+                     });
         return;
     }
-    sendReliably(world, memberNode(world, member), gateway, [&world, gateway, life, group, answer] {
-        atOwner(world, gateway, life, group,
-                [answer](group_owner &owner, owner_actions &actions, gateway_turn &turn) {
-                    onControlAnswer(owner, answer, turn.now, turn.random, actions);
-                });
-    });
+    sendReliably(world, memberNode(world, member), gateway,
+                 [&world, gateway, generation, group, answer] {
+                     runAtOwner(world, gateway, generation, group,
+                                [answer](group_owner &owner, owner_actions &actions,
+                                         gateway_turn &turn) {
+                                    onControlAnswer(owner, answer, turn.now, turn.random, actions);
+                                });
+                 });
 }
 
-void control(gateway_world &world, std::size_t gateway, std::uint64_t life, const group_id &group,
-             std::size_t member, const control_call &call)
+void serveControlCall(gateway_world &world, std::size_t gateway, std::uint64_t generation,
+                      const group_id &group, std::size_t member, const control_call &call)
 {
     member_model &model = world.members[member].model;
     control_answer answer{ call.number, std::nullopt, false };
     switch (call.kind) {
     case control_kind::Wait:
-        world.members[member].waits.push_back({ gateway, life, call, world.now + call.held });
+        world.members[member].waits.push_back({ gateway, generation, call, world.now + call.held });
         return;
     case control_kind::AcceptTerm:
         answer.accepted = acceptTerm(model, call.position.term).accepted;
@@ -304,31 +312,31 @@
         break;
     }
     answer.status = statusOf(model);
-    answerControl(world, gateway, life, group, member, answer);
+    answerControl(world, gateway, generation, group, member, answer);
 }
 
 void performControl(gateway_world &world, std::size_t gateway, const group_id &group,
                     const control_call &call)
 {
     const std::size_t member = findMember(world, call.member);
-    const std::uint64_t life = world.gateways[gateway].life;
-    const auto fail = [&world, gateway, life, group, number = call.number] {
-        atOwner(world, gateway, life, group,
-                [number](group_owner &owner, owner_actions &actions, gateway_turn &turn) {
-                    onControlAnswer(owner, { number, std::nullopt, false }, turn.now, turn.random,
-                                    actions);
-                });
+    const std::uint64_t generation = world.gateways[gateway].generation;
+    const auto fail = [&world, gateway, generation, group, number = call.number] {
+        runAtOwner(world, gateway, generation, group,
+                   [number](group_owner &owner, owner_actions &actions, gateway_turn &turn) {
+                       onControlAnswer(owner, { number, std::nullopt, false }, turn.now,
+                                       turn.random, actions);
+                   });
     };
     after(world, call.deadline - world.now, fail);
-    if (world.members[member].stopped > 0) {
-        after(world, inZone, fail);
+    if (world.members[member].stopCount > 0) {
+        after(world, inZoneDelay, fail);
         return;
     }
-    const std::uint64_t memberLife = world.members[member].life;
+    const std::uint64_t memberGeneration = world.members[member].generation;
     sendReliably(world, gateway, memberNode(world, member),
-                 [&world, gateway, life, group, member, memberLife, call] {
-                     if (world.members[member].life == memberLife)
-                         control(world, gateway, life, group, member, call);
+                 [&world, gateway, generation, group, member, memberGeneration, call] {
+                     if (world.members[member].generation == memberGeneration)
+                         serveControlCall(world, gateway, generation, group, member, call);
                  });
 }
 
@@ -339,8 +347,8 @@
     for (world_wait &each : std::exchange(member.waits, {})) {
         const bool isDecided = holds(member.model, each.call.position)
                                || member.model.term > each.call.position.term;
-        if (isDecided || world.now >= each.until)
-            answerControl(world, each.gateway, each.life, member.model.group, place,
+        if (isDecided || world.now >= each.expiresAt)
+            answerControl(world, each.gateway, each.generation, member.model.group, place,
                           { each.call.number, statusOf(member.model), false });
         else
             open.push_back(std::move(each));
@@ -372,7 +380,7 @@
         if (node < gateways)
             continue;
         const world_member &member = world.members[node - gateways];
-        if ((areMembers ? member.cutFromGroup : member.cutFromGateways) > 0)
+        if ((areMembers ? member.groupCutCount : member.gatewayCutCount) > 0)
             return true;
     }
     return false;
@@ -391,12 +399,12 @@
         return node < gateways ? world.gateways[node].zoneNumber
                                : world.members[node - gateways].zoneNumber;
     };
-    const duration usual = zoneOf(from) == zoneOf(to) ? inZone : world.settings.betweenZones;
+    const duration usual = zoneOf(from) == zoneOf(to) ? inZoneDelay : world.settings.crossZoneDelay;
     const auto jitter = drawBelow(world.random, static_cast<std::uint64_t>(usual.count()) / 4 + 1);
     return usual + duration(static_cast<std::int64_t>(jitter));
 }
 
-bool draw(gateway_world &world, unsigned percent)
+bool drawPercent(gateway_world &world, unsigned percent)
 {
     return drawBelow(world.random, 100) < percent;
 }
@@ -405,14 +413,14 @@
                   std::function<void()> deliver)
 {
     if (isLinkCut(world, from, to))
-        world.held.push_back({ from, to, std::move(deliver) });
+        world.blockedMessages.push_back({ from, to, std::move(deliver) });
     else
         after(world, linkDelay(world, from, to), std::move(deliver));
 }
 
-void releaseHeld(gateway_world &world)
+void resendBlocked(gateway_world &world)
 {
-    for (held_message &each : std::exchange(world.held, {}))
+    for (blocked_message &each : std::exchange(world.blockedMessages, {}))
         sendReliably(world, each.from, each.to, std::move(each.deliver));
 }
 
@@ -423,7 +431,8 @@
     } else if (auto *send = std::get_if<send_statement>(&action.action)) {
         performSend(world, gateway, action.group, std::move(*send));
     } else if (const auto *close = std::get_if<close_connection>(&action.action)) {
-        const auto entry = world.connections.find(keyOf(world, gateway, action.group, close->id));
+        const auto entry =
+                world.connections.find(connectionKey(world, gateway, action.group, close->id));
         if (entry == world.connections.end())
             return;
         closeAtMember(world, entry->second);
@@ -437,25 +446,26 @@
 {
     for (std::size_t i = 0; i < world.members.size(); ++i) {
         world_member &replica = world.members[i];
-        const duration lag = replica.behind > 0 ? farBehind : world.settings.replicaLag;
+        const duration lag =
+                replica.lagFaultCount > 0 ? laggingReplicaDelay : world.settings.replicaLag;
         const std::size_t primary = findMember(world, replica.model.following);
-        if (replica.stopped == 0 && primary < world.members.size()
-            && world.members[primary].stopped == 0
+        if (replica.stopCount == 0 && primary < world.members.size()
+            && world.members[primary].stopCount == 0
             && !isLinkCut(world, memberNode(world, i), memberNode(world, primary)))
             copyLog(replica.model, world.members[primary].model, world.now - lag);
-        if (replica.stopped > 0)
+        if (replica.stopCount > 0)
             continue;
         if (replica.model.role == member_role::Replica)
             applyLog(replica.model, world.now - lag);
         answerWaits(world, i);
     }
-    after(world, copyEvery, [&world] { replicate(world); });
+    after(world, replicationInterval, [&world] { replicate(world); });
 }
 
 void stopMember(gateway_world &world, std::size_t member)
 {
     world_member &place = world.members[member];
-    ++place.life;
+    ++place.generation;
     place.waits.clear();
     place.model.transactions.clear();
     std::vector<world_connection> open;
@@ -475,16 +485,16 @@
         world.history.members.push_back(std::move(event));
         after(world, linkDelay(world, memberNode(world, member), each.gateway),
               [&world, each, wasSent] {
-                  atOwner(world, each.gateway, each.life, each.group,
-                          [each, wasSent](group_owner &owner, owner_actions &actions,
-                                          gateway_turn &turn) {
-                              if (each.exchange != 0)
-                                  onExecuted(owner, each.id, std::nullopt, wasSent, false, turn.now,
-                                             turn.random, actions);
-                              else
-                                  onConnectionClosed(owner, each.id, turn.now, turn.random,
-                                                     actions);
-                          });
+                  runAtOwner(world, each.gateway, each.generation, each.group,
+                             [each, wasSent](group_owner &owner, owner_actions &actions,
+                                             gateway_turn &turn) {
+                                 if (each.exchange != 0)
+                                     onExecuted(owner, each.id, std::nullopt, wasSent, false,
+                                                turn.now, turn.random, actions);
+                                 else
+                                     onConnectionClosed(owner, each.id, turn.now, turn.random,
+                                                        actions);
+                             });
               });
     }
 }
@@ -495,7 +505,7 @@
     node.isUp = false;
     node.inbox.clear();
     node.actions.clear();
-    node.undecided.clear();
+    node.awaitingToken.clear();
     node.origins.clear();
     std::vector<world_connection> open;
     std::erase_if(world.connections, [&](const auto &each) {
@@ -506,12 +516,12 @@
     });
     for (const world_connection &each : open)
         closeAtMember(world, each);
-    // The others see the links close.
+    // The other gateways detect that their connections to this one have closed.
     for (std::size_t i = 0; i < world.gateways.size(); ++i) {
-        const std::uint64_t life = world.gateways[i].life;
+        const std::uint64_t generation = world.gateways[i].generation;
         if (i != gateway)
-            sendReliably(world, gateway, i, [&world, gateway, i, life] {
-                atGateway(world, i, life, [&world, gateway](gateway_turn &turn) {
+            sendReliably(world, gateway, i, [&world, gateway, i, generation] {
+                runAtGateway(world, i, generation, [&world, gateway](gateway_turn &turn) {
                     std::vector<std::uint64_t> lost;
                     for (const auto &[handle, entry] : turn.state.entries) {
                         if (entry.forwardedTo == world.gateways[gateway].instance)
--- a/tests/unit-gateway-differential.cpp
+++ b/tests/unit-gateway-differential.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Random histories through whole instances and through one naive process: the same rows
-/// wherever a promise fixes the answer.
+/// @brief Runs random histories through simulated instances and through one reference process and
+/// compares the rows wherever the consistency guarantees determine the answer.
 
 #include <fuchsiagw/testing/gateway_world.hpp>
 #include <fuchsiagw/testing/member_model.hpp>
@@ -20,14 +20,14 @@
 namespace {
 
 constexpr std::uint64_t seed = 20240618;
-constexpr std::uint64_t unitConnections = 1'000'000;
+constexpr std::uint64_t firstTransactionConnection = 1'000'000;
 
 struct comparison
 {
-    unsigned compared = 0; ///< answers that a promise fixes
+    unsigned compared = 0; ///< answers that the guarantees determine
     unsigned prefixes = 0; ///< reads of other sessions' data
     unsigned different = 0;
-    unsigned unknown = 0; ///< items whose effect no promise fixes
+    unsigned unknown = 0; ///< items whose outcome is unknown
 };
 
 using item_list = std::vector<std::uint64_t>;
@@ -45,11 +45,11 @@
     return operation.answer && !operation.answer->error;
 }
 
-/// Items that may or may not have had an effect.
+/// @return the items that may or may not have taken effect
 std::set<std::uint64_t> findUnknown(const gateway_history &history)
 {
     std::set<std::uint64_t> items;
-    std::set<std::uint64_t> units;
+    std::set<std::uint64_t> transactions;
     for (const caller_operation &each : history.operations) {
         const bool isUnknown =
                 !each.answer
@@ -58,21 +58,22 @@
         if (!isUnknown || each.request.kind == statement_kind::Read)
             continue;
         items.insert(each.item);
-        if (each.unit != 0)
-            units.insert(each.unit);
+        if (each.transactionNumber != 0)
+            transactions.insert(each.transactionNumber);
     }
     for (const caller_operation &each : history.operations) {
-        if (each.unit != 0 && units.count(each.unit) != 0)
+        if (each.transactionNumber != 0 && transactions.count(each.transactionNumber) != 0)
             items.insert(each.item);
     }
     return items;
 }
 
-/// The naive version: one process, everything at the primary, in the order of arrival.
-class naive_process
+/// Reference implementation: one process that runs every statement at a primary in order of
+/// arrival.
+class reference_process
 {
 public:
-    explicit naive_process(const gateway_history &history)
+    explicit reference_process(const gateway_history &history)
     {
         for (const auto &[group, settings] : history.config.groups) {
             member_model &model = models_[group];
@@ -94,7 +95,9 @@
         request.parameters = operation.request.parameters;
         request.idempotencyKey = operation.request.idempotencyKey;
         const connection_number connection =
-                operation.unit != 0 ? unitConnections + operation.unit : operation.session;
+                operation.transactionNumber != 0
+                        ? firstTransactionConnection + operation.transactionNumber
+                        : operation.session;
         return execute(models_.at(operation.request.group), connection, request,
                        operation.arrivedAt)
                 .answer;
@@ -124,24 +127,24 @@
     std::stable_sort(ordered.begin(), ordered.end(), [](const auto *left, const auto *right) {
         return left->arrivedAt < right->arrivedAt;
     });
-    naive_process naive(history);
+    reference_process reference(history);
     std::vector<const caller_operation *> foreign;
     for (const caller_operation *each : ordered) {
-        if (!each->isOwnKey) {
+        if (!each->isOwnData) {
             foreign.push_back(each);
             continue;
         }
-        // A write whose effect is unknown is left out on both sides.
+        // A write with an unknown outcome is left out of both results.
         if (each->request.kind != statement_kind::Read && unknown.count(each->item) != 0)
             continue;
-        const execute_answer expected = naive.run(*each);
+        const execute_answer expected = reference.run(*each);
         ++result.compared;
         if (expected.status != execute_status::Ok
             || itemsIn(expected.rows, unknown) != itemsIn(each->answer->rows, unknown))
             ++result.different;
     }
     for (const caller_operation *each : foreign) {
-        item_list whole = naive.itemsAt(*each);
+        item_list whole = reference.itemsAt(*each);
         std::erase_if(whole, [&](std::uint64_t item) { return unknown.count(item) != 0; });
         const item_list seen = itemsIn(each->answer->rows, unknown);
         ++result.prefixes;
@@ -200,14 +203,14 @@
 
 TEST_GROUP(gateway_differential){};
 
-// Guards against rows that differ from those of one process although nothing fails.
+// Guards against rows that differ from those of a single process without any fault.
 TEST(gateway_differential, sameRowsWithoutFaults)
 {
     unsigned refused = 0;
     runAll("without faults", seed, 12, 0, true, &refused);
 }
 
-// Guards against a refused statement that leaves an effect: refusals must look as if never sent.
+// Guards against a refused statement that takes effect, for example one over the rate limit.
 TEST(gateway_differential, sameRowsUnderRefusals)
 {
     unsigned refused = 0;
@@ -215,7 +218,8 @@
     CHECK_TRUE(refused > 0);
 }
 
-// Guards against rows that differ from those of one process after failover, moves and lost answers.
+// Guards against rows that differ from those of a single process after failover, changes of the
+// gateway and lost answers.
 TEST(gateway_differential, sameRowsUnderFaults)
 {
     unsigned refused = 0;
--- a/tests/unit-gateway-matrix.cpp
+++ b/tests/unit-gateway-matrix.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Whole instances under every fault at every step, under pairs of faults, and the checkers
-/// under deliberate errors.
+/// @brief Simulated instances under every fault at every step and under pairs of faults, and the
+/// checkers under injected defects.
 
 #include <fuchsiagw/testing/gateway_world.hpp>
 
@@ -24,7 +24,7 @@
 {
     unsigned run = 0;
     unsigned passed = 0;
-    unsigned unreached = 0; ///< the step was not reached; the fault began at the limit
+    unsigned unreached = 0; ///< no statement reached the step; the fault started at the time limit
 
     void add(const std::string &cell, std::uint64_t cellSeed,
              const std::vector<world_finding> &found)
@@ -46,7 +46,8 @@
     }
 };
 
-/// Sizes of the two regions of section 1.4 of the design in turn, with fewer groups.
+/// Alternates with the seed between the sizes of the two regions of section 1.4 of the design, with
+/// fewer groups.
 gateway_world_settings settingsOf(std::uint64_t worldSeed)
 {
     gateway_world_settings settings;
@@ -68,7 +69,7 @@
     for (std::size_t step = 0; step < gatewayStepNames.size(); ++step) {
         const std::uint64_t cellSeed = seed + fault * gatewayStepNames.size() + step;
         gateway_world_settings settings = settingsOf(cellSeed);
-        // A queue forms only if the connections are fewer than the callers.
+        // A queue forms only if there are fewer connections than callers.
         if (static_cast<gateway_step>(step) == gateway_step::Queued)
             settings.connections = 4;
         const auto world = makeGatewayWorld(settings);
@@ -87,7 +88,8 @@
 
 TEST_GROUP(gateway_matrix){};
 
-// Guards against a fault that breaks a promise only if it strikes at one particular step.
+// Guards against a requirement that is violated only if a fault starts while a statement is at one
+// particular step.
 TEST(gateway_matrix, everyFaultAtEveryStep)
 {
     matrix_counts counts;
@@ -100,7 +102,7 @@
     UNSIGNED_LONGS_EQUAL(counts.run, counts.passed);
 }
 
-// Guards against a read or write of the side without a majority that counts as the group's.
+// Guards against a read or write that succeeds on the side of a partition without a majority.
 TEST(gateway_matrix, zoneCutAtEveryStep)
 {
     matrix_counts counts;
@@ -110,7 +112,7 @@
     UNSIGNED_LONGS_EQUAL(counts.run, counts.passed);
 }
 
-// Guards against promises that hold under each fault alone, but not under two at once.
+// Guards against requirements that hold under each fault alone but not under two at once.
 TEST(gateway_matrix, everyPairOfFaults)
 {
     matrix_counts counts;
@@ -135,7 +137,8 @@
     UNSIGNED_LONGS_EQUAL(counts.run, counts.passed);
 }
 
-// Guards against state that is left behind by one fault and breaks a promise after a later one.
+// Guards against state that one fault leaves behind and that violates a requirement under a later
+// fault.
 TEST(gateway_matrix, longRunsWithManyFaults)
 {
     matrix_counts counts;
@@ -149,7 +152,7 @@
         for (int i = 0; i < 16; ++i) {
             const auto fault =
                     static_cast<gateway_fault>(drawBelow(random, gatewayFaultNames.size()));
-            // Each withdraws or stops something for good.
+            // A leaving member never returns, so this fault starts only as the first one.
             const bool isFinal = fault == gateway_fault::MemberLeaving;
             if (!isFinal || i == 0)
                 startFault(*world, fault, { drawBelow(random, 9), {} });
@@ -162,8 +165,8 @@
     UNSIGNED_LONGS_EQUAL(counts.run, counts.passed);
 }
 
-// Guards against an answer `not_run` to a read of which an earlier forward had run: links between
-// instances close all the time.
+// Guards against the answer `not_run` to a read whose earlier forward has run. The test loses
+// messages between instances, so that a forward is refused after an earlier attempt has run.
 TEST(gateway_matrix, refusalOfALaterAttemptIsNotNotRun)
 {
     const auto world = makeGatewayWorld(settingsOf(seed));
@@ -174,8 +177,9 @@
     UNSIGNED_LONGS_EQUAL(0, found.size());
 }
 
-// Guards against new work for a leaving member by a gateway that was paused while the member began
-// to leave (M11: 583 of 3,000 seeds before the gateway asked the members again).
+// Guards against new work for a leaving member from a gateway that was paused while the member
+// started to leave (M11). 583 of 3,000 seeds failed before the gateway queried the members again
+// after a pause.
 TEST(gateway_matrix, pausedGatewayAsksBeforeItSendsAgain)
 {
     matrix_counts counts;
@@ -196,7 +200,7 @@
 
 namespace {
 
-/// Faults under which a deliberate error shows.
+/// Runs a defect together with the faults that make it observable.
 std::vector<world_finding> runDefect(gateway_defect defect)
 {
     gateway_world_settings settings;
@@ -215,7 +219,7 @@
         runFor(*world, 500ms);
         startFault(*world, gateway_fault::PrimaryCutFromGateways, target);
         break;
-    case gateway_defect::ProofWithoutQuestion:
+    case gateway_defect::ProofWithoutQuery:
     case gateway_defect::VersionReverts:
         startFault(*world, gateway_fault::KeyWithdrawn, target);
         break;
@@ -223,9 +227,9 @@
         startFault(*world, gateway_fault::AnswersLate, target);
         break;
     case gateway_defect::SentWriteRepeated:
-        // A write that ran on a connection which then stays silent is sent to the same primary
-        // again.
-        startFaultAt(*world, gateway_fault::ConnectionSilent, gateway_step::AnswerOnItsWay, 500ms,
+        // The write runs, its connection never answers, and the gateway sends the write to the same
+        // primary again.
+        startFaultAt(*world, gateway_fault::ConnectionSilent, gateway_step::AnswerInTransit, 500ms,
                      &reached);
         runFor(*world, 3s);
         startFault(*world, gateway_fault::AnswersLate, target);
@@ -236,7 +240,7 @@
         startFault(*world, gateway_fault::MemberLeaving, target);
         break;
     case gateway_defect::StopsAtOnce:
-        // A gateway with a forward under way has accepted a request for certain.
+        // A gateway that has written a forward has certainly accepted a request.
         startFaultAt(*world, gateway_fault::GatewayDraining, gateway_step::ForwardWritten, 500ms,
                      &reached);
         break;
@@ -249,7 +253,7 @@
 
 } // namespace
 
-// Guards against a checker that never fails.
+// Guards against a checker that never reports a violation: each must detect its injected defect.
 TEST(gateway_matrix, eachCheckerCatchesItsDeliberateError)
 {
     for (std::size_t i = 0; i < requirementNames.size(); ++i) {
