--- a/bench/bench-failover-policies.cpp
+++ b/bench/bench-failover-policies.cpp
@@ -46,13 +46,13 @@
     settings.policy = policy;
     settings.replicaLag = lag;
     settings.delay = seed % 2 == 0 ? 3ms : 4ms;
-    settings.writeEvery = 50ms;
+    settings.writeInterval = 50ms;
     settings.writeDeadline = 20s;
     testing::fake_group group(settings);
     // The moment of the loss is spread over the owners' ticks.
     group.at(lossTime + duration(static_cast<std::int64_t>(seed * 997 % 100000)), [&group] {
         const std::size_t old = group.primary();
-        group.markLoss();
+        group.markPrimaryLoss();
         group.stop(old, false);
         group.at(group.now().time_since_epoch() + oldPrimaryReturnsAfter,
                  [&group, old] { group.start(old); });
@@ -61,10 +61,10 @@
     const testing::fake_findings findings = group.finish();
     result.writeDelays.insert(result.writeDelays.end(), findings.writeDelays.begin(),
                               findings.writeDelays.end());
-    if (findings.firstGap == duration::zero())
+    if (findings.failoverGap == duration::zero())
         result.neverResumed += 1;
     else
-        result.gaps.push_back(findings.firstGap);
+        result.gaps.push_back(findings.failoverGap);
     result.lost += findings.lost;
     result.runsWithLoss += findings.lost > 0 ? 1 : 0;
 }
--- a/bench/bench-limits.cpp
+++ b/bench/bench-limits.cpp
@@ -36,7 +36,7 @@
     constexpr double rates[] = { 400, 400, 100, 100, 40, 20, 10, 5 };
     world_settings settings;
     settings.seed = seed;
-    settings.isChecked = false;
+    settings.areSharesChecked = false;
     for (std::size_t i = 0; i < std::size(rates); ++i) {
         std::vector<double> weights;
         if (kind != balancer::Even) {
@@ -286,7 +286,7 @@
         world_settings settings;
         settings.instances = instances;
         settings.zones = 17;
-        settings.isChecked = false;
+        settings.areSharesChecked = false;
         // Two workspaces per five instances. Each arrives at up to 12 instances,
         // which is one owner for each of three groups in four zones.
         core::random_engine random(instances);
--- a/include/fuchsiagw/testing/fake_group.hpp
+++ b/include/fuchsiagw/testing/fake_group.hpp
@@ -29,8 +29,8 @@
     AcknowledgeAtOnce, ///< without a majority, while promotions count on one
     PromoteShortestLog,
     NeverPromote,
-    ClaimNotRun, ///< an unknown outcome is reported as `not_run`
-    RepeatWithoutKey, ///< a lost write is sent again although the member can't recognize it
+    ReportNotRun, ///< an unknown outcome is reported as `not_run`
+    RetryWithoutKey, ///< a lost write is sent again although the member can't recognize it
 };
 
 struct fake_settings
@@ -41,7 +41,7 @@
     core::duration delay = std::chrono::microseconds(3500); ///< one way
     core::duration jitter = std::chrono::microseconds(500); ///< added at random
     core::duration replicaLag = core::duration::zero(); ///< of every replica
-    core::duration writeEvery = std::chrono::milliseconds(20); ///< of each owner
+    core::duration writeInterval = std::chrono::milliseconds(20); ///< of each owner
     core::duration writeDeadline = std::chrono::seconds(2);
     core::duration lease = std::chrono::seconds(2); ///< only under the lease policy
     bool writesHaveKeys = false;
@@ -69,7 +69,7 @@
     bool refuses = false; ///< while down: connections are refused instead of lost
     bool leaving = false;
     core::duration lag = core::duration::zero();
-    core::duration slowness = core::duration::zero(); ///< before each answer
+    core::duration answerDelay = core::duration::zero(); ///< before each answer
 };
 
 struct fake_write
@@ -101,7 +101,8 @@
     std::uint64_t lost = 0; ///< acknowledged but not in the last primary's log
     std::uint64_t promotions = 0;
     core::duration longestGap = core::duration::zero(); ///< see fake_group::longestGap
-    core::duration firstGap = core::duration::zero(); ///< from markLoss() to an acknowledged write
+    core::duration failoverGap =
+            core::duration::zero(); ///< from markPrimaryLoss() to an acknowledged write
 };
 
 class fake_group
@@ -122,7 +123,7 @@
 
     [[nodiscard]] std::size_t primary() const; ///< the one that leads the highest term
     [[nodiscard]] core::time_point now() const { return clock; }
-    void markLoss(); ///< the gap of fake_findings::firstGap starts here
+    void markPrimaryLoss(); ///< the gap of fake_findings::failoverGap starts here
 
     void cut(std::size_t left, std::size_t right, bool isCut); ///< see ownerNode()
     [[nodiscard]] std::size_t ownerNode(std::size_t owner) const { return members.size() + owner; }
--- a/include/fuchsiagw/testing/gateway_world.hpp
+++ b/include/fuchsiagw/testing/gateway_world.hpp
@@ -105,7 +105,7 @@
     ProofWithoutQuery, ///< a gateway counts its own configuration version as proven by the platform
     TokensRefilled, ///< the token buckets of a gateway are always full
     AnswersSwapped, ///< two answers are delivered to each other's requests, with matching ids
-    ClaimNotRun, ///< an unknown outcome is reported as `not_run`
+    ReportNotRun, ///< an unknown outcome is reported as `not_run`
     SentWriteRepeated, ///< a lost write is reported as never sent, which makes the gateway retry it
     LeavingIgnored, ///< a leaving member still counts as live
     StopsAtOnce, ///< a draining gateway drops the requests that it has accepted
--- a/include/fuchsiagw/testing/limits_world.hpp
+++ b/include/fuchsiagw/testing/limits_world.hpp
@@ -29,7 +29,7 @@
 };
 
 /// Deliberate faults that the checkers must catch.
-enum class mutation : std::uint8_t {
+enum class limits_defect : std::uint8_t {
     None,
     LenderKeepsShares,
     HolderIgnoresLapse,
@@ -39,7 +39,7 @@
     ReclaimWithoutWait,
 };
 
-inline constexpr std::array<std::string_view, 7> mutationNames{
+inline constexpr std::array<std::string_view, 7> limitsDefectNames{
     "none",
     "lender_keeps_shares",
     "holder_ignores_lapse",
@@ -70,8 +70,8 @@
     double late = 0;
     core::duration lateness = std::chrono::seconds(5);
     double clockDrift = 0; ///< greatest relative error of an instance's clock
-    bool isChecked = true; ///< checks the sum of shares after each message and tick
-    mutation fault = mutation::None;
+    bool areSharesChecked = true; ///< checks the sum of shares after each message and tick
+    limits_defect fault = limits_defect::None;
 };
 
 /// Counts for one workspace.
--- a/testing/fake_group.cpp
+++ b/testing/fake_group.cpp
@@ -49,7 +49,7 @@
         // Ticks and writes of the owners are not aligned with each other.
         later(duration(drawBelow(random, 25000)), [this, i] { tick(i); });
         const auto offset =
-                drawBelow(random, static_cast<std::uint64_t>(config.writeEvery.count()));
+                drawBelow(random, static_cast<std::uint64_t>(config.writeInterval.count()));
         later(firstWriteAt - time_point{} + duration(offset), [this, i] { newWrite(i); });
     }
     later(firstWriteAt - time_point{}, [this] { measureGap(); });
@@ -144,7 +144,7 @@
 
 void fake_group::answer(std::size_t member, std::size_t owner, std::function<void()> atOwner)
 {
-    later(members[member].slowness, [this, member, owner, atOwner = std::move(atOwner)] {
+    later(members[member].answerDelay, [this, member, owner, atOwner = std::move(atOwner)] {
         if (members[member].isUp)
             send(member, ownerNode(owner), atOwner);
     });
@@ -193,7 +193,7 @@
     return best;
 }
 
-void fake_group::markLoss()
+void fake_group::markPrimaryLoss()
 {
     lossAt = clock;
 }
--- a/testing/fake_group_owner.cpp
+++ b/testing/fake_group_owner.cpp
@@ -259,7 +259,7 @@
     gap = duration::zero();
     // Answers that were on their way when the primary was lost don't end the gap.
     if (lossAt && write.ranAt > *lossAt + (config.delay + config.jitter) * 2) {
-        findings.firstGap = clock - *lossAt;
+        findings.failoverGap = clock - *lossAt;
         lossAt.reset();
     }
     // Favours this policy: what one owner has acknowledged is known to all at once.
@@ -276,7 +276,7 @@
 
 void fake_group::newWrite(std::size_t index)
 {
-    later(config.writeEvery, [this, index] { newWrite(index); });
+    later(config.writeInterval, [this, index] { newWrite(index); });
     fake_owner &owner = owners[index];
     if (owner.isPaused)
         return;
@@ -286,7 +286,7 @@
     statement_request statement;
     statement.kind = statement_kind::Write;
     statement.deadline = clock + config.writeDeadline;
-    const bool repeats = config.writesHaveKeys || config.fault == sabotage::RepeatWithoutKey;
+    const bool repeats = config.writesHaveKeys || config.fault == sabotage::RetryWithoutKey;
     statement.idempotencyKey = repeats ? std::to_string(write.number) : "";
     write.way = makeExchange(statement);
     const std::uint64_t number = write.number;
@@ -326,7 +326,7 @@
         if (!action.error)
             acknowledge(write);
         else if (answerOf(*action.error).outcome == request_outcome::NotRun
-                 || config.fault == sabotage::ClaimNotRun)
+                 || config.fault == sabotage::ReportNotRun)
             answeredNotRun.insert(number);
         owner.writes.erase(number);
         break;
--- a/testing/gateway_world_callers.cpp
+++ b/testing/gateway_world_callers.cpp
@@ -265,7 +265,7 @@
     ++operation.replies;
     if (operation.replies > 1)
         return;
-    if (world.settings.defect == gateway_defect::ClaimNotRun
+    if (world.settings.defect == gateway_defect::ReportNotRun
         && reply.answer.error == error_kind::OutcomeUnknown)
         reply.answer.error = error_kind::DeadlineExceeded;
     operation.answer = reply.answer;
--- a/testing/limits_world.cpp
+++ b/testing/limits_world.cpp
@@ -75,7 +75,7 @@
 
 void checkShares(limits_world &world)
 {
-    if (!world.settings.isChecked)
+    if (!world.settings.areSharesChecked)
         return;
     ++world.checks;
     // All nodes have the same limits in the same order.
@@ -196,7 +196,7 @@
     const time_point local = localTime(world, node);
     if (const auto *request = std::get_if<loan_request>(&message.body)) {
         const auto answers = onLoanRequest(node.desk, *request, local);
-        if (world.settings.fault == mutation::LenderKeepsShares)
+        if (world.settings.fault == limits_defect::LenderKeepsShares)
             for (auto &[resource, entry] : node.desk.limits)
                 for (auto &[id, loan] : entry.book.out) {
                     entry.book.home += loan.shares;
@@ -205,14 +205,14 @@
         settleAll(node.desk, local);
         sendLoans(world, index, answers);
     } else if (const auto *grant = std::get_if<loan_grant>(&message.body)) {
-        if (world.settings.fault == mutation::DuplicateIsCounted)
+        if (world.settings.fault == limits_defect::DuplicateIsCounted)
             for (const loan_terms &terms : grant->loans)
                 for (auto &[id, loan] : node.desk.limits[terms.resource].book.in)
                     if (id == terms.id)
                         loan.shares += terms.shares;
         settleAll(node.desk, local);
         onLoanGrant(node.desk, *grant, local);
-        if (world.settings.fault == mutation::BorrowerIgnoresEnd)
+        if (world.settings.fault == limits_defect::BorrowerIgnoresEnd)
             for (auto &[resource, entry] : node.desk.limits)
                 for (auto &[id, loan] : entry.book.in)
                     loan.endsAt += std::chrono::seconds(10);
--- a/testing/limits_world_node.cpp
+++ b/testing/limits_world_node.cpp
@@ -286,7 +286,7 @@
     world_node &node = world.nodes[index];
     const time_point local = localTime(world, node);
     const core::loan_times &times = world.settings.loans.times;
-    const duration wait = world.settings.fault == mutation::ReclaimWithoutWait
+    const duration wait = world.settings.fault == limits_defect::ReclaimWithoutWait
                                   ? duration::zero()
                                   : times.length + times.driftMargin;
     for (const incarnation_id dead : reclaimable(node.witness, wait, local)) {
@@ -315,7 +315,7 @@
         const incarnation_id self = node.self.incarnation;
         sendTo(world, index, each, 112, [&world, request, self](std::size_t to) {
             world_node &witness = world.nodes[to];
-            if (world.settings.fault == mutation::WitnessPromisesAfterVote)
+            if (world.settings.fault == limits_defect::WitnessPromisesAfterVote)
                 witness.witness.watched[request.holder].hasVoted = false;
             const lease_promise promise = onLeaseRequest(
                     witness.witness, request, world.settings.leases, localTime(world, witness));
@@ -385,7 +385,7 @@
             startNode(world, index);
             return;
         }
-        if (world.settings.fault == mutation::HolderIgnoresLapse)
+        if (world.settings.fault == limits_defect::HolderIgnoresLapse)
             until = noDeadline;
         world.lapses +=
                 node.homeUntil > time_point{} && local >= node.homeUntil && until != node.homeUntil
--- a/tests/unit-failover-matrix.cpp
+++ b/tests/unit-failover-matrix.cpp
@@ -167,8 +167,8 @@
         { "primary_slow",
           [](fake_group &g) {
               const std::size_t member = primaryOrLastMember(g);
-              g.members[member].slowness = 200ms;
-              scheduleEnd(g, [&g, member] { g.members[member].slowness = duration::zero(); });
+              g.members[member].answerDelay = 200ms;
+              scheduleEnd(g, [&g, member] { g.members[member].answerDelay = duration::zero(); });
           } },
 } };
 
@@ -315,7 +315,7 @@
         fake_settings settings = settingsFor(3000 + i, i % 2 == 0);
         settings.members = i % 3 == 0 ? 5 : 3;
         settings.owners = settings.members;
-        settings.writeEvery = 50ms;
+        settings.writeInterval = 50ms;
         settings.replicaLag = i % 4 == 0 ? 60ms : duration::zero();
         std::string name = std::to_string(settings.seed);
         const fake_findings findings = runCell(settings, [&](fake_group &g) {
@@ -345,11 +345,11 @@
         fake_group group(settings);
         group.loss = 0.01;
         group.at(firstFaultAt + duration(i * 1000), [&group] {
-            group.markLoss();
+            group.markPrimaryLoss();
             group.stop(group.primary(), false);
         });
         group.runUntil(7s);
-        gaps.push_back(group.finish().firstGap);
+        gaps.push_back(group.finish().failoverGap);
     }
     std::sort(gaps.begin(), gaps.end());
     CHECK_TRUE(gaps.front() > duration::zero());
@@ -445,7 +445,7 @@
 TEST(failover_matrix, catchesWrongOutcomesAndRepeatedWrites)
 {
     const auto arrange = [](fake_group &group) { group.loss = 0.05; };
-    CHECK_TRUE(isCaught(sabotage::ClaimNotRun, "ran but was answered not_run", arrange));
-    CHECK_TRUE(isCaught(sabotage::RepeatWithoutKey, "times", arrange));
+    CHECK_TRUE(isCaught(sabotage::ReportNotRun, "ran but was answered not_run", arrange));
+    CHECK_TRUE(isCaught(sabotage::RetryWithoutKey, "times", arrange));
     CHECK_FALSE(isCaught(sabotage::None, "", arrange));
 }
--- a/tests/unit-gateway-matrix.cpp
+++ b/tests/unit-gateway-matrix.cpp
@@ -223,7 +223,7 @@
     case gateway_defect::VersionReverts:
         startFault(*world, gateway_fault::KeyWithdrawn, target);
         break;
-    case gateway_defect::ClaimNotRun:
+    case gateway_defect::ReportNotRun:
         startFault(*world, gateway_fault::AnswersLate, target);
         break;
     case gateway_defect::SentWriteRepeated:
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -211,7 +211,7 @@
 }
 
 /// A history that brings each deliberate fault to light: long pauses, deaths and bad links.
-std::uint64_t violationsUnder(mutation mutated, std::uint64_t seed)
+std::uint64_t violationsUnder(limits_defect mutated, std::uint64_t seed)
 {
     world_settings settings = settingsOf(seed);
     settings.fault = mutated;
@@ -260,12 +260,12 @@
 TEST(limits_matrix, checkersCatchDeliberateFaults)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed)
-        LONGS_EQUAL(0, violationsUnder(mutation::None, seed));
-    for (std::size_t i = 1; i < mutationNames.size(); ++i) {
+        LONGS_EQUAL(0, violationsUnder(limits_defect::None, seed));
+    for (std::size_t i = 1; i < limitsDefectNames.size(); ++i) {
         std::uint64_t seed = 1;
-        while (seed <= 5 && violationsUnder(static_cast<mutation>(i), seed) == 0)
+        while (seed <= 5 && violationsUnder(static_cast<limits_defect>(i), seed) == 0)
             ++seed;
-        std::printf("%s: %s, seed %llu\n", mutationNames.at(i).data(),
+        std::printf("%s: %s, seed %llu\n", limitsDefectNames.at(i).data(),
                     seed <= 5 ? "caught" : "not caught", static_cast<unsigned long long>(seed));
         CHECK_TRUE(seed <= 5);
     }
