--- a/include/fuchsiagw/testing/limits_world.hpp
+++ b/include/fuchsiagw/testing/limits_world.hpp
@@ -1,7 +1,9 @@
 /// @file
-/// @brief Instances that share limits, in virtual time: a small network, a platform table and the
-/// checkers for the sum of shares and for M7. The differential test, the fault matrix and the
-/// benchmark drive it.
+/// @brief Simulation of instances that share limits, in virtual time.
+///
+/// Includes a network, a platform table, and checkers for the sum of shares and for requirement M7
+/// (no workspace exceeds its rate and burst). The differential test, the fault matrix and the
+/// benchmark use it.
 
 #pragma once
 
@@ -25,10 +27,10 @@
     double rate = 0; ///< tokens per second
     double burst = 0;
     double offered = 0; ///< arrivals per second
-    std::vector<double> weights; ///< of the balancer, by instance; empty: even
+    std::vector<double> weights; ///< load balancer weight of each instance; empty: equal weights
 };
 
-/// Deliberate faults that the checkers must catch.
+/// Injected defects that the checkers must detect.
 enum class limits_defect : std::uint8_t {
     None,
     LenderKeepsShares,
@@ -55,45 +57,48 @@
     std::size_t instances = 9;
     std::size_t zones = 3;
     std::vector<world_workspace> workspaces;
-    core::share_count connections = 0; ///< of one group; 0: none
+    core::share_count connections = 0; ///< connection limit of the group; 0: no group
     core::loan_settings loans;
     core::lease_times leases;
     bool areLoansOn = true;
-    bool isFixedDivision = false; ///< every instance holds the same part of every limit
+    bool isFixedDivision = false; ///< all instances hold equal shares of every limit
     core::duration inZone = std::chrono::microseconds(300);
     core::duration betweenZones = std::chrono::milliseconds(4);
     core::duration toPlatform = std::chrono::milliseconds(10);
-    core::duration tickEvery = std::chrono::milliseconds(10); ///< of the nodes' periodic work
+    core::duration tickEvery =
+            std::chrono::milliseconds(10); ///< interval of the periodic work of a node
+    /// Delay until the list of live instances shows a change.
     core::duration listLag = std::chrono::seconds(2);
-    double lost = 0; ///< part of the messages
-    double doubled = 0;
-    double late = 0;
-    core::duration lateness = std::chrono::seconds(5);
-    double clockDrift = 0; ///< greatest relative error of an instance's clock
+    double lost = 0; ///< fraction of the messages
+    double doubled = 0; ///< fraction of the messages that arrive twice
+    double late = 0; ///< fraction of the messages and platform calls with an extra delay
+    /// Upper bound of the extra delay.
+    core::duration maxLateDelay = std::chrono::seconds(5);
+    double clockDrift = 0; ///< maximum relative error of the clock rate of an instance
     bool areSharesChecked = true; ///< checks the sum of shares after each message and tick
     limits_defect fault = limits_defect::None;
 };
 
-/// Counts for one workspace.
+/// Request counts of one workspace.
 struct workspace_result
 {
     std::uint64_t arrived = 0;
     std::uint64_t granted = 0;
-    std::uint64_t exactGranted = 0; ///< by one exact bucket over all instances
-    std::uint64_t wrongful = 0; ///< refused although the exact bucket granted it
+    std::uint64_t exactGranted = 0; ///< granted by one exact bucket for all instances
+    std::uint64_t wrongful = 0; ///< refused although the exact bucket granted the request
 };
 
 struct waiting_statement
 {
     core::time_point arrivedAt{};
-    bool exactGrants = false;
+    bool isGrantedByExactBucket = false;
 };
 
-/// A table transaction whose outcome is not known yet.
+/// A table transaction whose outcome the instance does not know yet.
 struct platform_call
 {
     core::table_transaction transaction;
-    std::function<void(bool isCommitted)> decide;
+    std::function<void(bool isCommitted)> onDecided;
     std::uint64_t attempt = 0;
 };
 
@@ -111,12 +116,12 @@
     core::loan_manager desk;
     core::time_point homeUntil{};
     std::vector<core::peer_ref> knownPeers;
-    std::shared_ptr<platform_call> call; ///< at most one at a time
-    core::time_point nextPlatform{};
-    core::time_point eagerUntil{};
-    core::time_point diesAt = core::noDeadline; ///< bound of a graceful stop
+    std::shared_ptr<platform_call> call; ///< transaction in progress; at most one
+    core::time_point nextPlatformCallAt{};
+    core::time_point frequentPollUntil{};
+    core::time_point stopDeadline = core::noDeadline; ///< deadline of a graceful stop
     std::map<core::resource_id, std::deque<waiting_statement>> waiting;
-    std::vector<std::function<void()>> inbox; ///< arrived while paused
+    std::vector<std::function<void()>> inbox; ///< events that arrived while the node was paused
     std::uint64_t bytesSent = 0;
 };
 
@@ -139,7 +144,8 @@
     }
 };
 
-/// Invariant: time never goes back; events at the same time run in the order of their creation.
+/// State of the simulation.
+/// Invariant: time never decreases; events at the same time run in the order of their creation.
 struct limits_world
 {
     world_settings settings;
@@ -147,58 +153,59 @@
     core::time_point now{};
     std::uint64_t nextEvent = 0;
     std::priority_queue<world_event, std::vector<world_event>, std::greater<>> events;
-    std::deque<world_node> nodes; ///< a deque keeps references valid when a node is added
+    std::deque<world_node> nodes; ///< deque: references stay valid when a node is added
     std::map<core::incarnation_id, std::size_t> nodeByIncarnation;
     std::vector<listed_peer> list;
-    std::vector<core::peer_ref> holdersList; ///< for which holders was computed
+    std::vector<core::peer_ref> holdersComputedFor; ///< list from which holders was computed
     std::map<core::resource_id, std::vector<core::incarnation_id>> holders;
     core::incarnation_id nextIncarnation = 1;
     std::uint64_t nextTransaction = 1;
 
     core::table_view table;
-    std::map<std::string, bool> remembered; ///< results by transaction id
-    core::time_point platformDownUntil{};
+    std::map<std::string, bool>
+            transactionResults; ///< whether each transaction committed, by transaction id
+    core::time_point platformUnavailableUntil{};
     core::time_point answersLostUntil{};
-    std::map<core::zone_name, core::time_point> cutUntil;
+    std::map<core::zone_name, core::time_point> partitionedUntil;
 
     std::map<core::resource_id, core::token_bucket> exactByArrival;
     std::map<core::resource_id, core::token_bucket> exactByGrant;
     std::map<core::resource_id, workspace_result> results;
     std::map<core::resource_id, std::uint64_t> shareViolations;
     std::uint64_t tableViolations = 0;
-    std::uint64_t grantViolations = 0; ///< grants that the exact bucket could not have given
+    std::uint64_t grantViolations = 0; ///< grants that exceed the exact bucket
     std::uint64_t checks = 0;
     std::uint64_t messages = 0;
-    std::uint64_t lapses = 0; ///< times that an instance's lease lapsed while it ran
+    std::uint64_t lapses = 0; ///< number of leases that lapsed at a running instance
 
     limits_world() = default;
     limits_world(const limits_world &) = delete;
     limits_world &operator=(const limits_world &) = delete;
 };
 
-/// @brief Creates the world and starts all instances.
+/// @brief Creates the simulation and starts all instances.
 [[nodiscard]] std::unique_ptr<limits_world> makeWorld(const world_settings &settings);
 
-/// @brief Runs all events of the next @p length.
+/// @brief Advances virtual time by @p length and runs the events that become due.
 void runFor(limits_world &world, core::duration length);
 
-/// @brief Schedules something to happen in the world.
+/// @brief Schedules an event.
 void after(limits_world &world, core::duration delay, std::function<void()> event);
 
 void pauseNode(limits_world &world, std::size_t node, core::duration length);
 void killNode(limits_world &world, std::size_t node);
-/// @brief Starts a new incarnation on a dead node.
+/// @brief Starts a new incarnation of a dead node.
 void startNode(limits_world &world, std::size_t node);
-/// @brief Stops a node gracefully and starts its replacement at once under another instance name.
+/// @brief Stops a node gracefully and immediately starts a replacement with another instance name.
 void replaceNode(limits_world &world, std::size_t node);
 void cutZone(limits_world &world, std::size_t zone, core::duration length);
 void stopPlatform(limits_world &world, core::duration length);
 void loseAnswers(limits_world &world, core::duration length);
 
-/// @return all violations that the checkers have found
+/// @return the number of violations that the checkers have found
 [[nodiscard]] std::uint64_t violations(const limits_world &world);
 
-/// @brief Adds the results of all workspaces.
+/// @return the sum of the results of all workspaces
 [[nodiscard]] workspace_result total(const limits_world &world);
 
 } // namespace fuchsiagw::testing
--- a/testing/limits_world.cpp
+++ b/testing/limits_world.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The virtual world of instances that share limits.
+/// @brief Event loop, network, arrivals and checkers of the limits simulation.
 
 #include <fuchsiagw/detail/limits_world_parts.hpp>
 #include <fuchsiagw/testing/limits_world.hpp>
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr duration drainTime = std::chrono::seconds(8);
+constexpr duration drainTimeout = std::chrono::seconds(8);
 
 token_amount amountOf(double tokens)
 {
@@ -37,7 +37,6 @@
     return { resource_kind::Connections, "g1" };
 }
 
-/// Time on the node's own clock.
 time_point localTime(const limits_world &world, const world_node &node)
 {
     const auto passed = static_cast<double>(world.now.time_since_epoch().count()) * node.clockRate;
@@ -49,7 +48,7 @@
     return node.isAlive && world.now >= node.pausedUntil;
 }
 
-std::size_t nodeOf(const limits_world &world, incarnation_id incarnation)
+std::size_t findNode(const limits_world &world, incarnation_id incarnation)
 {
     const auto entry = world.nodeByIncarnation.find(incarnation);
     const bool isKnown = entry != world.nodeByIncarnation.end()
@@ -58,10 +57,10 @@
     return isKnown ? entry->second : world.nodes.size();
 }
 
-bool isCut(const limits_world &world, const zone_name &zone)
+bool isPartitioned(const limits_world &world, const zone_name &zone)
 {
-    const auto entry = world.cutUntil.find(zone);
-    return entry != world.cutUntil.end() && world.now < entry->second;
+    const auto entry = world.partitionedUntil.find(zone);
+    return entry != world.partitionedUntil.end() && world.now < entry->second;
 }
 
 std::vector<peer_ref> livePeers(const limits_world &world)
@@ -78,7 +77,7 @@
     if (!world.settings.areSharesChecked)
         return;
     ++world.checks;
-    // All nodes have the same limits in the same order.
+    // All nodes have the same limits in the same order, so sums are kept by position.
     std::vector<share_count> sums(world.settings.workspaces.size() + 1);
     const world_node *last = nullptr;
     for (world_node &node : world.nodes) {
@@ -86,19 +85,19 @@
             continue;
         last = &node;
         const time_point local = localTime(world, node);
-        std::size_t place = 0;
+        std::size_t position = 0;
         for (auto &[resource, entry] : node.desk.limits)
-            sums[place++] += usableShares(entry.book, local);
+            sums[position++] += usableShares(entry.book, local);
     }
     if (last == nullptr)
         return;
-    std::size_t place = 0;
+    std::size_t position = 0;
     for (const auto &[resource, entry] : last->desk.limits)
-        if (sums[place++] > entry.book.total)
+        if (sums[position++] > entry.book.total)
             ++world.shareViolations[resource];
 }
 
-void checkTable(limits_world &world)
+void checkPlatformTable(limits_world &world)
 {
     std::map<resource_id, share_count> sums;
     for (const auto &[key, versioned] : world.table) {
@@ -112,7 +111,6 @@
         world.tableViolations += sum == 0 ? 0 : 1;
 }
 
-/// Delivers to a node, after its pause if it is paused.
 void deliver(limits_world &world, std::size_t to, incarnation_id incarnation,
              const std::function<void(std::size_t)> &handle)
 {
@@ -130,19 +128,21 @@
     checkShares(world);
 }
 
-void sendTo(limits_world &world, std::size_t from, incarnation_id to, std::int64_t bytes,
-            std::function<void(std::size_t)> handle)
+void sendMessage(limits_world &world, std::size_t from, incarnation_id to, std::int64_t bytes,
+                 std::function<void(std::size_t)> handle)
 {
     world_node &sender = world.nodes[from];
     sender.bytesSent += static_cast<std::uint64_t>(bytes);
     ++world.messages;
-    const std::size_t target = nodeOf(world, to);
+    const std::size_t target = findNode(world, to);
     if (target == world.nodes.size())
         return;
     const zone_name &farZone = world.nodes[target].self.zone;
     const bool isNear = sender.self.zone == farZone;
-    const bool isLost = drawUnit(world.random) < world.settings.lost
-                        || (!isNear && (isCut(world, sender.self.zone) || isCut(world, farZone)));
+    const bool isLost =
+            drawUnit(world.random) < world.settings.lost
+            || (!isNear
+                && (isPartitioned(world, sender.self.zone) || isPartitioned(world, farZone)));
     if (isLost)
         return;
     const int copies = drawUnit(world.random) < world.settings.doubled ? 2 : 1;
@@ -153,9 +153,10 @@
                                  drawUnit(world.random) * static_cast<double>(base.count()) / 2));
         if (drawUnit(world.random) < world.settings.late)
             delay += duration(static_cast<std::int64_t>(
-                    drawUnit(world.random) * static_cast<double>(world.settings.lateness.count())));
+                    drawUnit(world.random)
+                    * static_cast<double>(world.settings.maxLateDelay.count())));
         after(world, delay,
-              [&world, to, handle] { deliver(world, nodeOf(world, to), to, handle); });
+              [&world, to, handle] { deliver(world, findNode(world, to), to, handle); });
     }
 }
 
@@ -166,7 +167,7 @@
         ++world.grantViolations;
 }
 
-void serveWaiting(limits_world &world, std::size_t index, const resource_id &resource)
+void admitWaitingStatements(limits_world &world, std::size_t index, const resource_id &resource)
 {
     world_node &node = world.nodes[index];
     const time_point local = localTime(world, node);
@@ -177,14 +178,14 @@
     }
     while (!waiting.empty()
            && world.now >= waiting.front().arrivedAt + world.settings.loans.maxAdmissionWait) {
-        world.results[resource].wrongful += waiting.front().exactGrants ? 1 : 0;
+        world.results[resource].wrongful += waiting.front().isGrantedByExactBucket ? 1 : 0;
         abandonWaiting(node.desk, resource);
         waiting.pop_front();
     }
 }
 
-/// Recomputes the books after a deliberate fault has changed them.
-static void settleAll(loan_manager &desk, time_point now)
+/// Recomputes the share books after an injected defect has changed them.
+static void recomputeBooks(loan_manager &desk, time_point now)
 {
     for (auto &[resource, entry] : desk.limits)
         setHomeUntil(entry.book, entry.book.homeUntil, now);
@@ -202,7 +203,7 @@
                     entry.book.home += loan.shares;
                     loan.shares = 0;
                 }
-        settleAll(node.desk, local);
+        recomputeBooks(node.desk, local);
         sendLoans(world, index, answers);
     } else if (const auto *grant = std::get_if<loan_grant>(&message.body)) {
         if (world.settings.fault == limits_defect::DuplicateIsCounted)
@@ -210,26 +211,26 @@
                 for (auto &[id, loan] : node.desk.limits[terms.resource].book.in)
                     if (id == terms.id)
                         loan.shares += terms.shares;
-        settleAll(node.desk, local);
+        recomputeBooks(node.desk, local);
         onLoanGrant(node.desk, *grant, local);
         if (world.settings.fault == limits_defect::BorrowerIgnoresEnd)
             for (auto &[resource, entry] : node.desk.limits)
                 for (auto &[id, loan] : entry.book.in)
                     loan.endsAt += std::chrono::seconds(10);
-        settleAll(node.desk, local);
+        recomputeBooks(node.desk, local);
         for (const loan_terms &terms : grant->loans)
-            serveWaiting(world, index, terms.resource);
+            admitWaitingStatements(world, index, terms.resource);
     } else if (const auto *returns = std::get_if<loan_returns>(&message.body)) {
         for (const resource_id &each : onLoanReturns(node.desk, *returns, local))
-            serveWaiting(world, index, each);
+            admitWaitingStatements(world, index, each);
     }
 }
 
 void sendLoans(limits_world &world, std::size_t from, const std::vector<loan_message> &messages)
 {
     for (const loan_message &message : messages)
-        sendTo(world, from, message.to, sizeOf(message),
-               [&world, message](std::size_t to) { onLoanMessage(world, to, message); });
+        sendMessage(world, from, message.to, sizeOf(message),
+                    [&world, message](std::size_t to) { onLoanMessage(world, to, message); });
 }
 
 static void scheduleArrival(limits_world &world, std::size_t index)
@@ -242,7 +243,7 @@
         const world_workspace &spec = world.settings.workspaces[index];
         const resource_id resource = workspaceOf(spec);
         scheduleArrival(world, index);
-        // The balancer sends to nodes that run; a paused one is still believed to run.
+        // The load balancer sends to live nodes. It does not detect that a node is paused.
         double sum = 0;
         const auto weightOf = [&](std::size_t node) {
             const world_node &each = world.nodes[node];
@@ -322,7 +323,7 @@
     }
     for (std::size_t i = 0; i < settings.instances; ++i) {
         startNode(*world, i);
-        // The first instances find each other in the list.
+        // The initial instances are listed without the lag, so that they see each other.
         world->list.back().from = {};
     }
     for (std::size_t i = 0; i < settings.workspaces.size(); ++i)
@@ -337,7 +338,8 @@
     if (length <= world.settings.listLag || !world.nodes[node].isAlive
         || world.nodes[node].isLeaving)
         return;
-    // The platform's list drops an instance that does not answer and shows it again later.
+    // The platform removes an instance that does not answer from its list and adds it again after
+    // the pause.
     for (listed_peer &each : world.list)
         if (each.peer.incarnation == self.incarnation)
             each.until = std::min(each.until, world.now + world.settings.listLag);
@@ -371,7 +373,7 @@
     node = world_node{};
     node.self = self;
     node.isAlive = true;
-    node.eagerUntil = world.now + std::chrono::seconds(5);
+    node.frequentPollUntil = world.now + std::chrono::seconds(5);
     world.nodeByIncarnation[self.incarnation] = index;
     node.clockRate = 1 + (2 * drawUnit(world.random) - 1) * world.settings.clockDrift;
     node.clockOffset = std::chrono::seconds(drawBelow(world.random, 1'000));
@@ -387,7 +389,7 @@
     if (world.settings.connections > 0)
         openLimit(node.desk, groupOf(), 0, 0, world.settings.connections, local);
     world.list.push_back({ self, world.now + world.settings.listLag });
-    // Spreads the ticks, and through them the platform's load.
+    // A random start offset spreads the ticks, and so the load of the platform.
     after(world, duration(static_cast<std::int64_t>(drawBelow(world.random, 10'000))),
           [&world, index, self] { tick(world, index, self.incarnation); });
 }
@@ -396,8 +398,8 @@
 {
     const peer_ref self = world.nodes[node].self;
     world.nodes[node].isLeaving = true;
-    world.nodes[node].nextPlatform = world.now;
-    world.nodes[node].diesAt = world.now + drainTime;
+    world.nodes[node].nextPlatformCallAt = world.now;
+    world.nodes[node].stopDeadline = world.now + drainTimeout;
     for (listed_peer &each : world.list)
         if (each.peer.incarnation == self.incarnation)
             each.until = world.now + world.settings.listLag;
@@ -409,12 +411,12 @@
 
 void cutZone(limits_world &world, std::size_t zone, duration length)
 {
-    world.cutUntil[zone_name{ "z" + std::to_string(zone) }] = world.now + length;
+    world.partitionedUntil[zone_name{ "z" + std::to_string(zone) }] = world.now + length;
 }
 
 void stopPlatform(limits_world &world, duration length)
 {
-    world.platformDownUntil = world.now + length;
+    world.platformUnavailableUntil = world.now + length;
 }
 
 void loseAnswers(limits_world &world, duration length)
--- a/testing/limits_world_node.cpp
+++ b/testing/limits_world_node.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The nodes of the virtual world: calls to the platform and the periodic work.
+/// @brief Nodes of the limits simulation: platform calls and periodic work.
 
 #include <fuchsiagw/detail/limits_world_parts.hpp>
 #include <fuchsiagw/testing/limits_world.hpp>
@@ -13,16 +13,17 @@
 namespace {
 
 constexpr duration platformTimeout = std::chrono::seconds(1);
-constexpr duration rebalanceEvery = std::chrono::seconds(1);
-constexpr duration eagerEvery = std::chrono::milliseconds(200);
-constexpr duration joinRetry = std::chrono::milliseconds(50);
+constexpr duration rebalanceInterval = std::chrono::seconds(1);
+constexpr duration frequentPollInterval = std::chrono::milliseconds(200);
+constexpr duration joinRetryDelay = std::chrono::milliseconds(50);
 
 bool isPlatformReachable(const limits_world &world, const world_node &node)
 {
-    return world.now >= world.platformDownUntil && !isCut(world, node.self.zone);
+    return world.now >= world.platformUnavailableUntil && !isPartitioned(world, node.self.zone);
 }
 
-/// One try of a platform call; after a silence the rows are read back before the next try.
+/// Sends a platform call. If no answer arrives in time, reads the rows back to find out whether the
+/// transaction committed, and sends it again only if this stays undecided.
 void submit(limits_world &world, std::size_t index)
 {
     const std::shared_ptr<platform_call> call = world.nodes[index].call;
@@ -33,19 +34,20 @@
             if (world.nodes[to].call != call || call->attempt != attempt)
                 return;
             world.nodes[to].call = nullptr;
-            call->decide(isCommitted);
+            call->onDecided(isCommitted);
         };
     };
     const duration delay = world.settings.toPlatform;
     const duration late =
             drawUnit(world.random) < world.settings.late ? duration(static_cast<std::int64_t>(
-                    drawUnit(world.random) * static_cast<double>(world.settings.lateness.count())))
+                    drawUnit(world.random)
+                    * static_cast<double>(world.settings.maxLateDelay.count())))
                                                          : duration::zero();
     if (isPlatformReachable(world, world.nodes[index]))
         after(world, delay + late, [&world, call, self, delay, decided] {
             const table_transaction &transaction = call->transaction;
-            auto known = world.remembered.find(transaction.id);
-            if (known == world.remembered.end()) {
+            auto known = world.transactionResults.find(transaction.id);
+            if (known == world.transactionResults.end()) {
                 bool isValid = true;
                 for (const share_check &check : transaction.checks) {
                     const auto entry = world.table.find(check.key);
@@ -58,19 +60,19 @@
                         world.table[put.key] = { world.table[put.key].version + 1, put.row };
                     for (const std::string &key : transaction.deletes)
                         world.table.erase(key);
-                    checkTable(world);
+                    checkPlatformTable(world);
                 }
-                known = world.remembered.emplace(transaction.id, isValid).first;
+                known = world.transactionResults.emplace(transaction.id, isValid).first;
             }
             if (world.now < world.answersLostUntil)
                 return;
             const bool isCommitted = known->second;
             after(world, delay, [&world, self, decided, isCommitted] {
-                deliver(world, nodeOf(world, self), self, decided(isCommitted));
+                deliver(world, findNode(world, self), self, decided(isCommitted));
             });
         });
     after(world, platformTimeout, [&world, call, self, attempt, decided] {
-        const std::size_t node = nodeOf(world, self);
+        const std::size_t node = findNode(world, self);
         if (node == world.nodes.size() || world.nodes[node].call != call
             || call->attempt != attempt)
             return;
@@ -85,10 +87,10 @@
 }
 
 void startCall(limits_world &world, std::size_t index, table_transaction transaction,
-               std::function<void(bool)> decide)
+               std::function<void(bool)> onDecided)
 {
     world.nodes[index].call = std::make_shared<platform_call>(
-            platform_call{ std::move(transaction), std::move(decide) });
+            platform_call{ std::move(transaction), std::move(onDecided) });
     submit(world, index);
 }
 
@@ -97,7 +99,7 @@
     const incarnation_id self = world.nodes[index].self.incarnation;
     const table_transaction transaction = move.transaction;
     startCall(world, index, transaction, [&world, self, move = std::move(move)](bool isCommitted) {
-        const std::size_t to = nodeOf(world, self);
+        const std::size_t to = findNode(world, self);
         if (to == world.nodes.size())
             return;
         world_node &node = world.nodes[to];
@@ -107,37 +109,37 @@
     });
 }
 
-std::string nextId(limits_world &world)
+std::string nextTransactionId(limits_world &world)
 {
     return "t" + std::to_string(world.nextTransaction++);
 }
 
-/// The holders of a resource, computed once for each state of the list.
+/// @return the share holders of a resource, cached until the list of live instances changes
 const std::vector<incarnation_id> &holdersOf(limits_world &world, const resource_id &resource,
                                              token_amount burst, const std::vector<peer_ref> &live)
 {
-    if (live != world.holdersList) {
-        world.holdersList = live;
+    if (live != world.holdersComputedFor) {
+        world.holdersComputedFor = live;
         world.holders.clear();
     }
-    const auto [entry, isNew] = world.holders.try_emplace(resource);
-    const bool isForAll =
+    const auto [entry, isInserted] = world.holders.try_emplace(resource);
+    const bool isHeldByAll =
             resource.kind == resource_kind::Connections || world.settings.isFixedDivision;
-    if (isNew)
-        entry->second = shareHolders(resource, isForAll ? maxTokenRate : burst, live);
+    if (isInserted)
+        entry->second = shareHolders(resource, isHeldByAll ? maxTokenRate : burst, live);
     return entry->second;
 }
 
-share_count fairOf(limits_world &world, const resource_id &resource, const world_node &node,
-                   const std::vector<peer_ref> &live)
+share_count fairShareOf(limits_world &world, const resource_id &resource, const world_node &node,
+                        const std::vector<peer_ref> &live)
 {
     const share_book &book = node.desk.limits.at(resource).book;
     return fairPart(book.total, holdersOf(world, resource, book.burst, live),
                     node.self.incarnation);
 }
 
-/// The list lags, so a new instance may not find itself in it.
-std::vector<peer_ref> livePeersWith(const limits_world &world, const peer_ref &self)
+/// @return the listed instances and @p self, which the lagging list may not contain yet
+std::vector<peer_ref> livePeersIncluding(const limits_world &world, const peer_ref &self)
 {
     std::vector<peer_ref> live = livePeers(world);
     if (std::find(live.begin(), live.end(), self) == live.end())
@@ -148,7 +150,7 @@
 void joinTable(limits_world &world, std::size_t index)
 {
     world_node &node = world.nodes[index];
-    const std::vector<peer_ref> live = livePeersWith(world, node.self);
+    const std::vector<peer_ref> live = livePeersIncluding(world, node.self);
     const time_point promised = homeUntil(node.lease);
     if (!node.lease.current.empty() && promised <= localTime(world, node)) {
         if (!lostWitnesses(node.lease, world.settings.leases, localTime(world, node)).empty())
@@ -158,15 +160,15 @@
     const std::vector<incarnation_id> witnesses = node.lease.current;
     std::map<resource_id, share_count> wanted;
     for (const auto &[resource, entry] : node.desk.limits)
-        wanted[resource] = fairOf(world, resource, node, live);
+        wanted[resource] = fairShareOf(world, resource, node, live);
     share_move move = joinPool(
-            nextId(world), world.table,
+            nextTransactionId(world), world.table,
             { node.self.incarnation, node.self.instance, node.self.zone, witnesses, {}, {} },
             wanted);
     const incarnation_id self = node.self.incarnation;
     const table_transaction transaction = move.transaction;
     startCall(world, index, transaction, [&world, self, move](bool isCommitted) {
-        const std::size_t to = nodeOf(world, self);
+        const std::size_t to = findNode(world, self);
         if (to == world.nodes.size() || !isCommitted)
             return;
         world_node &joined = world.nodes[to];
@@ -200,7 +202,7 @@
     }
     for (const auto &[lender, body] : returns)
         sendLoans(world, index, { { lender, body } });
-    auto move = leavePool(nextId(world), world.table, node.self.incarnation, given);
+    auto move = leavePool(nextTransactionId(world), world.table, node.self.incarnation, given);
     if (!move || (move->transaction.deletes.empty() && given.empty())) {
         killNode(world, index);
         return;
@@ -209,7 +211,7 @@
     const incarnation_id self = node.self.incarnation;
     const share_move copy = *move;
     startCall(world, index, move->transaction, [&world, self, copy, isLast](bool isCommitted) {
-        const std::size_t to = nodeOf(world, self);
+        const std::size_t to = findNode(world, self);
         if (to == world.nodes.size())
             return;
         if (isCommitted && isLast)
@@ -237,14 +239,14 @@
     }
     if (!isChangeReady(node.lease, local))
         return;
-    auto change =
-            changeWitnesses(nextId(world), world.table, node.self.incarnation, node.lease.next);
+    auto change = changeWitnesses(nextTransactionId(world), world.table, node.self.incarnation,
+                                  node.lease.next);
     if (!change)
         return;
     submitWitnesses(node.lease);
     const incarnation_id self = node.self.incarnation;
     startCall(world, index, *change, [&world, self](bool isCommitted) {
-        const std::size_t to = nodeOf(world, self);
+        const std::size_t to = findNode(world, self);
         if (to != world.nodes.size())
             finishWitnesses(world.nodes[to].lease, isCommitted);
     });
@@ -256,9 +258,9 @@
     const lease_row *own = findLease(world.table, node.self.incarnation);
     if (own == nullptr)
         return;
-    const std::vector<peer_ref> live = livePeersWith(world, node.self);
+    const std::vector<peer_ref> live = livePeersIncluding(world, node.self);
     const time_point local = localTime(world, node);
-    const bool isListNew = node.knownPeers != live;
+    const bool hasListChanged = node.knownPeers != live;
     node.knownPeers = live;
     std::map<resource_id, share_count> wanted;
     std::map<resource_id, removed_home> given;
@@ -268,16 +270,17 @@
             continue;
         const auto home = own->homes.find(resource);
         const share_count difference = wantedMove(home == own->homes.end() ? 0 : home->second,
-                                                  fairOf(world, resource, node, live), *pool);
+                                                  fairShareOf(world, resource, node, live), *pool);
         if (difference > 0)
             wanted[resource] = difference;
         else if (difference < 0)
             given[resource] = removeHome(entry.book, -difference, local);
-        if (isListNew)
+        if (hasListChanged)
             setCandidates(node.desk, resource, holdersOf(world, resource, entry.book.burst, live),
                           live, world.random);
     }
-    if (auto move = moveShares(nextId(world), world.table, node.self.incarnation, wanted, given))
+    if (auto move = moveShares(nextTransactionId(world), world.table, node.self.incarnation, wanted,
+                               given))
         startMove(world, index, std::move(*move));
 }
 
@@ -297,7 +300,7 @@
         }
         const auto votes = node.witness.watched[dead].votes;
         setRowWitnesses(node.witness, dead, row->witnesses, local);
-        auto reclaim = reclaimLease(nextId(world), world.table, dead, votes);
+        auto reclaim = reclaimLease(nextTransactionId(world), world.table, dead, votes);
         if (!reclaim || node.call)
             continue;
         startCall(world, index, *reclaim, [](bool) {});
@@ -313,13 +316,13 @@
     for (const incarnation_id each : dueWitnesses(node.lease, times, local)) {
         const lease_request request = requestOf(node.lease, local);
         const incarnation_id self = node.self.incarnation;
-        sendTo(world, index, each, 112, [&world, request, self](std::size_t to) {
+        sendMessage(world, index, each, 112, [&world, request, self](std::size_t to) {
             world_node &witness = world.nodes[to];
             if (world.settings.fault == limits_defect::WitnessPromisesAfterVote)
                 witness.witness.watched[request.holder].hasVoted = false;
             const lease_promise promise = onLeaseRequest(
                     witness.witness, request, world.settings.leases, localTime(world, witness));
-            sendTo(world, to, self, 96, [&world, promise](std::size_t back) {
+            sendMessage(world, to, self, 96, [&world, promise](std::size_t back) {
                 world_node &holder = world.nodes[back];
                 onPromise(holder.lease, promise, world.settings.leases, localTime(world, holder));
             });
@@ -329,13 +332,13 @@
         for (const incarnation_id each : question.witnesses) {
             const incarnation_id self = node.self.incarnation;
             const incarnation_id holder = question.holder;
-            sendTo(world, index, each, 72, [&world, holder, self](std::size_t to) {
+            sendMessage(world, index, each, 72, [&world, holder, self](std::size_t to) {
                 world_node &other = world.nodes[to];
                 if (!voteExpired(other.witness, holder, world.settings.leases,
                                  localTime(world, other)))
                     return;
                 const expiry_vote vote{ holder, other.self.incarnation };
-                sendTo(world, to, self, 80, [&world, vote](std::size_t back) {
+                sendMessage(world, to, self, 80, [&world, vote](std::size_t back) {
                     onVote(world.nodes[back].witness, vote, localTime(world, world.nodes[back]));
                 });
             });
@@ -397,14 +400,18 @@
         }
     }
     askWitnesses(world, index);
-    if (!node.call && world.now >= node.nextPlatform && isPlatformReachable(world, node)) {
-        // A new instance looks more often for shares that its predecessor returns.
-        node.nextPlatform = world.now + (world.now < node.eagerUntil ? eagerEvery : rebalanceEvery);
+    if (!node.call && world.now >= node.nextPlatformCallAt && isPlatformReachable(world, node)) {
+        // A new instance calls the platform more often, to obtain the shares that its predecessor
+        // returns.
+        node.nextPlatformCallAt =
+                world.now
+                + (world.now < node.frequentPollUntil ? frequentPollInterval : rebalanceInterval);
         if (node.isLeaving)
             leaveTable(world, index);
         else if (!node.hasJoined) {
-            // The witnesses promise before the join, so that the tokens find usable shares.
-            node.nextPlatform = world.now + joinRetry;
+            // The witnesses must promise before the join. Otherwise the shares that the join
+            // obtains are not usable yet when their tokens are added.
+            node.nextPlatformCallAt = world.now + joinRetryDelay;
             if (node.lease.current.empty())
                 setWitnesses(node.lease,
                              chooseWitnesses(node.self, livePeers(world), {}, world.random));
@@ -420,14 +427,14 @@
         if (!world.nodes[index].isAlive)
             return;
     }
-    if (world.now >= node.diesAt) {
+    if (world.now >= node.stopDeadline) {
         killNode(world, index);
         return;
     }
     useConnections(world, node, local);
     sendLoans(world, index, poll(node.desk, local));
     for (auto &[resource, waiting] : node.waiting)
-        serveWaiting(world, index, resource);
+        admitWaitingStatements(world, index, resource);
     checkShares(world);
 }
 
