--- a/testing/fake_group.cpp
+++ b/testing/fake_group.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A database group and its owners in virtual time, with faults and checkers.
+/// @brief Members, network, event loop and checkers of the simulated database group.
 
 #include <fuchsiagw/testing/fake_group.hpp>
 
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr duration pullEvery = std::chrono::milliseconds(50);
-constexpr duration measureEvery = std::chrono::milliseconds(10);
-constexpr duration gapBound = std::chrono::seconds(5);
+constexpr duration pullInterval = std::chrono::milliseconds(50);
+constexpr duration gapMeasureInterval = std::chrono::milliseconds(10);
+constexpr duration maxWriteGap = std::chrono::seconds(5);
 constexpr time_point firstWriteAt = time_point(std::chrono::milliseconds(300));
 constexpr term_number firstTerm = term_number{ 1 } << rankBits;
 const group_id groupName{ "group" };
@@ -35,7 +35,7 @@
         members[i].followTerm = i == 0 ? 0 : firstTerm;
         members[i].lag = config.replicaLag;
         group.members[members[i].id].zone = zone_name{ "z" + std::to_string(i) };
-        later(pullEvery, [this, i] { catchUp(i); });
+        schedule(pullInterval, [this, i] { catchUp(i); });
     }
     ledTerms.insert(firstTerm);
     owners.resize(config.owners);
@@ -46,33 +46,35 @@
         owner.failover.rank = static_cast<std::uint8_t>(i);
         owner.failover.policy = config.policy;
         owner.failover.promotes = config.fault != sabotage::NeverPromote;
-        // Ticks and writes of the owners are not aligned with each other.
-        later(duration(drawBelow(random, 25000)), [this, i] { tick(i); });
+        // Random offsets keep the ticks and writes of the owners from being aligned.
+        schedule(duration(drawBelow(random, 25000)), [this, i] { tick(i); });
         const auto offset =
                 drawBelow(random, static_cast<std::uint64_t>(config.writeInterval.count()));
-        later(firstWriteAt - time_point{} + duration(offset), [this, i] { newWrite(i); });
+        schedule(firstWriteAt - time_point{} + duration(offset), [this, i] { startWrite(i); });
     }
-    later(firstWriteAt - time_point{}, [this] { measureGap(); });
+    schedule(firstWriteAt - time_point{}, [this] { measureGap(); });
 }
 
-void fake_group::later(duration after, std::function<void()> what)
+void fake_group::schedule(duration after, std::function<void()> callback)
 {
-    events.push({ clock + after, nextOrder++, std::move(what) });
+    events.push({ clock + after, nextOrder++, std::move(callback) });
 }
 
-void fake_group::ownerLater(std::size_t owner, duration after, std::function<void()> what)
+void fake_group::scheduleAtOwner(std::size_t owner, duration after, std::function<void()> callback)
 {
-    later(after, [this, owner, what = std::move(what)] { deliver(ownerNode(owner), what); });
+    schedule(after, [this, owner, callback = std::move(callback)] {
+        deliver(ownerNode(owner), callback);
+    });
 }
 
-void fake_group::at(duration when, std::function<void()> what)
+void fake_group::at(duration when, std::function<void()> callback)
 {
-    later(time_point(when) - clock, std::move(what));
+    schedule(time_point(when) - clock, std::move(callback));
 }
 
-void fake_group::onStep(failover_step step, std::function<void()> what)
+void fake_group::onStep(failover_step step, std::function<void()> callback)
 {
-    stepHooks.emplace(step, std::move(what));
+    stepHooks.emplace(step, std::move(callback));
 }
 
 void fake_group::runUntil(duration end)
@@ -100,21 +102,21 @@
         cuts.erase(link);
 }
 
-void fake_group::deliver(std::size_t to, const std::function<void()> &what)
+void fake_group::deliver(std::size_t to, const std::function<void()> &callback)
 {
     if (to < members.size()) {
         if (members[to].isUp)
-            what();
+            callback();
         return;
     }
     fake_owner &owner = owners[to - members.size()];
     if (owner.isPaused)
-        owner.held.push_back(what);
+        owner.deferredEvents.push_back(callback);
     else
-        what();
+        callback();
 }
 
-void fake_group::send(std::size_t from, std::size_t to, const std::function<void()> &what)
+void fake_group::send(std::size_t from, std::size_t to, const std::function<void()> &callback)
 {
     constexpr std::uint64_t scale = 1000000;
     const auto happens = [&](double probability) {
@@ -127,24 +129,24 @@
     for (int i = 0; i < copies; ++i) {
         const auto jitter =
                 drawBelow(random, static_cast<std::uint64_t>(config.jitter.count()) + 1);
-        later(config.delay + duration(jitter), [this, to, what] { deliver(to, what); });
+        schedule(config.delay + duration(jitter), [this, to, callback] { deliver(to, callback); });
     }
 }
 
-void fake_group::ask(std::size_t owner, std::size_t member, const std::function<void()> &atMember,
-                     std::function<void()> refused)
+void fake_group::sendRequest(std::size_t owner, std::size_t member,
+                             const std::function<void()> &atMember, std::function<void()> refused)
 {
     const bool isRefused =
             !members[member].isUp && members[member].refuses && !isCut(ownerNode(owner), member);
     if (isRefused)
-        ownerLater(owner, config.delay * 2, std::move(refused));
+        scheduleAtOwner(owner, config.delay * 2, std::move(refused));
     else
         send(ownerNode(owner), member, atMember);
 }
 
-void fake_group::answer(std::size_t member, std::size_t owner, std::function<void()> atOwner)
+void fake_group::sendAnswer(std::size_t member, std::size_t owner, std::function<void()> atOwner)
 {
-    later(members[member].answerDelay, [this, member, owner, atOwner = std::move(atOwner)] {
+    schedule(members[member].answerDelay, [this, member, owner, atOwner = std::move(atOwner)] {
         if (members[member].isUp)
             send(member, ownerNode(owner), atOwner);
     });
@@ -170,8 +172,9 @@
 void fake_group::resume(std::size_t owner)
 {
     owners[owner].isPaused = false;
-    const std::vector<std::function<void()>> held = std::exchange(owners[owner].held, {});
-    for (const auto &each : held)
+    const std::vector<std::function<void()>> deferred =
+            std::exchange(owners[owner].deferredEvents, {});
+    for (const auto &each : deferred)
         deliver(ownerNode(owner), each);
 }
 
@@ -195,10 +198,10 @@
 
 void fake_group::markPrimaryLoss()
 {
-    lossAt = clock;
+    primaryLostAt = clock;
 }
 
-log_position fake_group::lastOf(const fake_member &member) const
+log_position fake_group::lastPosition(const fake_member &member) const
 {
     return member.log.empty() ? log_position{}
                               : log_position{ member.log.back().term, member.log.size() };
@@ -207,7 +210,7 @@
 member_status fake_group::statusOf(std::size_t member) const
 {
     const fake_member &each = members[member];
-    const log_position last = lastOf(each);
+    const log_position last = lastPosition(each);
     return { each.id,       groupName, each.leads ? member_role::Primary : member_role::Replica,
              each.accepted, last,      last,
              each.leaving };
@@ -233,10 +236,10 @@
     } else {
         each.log.push_back({ term, number, clock });
         runs[number] += 1;
-        result.position = lastOf(each);
+        result.position = lastPosition(each);
         replicate(member);
     }
-    result.applied = lastOf(each);
+    result.applied = lastPosition(each);
     return result;
 }
 
@@ -249,13 +252,13 @@
     for (std::size_t to = 0; to < members.size(); ++to) {
         if (to == from)
             continue;
-        later(members[to].lag,
-              [this, from, to, previous, previousTerm, entries, term = source.accepted] {
-                  if (members[from].isUp)
-                      send(from, to, [this, from, to, previous, previousTerm, entries, term] {
-                          append(to, from, term, previous, previousTerm, entries);
-                      });
-              });
+        schedule(members[to].lag,
+                 [this, from, to, previous, previousTerm, entries, term = source.accepted] {
+                     if (members[from].isUp)
+                         send(from, to, [this, from, to, previous, previousTerm, entries, term] {
+                             append(to, from, term, previous, previousTerm, entries);
+                         });
+                 });
     }
 }
 
@@ -263,7 +266,7 @@
                         term_number previousTerm, const std::vector<fake_entry> &entries)
 {
     fake_member &each = members[to];
-    if (each.accepted != term || each.followTerm != term || each.followed != from
+    if (each.accepted != term || each.followTerm != term || each.followedMember != from
         || each.log.size() < previous
         || (previous > 0 && each.log[previous - 1].term != previousTerm))
         return;
@@ -279,28 +282,28 @@
 
 void fake_group::catchUp(std::size_t member)
 {
-    later(pullEvery, [this, member] { catchUp(member); });
+    schedule(pullInterval, [this, member] { catchUp(member); });
     const fake_member &each = members[member];
     if (!each.isUp || each.leads || each.followTerm == 0)
         return;
-    const std::size_t from = each.followed;
+    const std::size_t from = each.followedMember;
     send(member, from, [this, member, from, term = each.followTerm] {
         const fake_member &source = members[from];
         if (!source.leads || source.accepted != term)
             return;
         const std::vector<fake_entry> &log = members[member].log;
-        std::size_t common = 0;
-        while (common < std::min(log.size(), source.log.size())
-               && log[common].term == source.log[common].term)
-            common += 1;
+        std::size_t commonLength = 0;
+        while (commonLength < std::min(log.size(), source.log.size())
+               && log[commonLength].term == source.log[commonLength].term)
+            commonLength += 1;
         std::vector<fake_entry> entries;
-        for (std::size_t i = common; i < source.log.size(); ++i) {
+        for (std::size_t i = commonLength; i < source.log.size(); ++i) {
             if (source.log[i].at + members[member].lag <= clock)
                 entries.push_back(source.log[i]);
         }
-        const term_number commonTerm = common == 0 ? 0 : source.log[common - 1].term;
-        send(from, member, [this, member, from, term, common, commonTerm, entries] {
-            append(member, from, term, common, commonTerm, entries);
+        const term_number commonTerm = commonLength == 0 ? 0 : source.log[commonLength - 1].term;
+        send(from, member, [this, member, from, term, commonLength, commonTerm, entries] {
+            append(member, from, term, commonLength, commonTerm, entries);
         });
     });
 }
@@ -312,10 +315,10 @@
     const std::vector<fake_entry> &log = members[member].log;
     std::uint64_t missing = 0;
     for (const auto &[number, position] : acknowledgedWrites) {
-        const bool isThere = position.index >= 1 && position.index <= log.size()
-                             && log[position.index - 1].write == number
-                             && log[position.index - 1].term == position.term;
-        missing += isThere ? 0 : 1;
+        const bool isPresent = position.index >= 1 && position.index <= log.size()
+                               && log[position.index - 1].write == number
+                               && log[position.index - 1].term == position.term;
+        missing += isPresent ? 0 : 1;
     }
     findings.lost = std::max(findings.lost, missing);
     if (missing > 0)
@@ -330,9 +333,9 @@
         for (std::size_t lead = 0; lead < members.size(); ++lead) {
             std::size_t reached = 0;
             for (std::size_t other = 0; other < members.size(); ++other) {
-                const bool isThere = members[other].isUp && !isCut(ownerNode(owner), other)
-                                     && (other == lead || !isCut(lead, other));
-                reached += isThere ? 1 : 0;
+                const bool isReachable = members[other].isUp && !isCut(ownerNode(owner), other)
+                                         && (other == lead || !isCut(lead, other));
+                reached += isReachable ? 1 : 0;
             }
             const bool canLead = members[lead].isUp && !isCut(ownerNode(owner), lead);
             if (canLead && reached >= majorityOf(members.size()))
@@ -344,9 +347,9 @@
 
 void fake_group::measureGap()
 {
-    later(measureEvery, [this] { measureGap(); });
+    schedule(gapMeasureInterval, [this] { measureGap(); });
     if (isServiceable())
-        gap += measureEvery;
+        gap += gapMeasureInterval;
     findings.longestGap = std::max(findings.longestGap, gap);
 }
 
@@ -356,7 +359,7 @@
         checkLog(primary(), "the end");
     else
         report("no primary at the end");
-    if (findings.longestGap > gapBound)
+    if (findings.longestGap > maxWriteGap)
         report("no write acknowledged for " + std::to_string(findings.longestGap.count() / 1000)
                + " ms");
     for (const std::uint64_t number : answeredNotRun) {
--- a/testing/fake_group_owner.cpp
+++ b/testing/fake_group_owner.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The owners of a fake group: they run the decisions of `core` on the fake network.
+/// @brief Owners of the simulated group, which run the decision code of `core`.
 
 #include <fuchsiagw/testing/fake_group.hpp>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr duration routeAgainAfter = std::chrono::milliseconds(10);
+constexpr duration routeRetryDelay = std::chrono::milliseconds(10);
 constexpr duration executeTimeout = std::chrono::milliseconds(250);
 
 std::size_t indexOf(const member_id &member)
@@ -27,7 +27,7 @@
 
 void fake_group::tick(std::size_t index)
 {
-    later(failoverTickInterval, [this, index] { tick(index); });
+    schedule(failoverTickInterval, [this, index] { tick(index); });
     fake_owner &owner = owners[index];
     if (owner.isPaused)
         return;
@@ -41,7 +41,7 @@
 
 void fake_group::renewLease(std::size_t index)
 {
-    // The table is taken to answer at once, which favours this policy.
+    // The table of the platform answers without delay here, which favours the lease policy.
     group_view &view = owners[index].view;
     const member_view *known = findPrimary(view);
     if (known != nullptr && known->lastHeard != time_point::min()
@@ -53,34 +53,34 @@
 void fake_group::perform(std::size_t owner, const failover_actions &actions)
 {
     for (const failover_action &each : actions) {
-        performOne(owner, each);
+        performAction(owner, each);
         const auto hook = stepHooks.find(each.step);
         if (hook == stepHooks.end())
             continue;
-        const std::function<void()> what = hook->second;
+        const std::function<void()> callback = hook->second;
         stepHooks.erase(hook);
-        what();
+        callback();
     }
 }
 
 void fake_group::probe(std::size_t index, const failover_action &action)
 {
     const std::size_t member = indexOf(action.member);
-    const time_point asked = clock;
+    const time_point sentAt = clock;
     const auto isDone = std::make_shared<bool>(false);
     const auto fail = [this, index, action, isDone](member_failure failure) {
         fake_owner &owner = owners[index];
         if (!std::exchange(*isDone, true))
             onProbeFailed(owner.failover, owner.view, action.member, failure, clock, owner.random);
     };
-    ownerLater(index, action.timeout, [fail] { fail(member_failure::Silence); });
-    ask(
+    scheduleAtOwner(index, action.timeout, [fail] { fail(member_failure::Silence); });
+    sendRequest(
             index, member,
-            [this, index, member, asked, isDone] {
-                answer(member, index, [this, index, asked, isDone, status = statusOf(member)] {
+            [this, index, member, sentAt, isDone] {
+                sendAnswer(member, index, [this, index, sentAt, isDone, status = statusOf(member)] {
                     *isDone = true;
                     fake_owner &owner = owners[index];
-                    perform(index, onStatus(owner.failover, owner.view, status, asked, clock,
+                    perform(index, onStatus(owner.failover, owner.view, status, sentAt, clock,
                                             owner.random));
                     settle(index);
                 });
@@ -94,7 +94,7 @@
     const auto &attempt = owners[index].failover.attempt;
     if (config.fault == sabotage::PromoteShortestLog && attempt) {
         for (const auto &[id, status] : attempt->grants) {
-            if (lastOf(members[indexOf(id)]) < lastOf(members[member]))
+            if (lastPosition(members[indexOf(id)]) < lastPosition(members[member]))
                 member = indexOf(id);
         }
     }
@@ -108,7 +108,7 @@
             findings.promotions += 1;
             checkLog(member, "promotion");
         }
-        answer(member, index, [this, index, member, action, leads] {
+        sendAnswer(member, index, [this, index, member, action, leads] {
             fake_owner &owner = owners[index];
             perform(index, onLead(owner.failover, owner.view, members[member].id, action.term,
                                   leads, clock, owner.random));
@@ -118,17 +118,17 @@
     });
 }
 
-void fake_group::performOne(std::size_t index, const failover_action &action)
+void fake_group::performAction(std::size_t index, const failover_action &action)
 {
     fake_owner &owner = owners[index];
     const std::size_t member = action.member.empty() ? members.size() : indexOf(action.member);
-    const time_point asked = clock;
+    const time_point sentAt = clock;
     switch (action.step) {
     case failover_step::Probe:
         probe(index, action);
         break;
     case failover_step::AcceptTerm:
-        send(ownerNode(index), member, [this, index, member, asked, action] {
+        send(ownerNode(index), member, [this, index, member, sentAt, action] {
             fake_member &each = members[member];
             const bool accepted = action.term > each.accepted;
             if (accepted) {
@@ -137,15 +137,15 @@
                 each.followTerm = 0;
             }
             serveWaits(member);
-            answer(member, index,
-                   [this, index, asked, action,
-                    result = accept_term_answer{ accepted, statusOf(member) }] {
-                       fake_owner &sender = owners[index];
-                       perform(index, onAcceptTerm(sender.failover, sender.view, result,
-                                                   action.term, asked, clock, sender.random));
-                       if (result.accepted && grantHook)
-                           std::exchange(grantHook, nullptr)();
-                   });
+            sendAnswer(member, index,
+                       [this, index, sentAt, action,
+                        result = accept_term_answer{ accepted, statusOf(member) }] {
+                           fake_owner &sender = owners[index];
+                           perform(index, onAcceptTerm(sender.failover, sender.view, result,
+                                                       action.term, sentAt, clock, sender.random));
+                           if (result.accepted && grantHook)
+                               std::exchange(grantHook, nullptr)();
+                       });
         });
         break;
     case failover_step::Lead:
@@ -157,9 +157,9 @@
             const bool follows = each.accepted == action.term && !each.leads;
             if (follows) {
                 each.followTerm = action.term;
-                each.followed = indexOf(action.primary);
+                each.followedMember = indexOf(action.primary);
             }
-            answer(member, index, [this, index, action, follows] {
+            sendAnswer(member, index, [this, index, action, follows] {
                 core::onFollow(owners[index].failover, action.member, action.term, follows);
             });
         });
@@ -176,7 +176,7 @@
                  });
         }
         break;
-    case failover_step::Claim: // the platform is down
+    case failover_step::Claim: // not answered: the platform is unavailable
         break;
     }
 }
@@ -190,12 +190,12 @@
         return;
     for (const wait_request &each : core::openWaits(owner.pending, owner.view, clock)) {
         const std::size_t member = indexOf(each.member);
-        const held_wait wait{ index, each.position, clock, clock + each.held, each.deadline };
+        const pending_wait wait{ index, each.position, clock, clock + each.held, each.deadline };
         send(ownerNode(index), member, [this, member, wait] {
             waits[member].push_back(wait);
             serveWaits(member);
-            later(std::max(wait.until - clock, duration::zero()),
-                  [this, member] { serveWaits(member); });
+            schedule(std::max(wait.until - clock, duration::zero()),
+                     [this, member] { serveWaits(member); });
         });
     }
 }
@@ -203,22 +203,23 @@
 void fake_group::serveWaits(std::size_t member)
 {
     const fake_member &each = members[member];
-    std::erase_if(waits[member], [&](const held_wait &wait) {
-        const bool holds = each.accepted == wait.position.term && lastOf(each) >= wait.position;
+    std::erase_if(waits[member], [&](const pending_wait &wait) {
+        const bool holds =
+                each.accepted == wait.position.term && lastPosition(each) >= wait.position;
         if (!holds && clock < wait.until)
             return false;
-        answer(member, wait.owner,
-               [this, wait, status = statusOf(member)] { onWaitAnswer(wait, status); });
+        sendAnswer(member, wait.owner,
+                   [this, wait, status = statusOf(member)] { onWaitAnswer(wait, status); });
         return true;
     });
 }
 
-void fake_group::onWaitAnswer(const held_wait &wait, const member_status &status)
+void fake_group::onWaitAnswer(const pending_wait &wait, const member_status &status)
 {
     const std::size_t index = wait.owner;
     fake_owner &owner = owners[index];
     onWaitEnded(owner.pending, status.member, wait.deadline);
-    perform(index, onStatus(owner.failover, owner.view, status, wait.asked, clock, owner.random));
+    perform(index, onStatus(owner.failover, owner.view, status, wait.sentAt, clock, owner.random));
     settle(index);
     openWaits(index);
 }
@@ -233,16 +234,16 @@
         const auto found = owner.writes.find(each.number);
         if (found == owner.writes.end())
             continue;
-        exchange &way = found->second.way;
+        exchange &exchangeState = found->second.exchangeState;
         switch (each.outcome) {
         case write_outcome::Acknowledged:
-            act(index, each.number, onConfirmed(way));
+            performExchangeAction(index, each.number, onConfirmed(exchangeState));
             break;
         case write_outcome::Expired:
-            act(index, each.number, onNotConfirmed(way));
+            performExchangeAction(index, each.number, onNotConfirmed(exchangeState));
             break;
         case write_outcome::Superseded:
-            act(index, each.number, onSuperseded(way, clock));
+            performExchangeAction(index, each.number, onSuperseded(exchangeState, clock));
             break;
         }
     }
@@ -257,12 +258,12 @@
     if (!isNew && known->second != write.number)
         report("two histories acknowledged at index " + std::to_string(write.position.index));
     gap = duration::zero();
-    // Answers that were on their way when the primary was lost don't end the gap.
-    if (lossAt && write.ranAt > *lossAt + (config.delay + config.jitter) * 2) {
-        findings.failoverGap = clock - *lossAt;
-        lossAt.reset();
+    // An answer that was in transit when the primary was lost does not end the gap.
+    if (primaryLostAt && write.ranAt > *primaryLostAt + (config.delay + config.jitter) * 2) {
+        findings.failoverGap = clock - *primaryLostAt;
+        primaryLostAt.reset();
     }
-    // Favours this policy: what one owner has acknowledged is known to all at once.
+    // All owners learn each acknowledged position immediately, which favours this policy.
     if (config.policy == acknowledgement_policy::KnownPosition) {
         for (fake_owner &owner : owners)
             owner.view.highestAcknowledgedPosition =
@@ -274,32 +275,35 @@
 
 // ---- owners: statements ----
 
-void fake_group::newWrite(std::size_t index)
+void fake_group::startWrite(std::size_t index)
 {
-    later(config.writeInterval, [this, index] { newWrite(index); });
+    schedule(config.writeInterval, [this, index] { startWrite(index); });
     fake_owner &owner = owners[index];
     if (owner.isPaused)
         return;
     fake_write write;
     write.number = nextWrite++;
-    write.created = clock;
+    write.createdAt = clock;
     statement_request statement;
     statement.kind = statement_kind::Write;
     statement.deadline = clock + config.writeDeadline;
-    const bool repeats = config.writesHaveKeys || config.fault == sabotage::RetryWithoutKey;
-    statement.idempotencyKey = repeats ? std::to_string(write.number) : "";
-    write.way = makeExchange(statement);
+    const bool canRetry = config.writesHaveKeys || config.fault == sabotage::RetryWithoutKey;
+    statement.idempotencyKey = canRetry ? std::to_string(write.number) : "";
+    write.exchangeState = makeExchange(statement);
     const std::uint64_t number = write.number;
     owner.writes.emplace(number, std::move(write));
-    ownerLater(index, config.writeDeadline, [this, index, number] {
+    scheduleAtOwner(index, config.writeDeadline, [this, index, number] {
         const auto found = owners[index].writes.find(number);
         if (found != owners[index].writes.end())
-            act(index, number, onDeadline(found->second.way, error_kind::DeadlineExceeded));
+            performExchangeAction(
+                    index, number,
+                    onDeadline(found->second.exchangeState, error_kind::DeadlineExceeded));
     });
     route(index, number);
 }
 
-void fake_group::act(std::size_t index, std::uint64_t number, const exchange_action &action)
+void fake_group::performExchangeAction(std::size_t index, std::uint64_t number,
+                                       const exchange_action &action)
 {
     fake_owner &owner = owners[index];
     const auto found = owner.writes.find(number);
@@ -312,13 +316,13 @@
     case exchange_step::SendToMember:
     case exchange_step::AskPrimary:
     case exchange_step::RetryOnNewConnection:
-        ownerLater(index, std::max(action.notBefore - clock, duration::zero()),
-                   [this, index, number] { route(index, number); });
+        scheduleAtOwner(index, std::max(action.notBefore - clock, duration::zero()),
+                        [this, index, number] { route(index, number); });
         break;
     case exchange_step::WaitForConfirmation:
         write.ranAt = clock;
-        addPendingWrite(owner.pending,
-                        { number, write.way.term, write.position, clock, write.way.deadline });
+        addPendingWrite(owner.pending, { number, write.exchangeState.term, write.position, clock,
+                                         write.exchangeState.deadline });
         settle(index);
         openWaits(index);
         break;
@@ -337,7 +341,7 @@
 {
     fake_owner &owner = owners[index];
     const auto found = owner.writes.find(number);
-    if (found == owner.writes.end() || found->second.way.state != exchange_state::Queued)
+    if (found == owner.writes.end() || found->second.exchangeState.state != exchange_state::Queued)
         return;
     routing_request request;
     request.kind = statement_kind::Write;
@@ -345,7 +349,7 @@
     if (decision.member)
         sendWrite(index, found->second, indexOf(*decision.member));
     else
-        ownerLater(index, routeAgainAfter, [this, index, number] { route(index, number); });
+        scheduleAtOwner(index, routeRetryDelay, [this, index, number] { route(index, number); });
 }
 
 void fake_group::sendWrite(std::size_t index, fake_write &write, std::size_t member)
@@ -353,39 +357,44 @@
     fake_owner &owner = owners[index];
     const request_id id{ owner.random(), owner.random() };
     const term_number term = owner.view.highestTerm;
-    const time_point asked = clock;
+    const time_point sentAt = clock;
     const std::uint64_t number = write.number;
     const auto isOpen = [this, index, number, id] {
         const auto found = owners[index].writes.find(number);
-        return found != owners[index].writes.end() && found->second.way.attempt == id
-               && found->second.way.state == exchange_state::Sent;
+        return found != owners[index].writes.end() && found->second.exchangeState.attempt == id
+               && found->second.exchangeState.state == exchange_state::Sent;
     };
     const auto fail = [this, index, number, member, isOpen](member_failure failure) {
         if (!isOpen())
             return;
         fake_owner &sender = owners[index];
         observeFailure(sender.view, members[member].id, failure, clock, sender.random);
-        act(index, number, onConnectionLost(sender.writes.at(number).way, clock));
+        performExchangeAction(index, number,
+                              onConnectionLost(sender.writes.at(number).exchangeState, clock));
     };
-    onSent(write.way, id, members[member].id, term);
-    ownerLater(index, executeTimeout, [fail] { fail(member_failure::Silence); });
-    ask(
+    onSent(write.exchangeState, id, members[member].id, term);
+    scheduleAtOwner(index, executeTimeout, [fail] { fail(member_failure::Silence); });
+    sendRequest(
             index, member,
-            [this, index, number, member, id, term, asked, isOpen] {
-                // A connection delivers a request once; only answers may come twice.
-                if (!members[member].seen.insert(id).second)
+            [this, index, number, member, id, term, sentAt, isOpen] {
+                // A connection delivers a request only once; only answers can be duplicated.
+                if (!members[member].receivedRequests.insert(id).second)
                     return;
                 const execute_answer result =
                         execute(member, id, term, number, config.writesHaveKeys);
-                answer(member, index, [this, index, number, member, term, asked, isOpen, result] {
-                    fake_owner &sender = owners[index];
-                    observeAnswer(sender.view, members[member].id, result, term, asked, clock);
-                    if (!isOpen())
-                        return;
-                    fake_write &sent = sender.writes.at(number);
-                    sent.position = result.position;
-                    act(index, number, onAnswer(sent.way, result, answer_verdict::Accept, clock));
-                });
+                sendAnswer(member, index,
+                           [this, index, number, member, term, sentAt, isOpen, result] {
+                               fake_owner &sender = owners[index];
+                               observeAnswer(sender.view, members[member].id, result, term, sentAt,
+                                             clock);
+                               if (!isOpen())
+                                   return;
+                               fake_write &sent = sender.writes.at(number);
+                               sent.position = result.position;
+                               performExchangeAction(index, number,
+                                                     onAnswer(sent.exchangeState, result,
+                                                              answer_verdict::Accept, clock));
+                           });
             },
             [fail] { fail(member_failure::Closed); });
 }
