--- a/include/fuchsiagw/testing/config_world.hpp
+++ b/include/fuchsiagw/testing/config_world.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Instances, operators and a platform in virtual time, for the spread of configurations.
+/// @brief Simulation of configuration distribution to instances, with operators and a platform, in
+/// virtual time.
 
 #pragma once
 
@@ -18,30 +19,32 @@
 
 namespace fuchsiagw::testing {
 
-/// Faults that are in effect now. Times are delays added to the usual ones.
+/// Active faults. Durations are added to the regular delays.
 struct world_faults
 {
     bool platformDown = false;
-    core::duration platformDelay{}; ///< greatest; each answer draws its own
-    unsigned lostAnswers = 0; ///< next changes of the platform whose answers are lost
-    std::set<std::size_t> cut; ///< instances without peers and platform
-    std::set<std::size_t> silent; ///< instances without peers, but with the platform
-    std::optional<core::zone_name> cutZone; ///< talks only within itself
-    core::duration messageDelay{}; ///< greatest
+    core::duration platformDelay{}; ///< upper bound; drawn for each call
+    unsigned lostAnswers = 0; ///< number of next platform changes whose answers are lost
+    std::set<std::size_t> cut; ///< instances that reach neither peers nor the platform
+    std::set<std::size_t> silent; ///< instances that reach the platform but no peers
+    std::optional<core::zone_name>
+            cutZone; ///< zone that reaches neither other zones nor the platform
+    core::duration messageDelay{}; ///< upper bound; drawn for each message
     unsigned duplicatePercent = 0;
     unsigned lossPercent = 0;
 };
 
-/// Deliberate errors of the product, to show that the checkers see them.
+/// Injected defects that the checkers must detect.
 enum class sabotage : std::uint8_t {
     None,
-    Revert, ///< an instance goes back to the first version
+    Revert, ///< an instance reverts to an earlier version
     ExtraChange, ///< a version contains a change that its note does not list
     NoProof, ///< keys are accepted without a freshness proof
-    RepeatedCommit, ///< the platform applies the same transaction again
-    NoSpread, ///< after the first version no message is sent and only one reads the platform
-    EarlyAnswer, ///< an operator is told before another instance holds the version
-    WrongAnswer, ///< every operator is told that the note was applied
+    RepeatedCommit, ///< the platform applies a repeated transaction again
+    NoSpread, ///< after the first version no messages arrive and only one instance reads the
+              ///< platform
+    EarlyAnswer, ///< an operator gets an answer before another instance holds the version
+    WrongAnswer, ///< every answer says that the note was applied
 };
 
 struct world_settings
@@ -49,13 +52,13 @@
     std::size_t instances = 12;
     std::size_t zones = 3;
     std::uint64_t seed = 1;
-    core::duration zoneDelay = std::chrono::microseconds(300); ///< one way
-    core::duration crossDelay = std::chrono::milliseconds(4); ///< one way, between zones
-    core::duration platformDelay = std::chrono::milliseconds(5); ///< there and back
+    core::duration inZoneDelay = std::chrono::microseconds(300); ///< one way
+    core::duration crossZoneDelay = std::chrono::milliseconds(4); ///< one way, between zones
+    core::duration platformDelay = std::chrono::milliseconds(5); ///< round trip
     sabotage error = sabotage::None;
 };
 
-/// What an operator was told, and what the platform has.
+/// Answers that an operator received for a note.
 struct operator_record
 {
     core::release_note note;
@@ -64,7 +67,7 @@
     unsigned attempts = 0;
 };
 
-/// One committed version.
+/// A committed version.
 struct world_commit
 {
     core::time_point at;
@@ -77,14 +80,15 @@
 public:
     explicit config_world(const world_settings &settings);
 
-    /// Runs until @p end, with every event in its order.
+    /// Runs all events until @p end in chronological order.
     void runUntil(core::time_point end);
     void at(core::time_point time, std::function<void()> event);
     [[nodiscard]] core::time_point now() const { return now_; }
 
-    /// An operator hands a note to an instance, and to others until the outcome is known.
+    /// Submits a note to an instance; the operator tries further instances until the outcome is
+    /// known.
     void submit(const core::release_note &note, std::size_t instance);
-    /// Loses the state of an instance; it starts again at once.
+    /// Restarts an instance without its state.
     void restart(std::size_t instance);
 
     [[nodiscard]] std::size_t size() const { return instances_.size(); }
@@ -98,7 +102,7 @@
     }
 
     world_faults faults;
-    /// Called before each request of a submit, with its step; also for take-ins, see the tests.
+    /// Called before each request of a submit, with the step of the request.
     std::function<void(core::submit_step, std::size_t instance)> onSubmitStep;
     std::function<void(std::size_t instance, core::configuration_version)> onVersionInstalled;
     std::function<void(std::size_t instance, core::configuration_version)> onBodyArrived;
@@ -114,9 +118,9 @@
         core::freshness proofs;
         core::config_store store;
         core::key_index index;
-        core::time_point tickAt = core::noDeadline; ///< of the scheduled tick
-        unsigned openSubmits = 0;
-        bool hasOpenOutcome = false;
+        core::time_point tickAt = core::noDeadline; ///< time of the scheduled tick
+        unsigned activeSubmits = 0;
+        bool hasUnresolvedOutcome = false;
     };
     struct operation;
     using platform_event = std::function<void(const core::platform_answer &)>;
@@ -131,13 +135,14 @@
                         const std::string &body);
     void callPlatform(std::size_t index, const core::submit_action &action, platform_event done);
     core::platform_answer apply(const core::submit_action &action);
-    void step(const std::shared_ptr<operation> &run, const core::submit_action &action);
+    void performStep(const std::shared_ptr<operation> &run, const core::submit_action &action);
     void finish(const std::shared_ptr<operation> &run);
     void confirm(const std::shared_ptr<operation> &run);
     [[nodiscard]] bool isSpreadStopped() const;
     [[nodiscard]] bool isReachable(std::size_t from, std::size_t to) const;
-    [[nodiscard]] core::duration draw(core::duration greatest);
-    void onIncarnation(std::size_t index, core::time_point time, std::function<void()> event);
+    [[nodiscard]] core::duration drawDelay(core::duration maxDelay);
+    void scheduleForIncarnation(std::size_t index, core::time_point time,
+                                std::function<void()> event);
 
     world_settings settings_;
     core::random_engine random_;
--- a/include/fuchsiagw/testing/connection_number.hpp
+++ b/include/fuchsiagw/testing/connection_number.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Number of a connection to a stand-in.
+/// @brief Identifier of a connection to a test server.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace fuchsiagw::testing {
 
-/// Never reused within a server.
+/// Unique within a server; never reused.
 using connection_number = std::uint64_t;
 
 } // namespace fuchsiagw::testing
--- a/testing/config_world.cpp
+++ b/testing/config_world.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Events of the world of instances, operators and a platform.
+/// @brief Event loop, messages, platform and operators of the configuration simulation.
 
 #include <fuchsiagw/testing/config_world.hpp>
 
@@ -16,12 +16,12 @@
 using namespace std::chrono_literals;
 using core::submit_step;
 
-constexpr auto requestTimeout = 1s; ///< of the platform and of peers
-constexpr auto submitTime = 5s; ///< of one submit at an instance
-constexpr auto operatorPause = 1s; ///< between attempts
-constexpr auto operatorTimeout = 7s; ///< for an instance that does not answer
-constexpr auto confirmPause = 10ms; ///< between looks for a peer that holds the version
-constexpr unsigned mostAttempts = 12;
+constexpr auto requestTimeout = 1s; ///< for requests to the platform and to peers
+constexpr auto submitTimeout = 5s; ///< for one submit at an instance
+constexpr auto operatorRetryDelay = 1s; ///< between attempts
+constexpr auto operatorTimeout = 7s; ///< until an operator gives up on an instance
+constexpr auto confirmationPollInterval = 10ms; ///< between checks whether a peer holds the version
+constexpr unsigned maxAttempts = 12;
 
 const core::configuration_codec &codec()
 {
@@ -35,14 +35,15 @@
 
 } // namespace
 
-/// One submit under way at an instance.
+/// A submit in progress at an instance.
 struct config_world::operation
 {
     std::size_t index = 0;
     std::uint64_t incarnation = 0;
     core::submit_state state;
-    bool isOver = false;
-    std::function<void(const core::submit_result *)> tell; ///< null: no answer
+    bool isFinished = false;
+    std::function<void(const core::submit_result *)>
+            reportResult; ///< called with null if no answer arrives
 };
 
 config_world::config_world(const world_settings &settings)
@@ -61,12 +62,12 @@
         start(i);
 }
 
-core::duration config_world::draw(core::duration greatest)
+core::duration config_world::drawDelay(core::duration maxDelay)
 {
-    if (greatest <= core::duration::zero())
+    if (maxDelay <= core::duration::zero())
         return {};
     return core::duration(static_cast<std::int64_t>(
-            core::drawBelow(random_, static_cast<std::uint64_t>(greatest.count()))));
+            core::drawBelow(random_, static_cast<std::uint64_t>(maxDelay.count()))));
 }
 
 void config_world::at(core::time_point time, std::function<void()> event)
@@ -74,8 +75,8 @@
     events_.emplace(std::max(time, now_), std::move(event));
 }
 
-void config_world::onIncarnation(std::size_t index, core::time_point time,
-                                 std::function<void()> event)
+void config_world::scheduleForIncarnation(std::size_t index, core::time_point time,
+                                          std::function<void()> event)
 {
     at(time, [this, index, incarnation = instances_[index].incarnation, event = std::move(event)] {
         if (instances_[index].incarnation == incarnation)
@@ -100,7 +101,7 @@
     own = {};
     own.self = self;
     own.incarnation = random_();
-    own.spread = core::startSpread(self, own.incarnation, {}, now_ + draw(1s));
+    own.spread = core::startSpread(self, own.incarnation, {}, now_ + drawDelay(1s));
     core::setLiveInstances(own.spread, live_, now_);
     schedule(index);
 }
@@ -120,7 +121,7 @@
     if (own.tickAt > now_ && own.tickAt <= next)
         return;
     own.tickAt = next;
-    onIncarnation(index, next, [this, index, next] {
+    scheduleForIncarnation(index, next, [this, index, next] {
         if (instances_[index].tickAt == next)
             tick(index);
     });
@@ -130,7 +131,7 @@
 {
     instance &own = instances_[index];
     own.tickAt = core::noDeadline;
-    own.spread.hasUnresolvedSubmit = own.openSubmits > 0 || own.hasOpenOutcome;
+    own.spread.hasUnresolvedSubmit = own.activeSubmits > 0 || own.hasUnresolvedOutcome;
     std::vector<core::spread_action> actions;
     core::tickSpread(own.spread, own.proofs, now_, actions);
     perform(index, actions);
@@ -140,15 +141,15 @@
 
 bool config_world::isReachable(std::size_t from, std::size_t to) const
 {
-    const auto isAlone = [this](std::size_t index) {
+    const auto isIsolated = [this](std::size_t index) {
         return faults.cut.contains(index) || faults.silent.contains(index);
     };
-    if (isAlone(from) || isAlone(to))
+    if (isIsolated(from) || isIsolated(to))
         return false;
-    const auto isInside = [&](std::size_t index) {
+    const auto isInCutZone = [&](std::size_t index) {
         return instances_[index].self.zone == faults.cutZone;
     };
-    return !faults.cutZone || isInside(from) == isInside(to);
+    return !faults.cutZone || isInCutZone(from) == isInCutZone(to);
 }
 
 bool config_world::isSpreadStopped() const
@@ -181,7 +182,7 @@
                                  || (answer.isFound && !core::readRow(answer.value, row)))
                                  return;
                              instance &own = instances_[index];
-                             own.hasOpenOutcome = false;
+                             own.hasUnresolvedOutcome = false;
                              std::vector<core::spread_action> more;
                              core::onPlatformVersion(own.spread, own.proofs, root, roundNumber,
                                                      row.version, sentAt, now_, more);
@@ -204,15 +205,15 @@
     if (isSpreadStopped() || !isReachable(from, to)
         || core::drawBelow(random_, 100) < faults.lossPercent)
         return;
-    const bool isNear = instances_[from].self.zone == instances_[to].self.zone;
+    const bool isSameZone = instances_[from].self.zone == instances_[to].self.zone;
     const unsigned copies = core::drawBelow(random_, 100) < faults.duplicatePercent ? 2 : 1;
     for (unsigned i = 0; i < copies; ++i) {
-        const core::duration delay =
-                (isNear ? settings_.zoneDelay : settings_.crossDelay) + draw(faults.messageDelay);
-        onIncarnation(to, now_ + delay, [this, from, to, message] {
+        const core::duration delay = (isSameZone ? settings_.inZoneDelay : settings_.crossZoneDelay)
+                                     + drawDelay(faults.messageDelay);
+        scheduleForIncarnation(to, now_ + delay, [this, from, to, message] {
             instance &own = instances_[to];
             std::vector<core::spread_action> actions;
-            own.spread.hasUnresolvedSubmit = own.openSubmits > 0 || own.hasOpenOutcome;
+            own.spread.hasUnresolvedSubmit = own.activeSubmits > 0 || own.hasUnresolvedOutcome;
             core::onSpreadMessage(own.spread, own.proofs, instances_[from].self.instance, message,
                                   now_, actions);
             perform(to, actions);
@@ -240,19 +241,20 @@
     }
     const std::size_t peer = indexOf_.at(source->peer);
     if (!isReachable(index, peer))
-        return; // the fetch's own deadline passes
-    onIncarnation(peer, now_ + settings_.crossDelay + draw(faults.messageDelay),
-                  [this, index, peer, source = *source] {
-                      const core::config_store &store = instances_[peer].store;
-                      if (!isReachable(peer, index))
-                          return;
-                      core::fetch_source sent = source;
-                      sent.objectName = store.currentObjectName;
-                      onIncarnation(index, now_ + settings_.crossDelay,
-                                    [this, index, sent, body = store.currentBody] {
-                                        installVersion(index, sent, body);
-                                    });
-                  });
+        return; // the fetch fails at its deadline
+    scheduleForIncarnation(peer, now_ + settings_.crossZoneDelay + drawDelay(faults.messageDelay),
+                           [this, index, peer, source = *source] {
+                               const core::config_store &store = instances_[peer].store;
+                               if (!isReachable(peer, index))
+                                   return;
+                               core::fetch_source sent = source;
+                               sent.objectName = store.currentObjectName;
+                               scheduleForIncarnation(
+                                       index, now_ + settings_.crossZoneDelay,
+                                       [this, index, sent, body = store.currentBody] {
+                                           installVersion(index, sent, body);
+                                       });
+                           });
 }
 
 void config_world::installVersion(std::size_t index, const core::fetch_source &source,
@@ -334,30 +336,33 @@
 void config_world::callPlatform(std::size_t index, const core::submit_action &action,
                                 platform_event done)
 {
-    const auto fail = [&] { onIncarnation(index, now_ + requestTimeout, [done] { done({}); }); };
+    const auto fail = [&] {
+        scheduleForIncarnation(index, now_ + requestTimeout, [done] { done({}); });
+    };
     const bool isCut = faults.cut.contains(index)
                        || (faults.cutZone && instances_[index].self.zone == *faults.cutZone);
     if (faults.platformDown || isCut) {
         fail();
         return;
     }
-    const core::duration delay = settings_.platformDelay + draw(faults.platformDelay);
-    const core::time_point effect = now_ + delay / 2;
-    const core::time_point answered = now_ + delay;
-    const core::time_point timeout = now_ + requestTimeout;
-    // The request takes effect at the platform even if its sender is gone or no longer waits.
-    at(effect, [this, index, incarnation = instances_[index].incarnation, action, answered, timeout,
-                done = std::move(done)] {
+    const core::duration delay = settings_.platformDelay + drawDelay(faults.platformDelay);
+    const core::time_point takesEffectAt = now_ + delay / 2;
+    const core::time_point answeredAt = now_ + delay;
+    const core::time_point timeoutAt = now_ + requestTimeout;
+    // The request takes effect at the platform even if the sender has restarted or timed out.
+    at(takesEffectAt, [this, index, incarnation = instances_[index].incarnation, action, answeredAt,
+                       timeoutAt, done = std::move(done)] {
         const core::platform_answer answer = apply(action);
-        bool isLost = answered >= timeout || faults.platformDown;
+        bool isLost = answeredAt >= timeoutAt || faults.platformDown;
         if (changesPlatform(action.step) && faults.lostAnswers > 0) {
             --faults.lostAnswers;
             isLost = true;
         }
         if (instances_[index].incarnation != incarnation)
             return;
-        onIncarnation(index, isLost ? timeout : answered,
-                      [done, answer, isLost] { done(isLost ? core::platform_answer{} : answer); });
+        scheduleForIncarnation(index, isLost ? timeoutAt : answeredAt, [done, answer, isLost] {
+            done(isLost ? core::platform_answer{} : answer);
+        });
     });
 }
 
@@ -365,38 +370,39 @@
 {
     operator_record &record = operators_[note.id];
     record.note = note;
-    if (record.acceptedAt || record.isRefused || record.attempts >= mostAttempts)
+    if (record.acceptedAt || record.isRefused || record.attempts >= maxAttempts)
         return;
     ++record.attempts;
-    const auto again = [this, note, index] { submit(note, (index + 1) % instances_.size()); };
+    const auto retry = [this, note, index] { submit(note, (index + 1) % instances_.size()); };
     auto run = std::make_shared<operation>();
     run->index = index;
     run->incarnation = instances_[index].incarnation;
-    run->tell = [this, id = note.id, again](const core::submit_result *result) {
-        operator_record &told = operators_.at(id);
+    run->reportResult = [this, id = note.id, retry](const core::submit_result *result) {
+        operator_record &operatorRecord = operators_.at(id);
         const auto kind = result == nullptr ? core::error_kind::NoteOutcomeUnknown
                                             : core::kindOf(result->error);
         const bool isWrong = settings_.error == sabotage::WrongAnswer && result != nullptr;
         if (isWrong || (result != nullptr && !result->error)) {
-            if (!told.acceptedAt)
-                told.acceptedAt = now_;
+            if (!operatorRecord.acceptedAt)
+                operatorRecord.acceptedAt = now_;
         } else if (kind == core::error_kind::NoteConflict || kind == core::error_kind::NoteInvalid
                    || kind == core::error_kind::NoteNotExact) {
-            told.isRefused = true;
+            operatorRecord.isRefused = true;
         } else {
-            at(now_ + operatorPause, again);
+            at(now_ + operatorRetryDelay, retry);
         }
     };
     at(now_ + operatorTimeout, [run] {
-        if (!run->isOver)
-            run->tell(nullptr);
-        run->isOver = true;
+        if (!run->isFinished)
+            run->reportResult(nullptr);
+        run->isFinished = true;
     });
-    ++instances_[index].openSubmits;
-    step(run, core::startSubmit(run->state, note, now_ + submitTime, codec()));
+    ++instances_[index].activeSubmits;
+    performStep(run, core::startSubmit(run->state, note, now_ + submitTimeout, codec()));
 }
 
-void config_world::step(const std::shared_ptr<operation> &run, const core::submit_action &action)
+void config_world::performStep(const std::shared_ptr<operation> &run,
+                               const core::submit_action &action)
 {
     if (action.step == submit_step::Finish) {
         finish(run);
@@ -405,7 +411,8 @@
     if (action.notBefore > now_) {
         core::submit_action later = action;
         later.notBefore = core::time_point::min();
-        onIncarnation(run->index, action.notBefore, [this, run, later] { step(run, later); });
+        scheduleForIncarnation(run->index, action.notBefore,
+                               [this, run, later] { performStep(run, later); });
         return;
     }
     if (onSubmitStep)
@@ -414,15 +421,15 @@
         return;
     core::submit_action sent = action;
     if (settings_.error == sabotage::ExtraChange && action.step == submit_step::Commit) {
-        core::configuration spoiled = *run->state.next;
-        spoiled.switches[core::automatic_action::Probing] = false;
-        const std::string body = codec().write(spoiled);
-        const std::string name = core::objectNameOf(spoiled.version, codec().digest(body));
+        core::configuration altered = *run->state.next;
+        altered.switches[core::automatic_action::Probing] = false;
+        const std::string body = codec().write(altered);
+        const std::string name = core::objectNameOf(altered.version, codec().digest(body));
         objects_[name] = body;
-        sent.puts.front().second = core::writeRow({ spoiled.version, run->state.note.id, name });
+        sent.puts.front().second = core::writeRow({ altered.version, run->state.note.id, name });
     }
     callPlatform(run->index, sent, [this, run](const core::platform_answer &answer) {
-        step(run, core::continueSubmit(run->state, answer, now_, codec()));
+        performStep(run, core::continueSubmit(run->state, answer, now_, codec()));
     });
 }
 
@@ -430,12 +437,12 @@
 {
     const core::submit_result &result = run->state.result;
     const std::uint64_t incarnation = run->incarnation;
-    // An open outcome keeps the instance from vouching for its version by proof (c) until it has
-    // read the platform again.
+    // While an outcome is unresolved, the instance must not prove its version by proof (c). It must
+    // read the platform first.
     if (instances_[run->index].incarnation == incarnation) {
         instance &own = instances_[run->index];
-        --own.openSubmits;
-        own.hasOpenOutcome = own.hasOpenOutcome || core::isUnresolved(run->state);
+        --own.activeSubmits;
+        own.hasUnresolvedOutcome = own.hasUnresolvedOutcome || core::isUnresolved(run->state);
     }
     if (result.newest)
         installVersion(run->index, { {}, result.newest->version, result.newestName },
@@ -447,16 +454,17 @@
 void config_world::confirm(const std::shared_ptr<operation> &run)
 {
     const core::submit_result &result = run->state.result;
-    if (run->isOver)
-        return; // the operator has gone
+    if (run->isFinished)
+        return; // the operator has timed out
     const core::spread_state &spread = instances_[run->index].spread;
     if (settings_.error != sabotage::EarlyAnswer && !result.error
         && !core::isHeldElsewhere(spread, result.newest->version)) {
-        onIncarnation(run->index, now_ + confirmPause, [this, run] { confirm(run); });
+        scheduleForIncarnation(run->index, now_ + confirmationPollInterval,
+                               [this, run] { confirm(run); });
         return;
     }
-    run->isOver = true;
-    run->tell(&result);
+    run->isFinished = true;
+    run->reportResult(&result);
 }
 
 core::configuration_version config_world::versionOf(std::size_t index) const
