--- a/testing/gateway_world_members.cpp
+++ b/testing/gateway_world_members.cpp
@@ -35,9 +35,9 @@
 connection_key connectionKey(const gateway_world &world, std::size_t gateway, const group_id &group,
                              connection_id id)
 {
-    const auto place = std::distance(world.versions.front().groups.begin(),
-                                     world.versions.front().groups.find(group));
-    return { gateway * world.settings.groups + static_cast<std::size_t>(place), id };
+    const auto groupIndex = std::distance(world.versions.front().groups.begin(),
+                                          world.versions.front().groups.find(group));
+    return { gateway * world.settings.groups + static_cast<std::size_t>(groupIndex), id };
 }
 
 std::size_t findMember(const gateway_world &world, const member_id &member)
@@ -121,16 +121,16 @@
     *slot = std::max(*slot, world.now) + serviceTime;
     after(world, *slot - world.now,
           [&world, connection, exchange, request, wasSentWhileLeaving, hadTransaction] {
-              world_member &place = world.members[connection.member];
+              world_member &server = world.members[connection.member];
               const bool isClosed = world.closed.count(connection.number) != 0;
               // A running statement completes after its connection closes, except within a
               // transaction, which ends with the connection.
-              if (place.generation != connection.memberGeneration || (isClosed && hadTransaction))
+              if (server.generation != connection.memberGeneration || (isClosed && hadTransaction))
                   return;
               member_event event;
-              const execution result = execute(place.model, connection.number, request, world.now);
+              const execution result = execute(server.model, connection.number, request, world.now);
               event.at = world.now;
-              event.member = place.model.member;
+              event.member = server.model.member;
               event.connection = connection.number;
               event.request = request;
               event.status = result.answer.status;
@@ -340,15 +340,15 @@
                  });
 }
 
-void answerWaits(gateway_world &world, std::size_t place)
+void answerWaits(gateway_world &world, std::size_t index)
 {
-    world_member &member = world.members[place];
+    world_member &member = world.members[index];
     std::vector<world_wait> open;
     for (world_wait &each : std::exchange(member.waits, {})) {
         const bool isDecided = holds(member.model, each.call.position)
                                || member.model.term > each.call.position.term;
         if (isDecided || world.now >= each.expiresAt)
-            answerControl(world, each.gateway, each.generation, member.model.group, place,
+            answerControl(world, each.gateway, each.generation, member.model.group, index,
                           { each.call.number, statusOf(member.model), false });
         else
             open.push_back(std::move(each));
@@ -464,10 +464,10 @@
 
 void stopMember(gateway_world &world, std::size_t member)
 {
-    world_member &place = world.members[member];
-    ++place.generation;
-    place.waits.clear();
-    place.model.transactions.clear();
+    world_member &stoppedMember = world.members[member];
+    ++stoppedMember.generation;
+    stoppedMember.waits.clear();
+    stoppedMember.model.transactions.clear();
     std::vector<world_connection> open;
     std::erase_if(world.connections, [&](const auto &each) {
         if (each.second.member != member)
@@ -479,7 +479,7 @@
     for (const world_connection &each : open) {
         member_event event;
         event.at = world.now;
-        event.member = place.model.member;
+        event.member = stoppedMember.model.member;
         event.connection = each.number;
         event.isClose = true;
         world.history.members.push_back(std::move(event));
