--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -24,7 +24,7 @@
 namespace fuchsiagw::testing {
 
 /// The promises that the soak checks.
-enum class soak_promise : std::uint8_t {
+enum class soak_guarantee : std::uint8_t {
     OwnAnswer, ///< a success carries the member's answer to this very statement
     OnlyAsked, ///< members run what callers sent, unchanged, under the key's workspace
     OneTransaction, ///< on its own connection, with its own values and prepared statements
@@ -40,20 +40,20 @@
     NoCrash, ///< no daemon ends by itself
 };
 
-inline constexpr std::array<std::string_view, 13> soakPromiseNames{
+inline constexpr std::array<std::string_view, 13> soakGuaranteeNames{
     "own_answer",   "only_asked",   "one_transaction", "once_only",  "true_refusal",
     "fresh",        "nothing_lost", "one_promoter",    "rate_limit", "keys_end",
     "planned_stop", "recovery",     "no_crash",
 };
 
-[[nodiscard]] constexpr std::string_view toString(soak_promise value)
+[[nodiscard]] constexpr std::string_view toString(soak_guarantee value)
 {
-    return soakPromiseNames.at(static_cast<std::size_t>(value));
+    return soakGuaranteeNames.at(static_cast<std::size_t>(value));
 }
 
 struct soak_finding
 {
-    soak_promise promise;
+    soak_guarantee promise;
     std::string text;
 };
 
@@ -61,14 +61,14 @@
 enum class caller_outcome : std::uint8_t {
     Open,
     Success,
-    NotKept, ///< the answer promises that nothing is kept
+    NotApplied, ///< the answer promises that nothing is kept
     Unknown,
 };
 
 using caller_values = std::map<std::string, std::string>;
 
 /// One statement as its caller sent it.
-struct asked_statement
+struct sent_statement
 {
     std::string text;
     std::string workspace;
@@ -88,7 +88,7 @@
 };
 
 /// One statement as a member ran it.
-struct member_run
+struct member_execution
 {
     std::string id;
     std::string text; ///< of a prepared statement: from its item on
@@ -118,7 +118,7 @@
 };
 
 /// How many operations of a workspace may run in a window.
-struct workspace_allowance
+struct workspace_rate_limit
 {
     double ratePerSecond = 0; ///< 0: unlimited
     double burst = 0;
@@ -126,10 +126,10 @@
 
 struct soak_history
 {
-    std::map<std::string, workspace_allowance> allowances; ///< by workspace
+    std::map<std::string, workspace_rate_limit> rateLimits; ///< by workspace
     std::map<std::string, std::deque<core::time_point>> startedUnits; ///< by workspace
     std::set<std::uint64_t> countedUnits;
-    std::map<std::string, asked_statement> asked; ///< by statement id
+    std::map<std::string, sent_statement> asked; ///< by statement id
     std::map<std::string, std::vector<std::pair<std::string, std::string>>>
             answers; ///< digest, row
     std::map<std::string, int> effects; ///< of writes, by statement id
@@ -143,17 +143,17 @@
     std::vector<soak_finding> findings;
 };
 
-void report(soak_history &history, soak_promise promise, std::string text);
+void report(soak_history &history, soak_guarantee promise, std::string text);
 
 /// @brief A caller is about to send a statement.
-void onAsked(soak_history &history, const std::string &id, asked_statement statement);
+void onStatementSent(soak_history &history, const std::string &id, sent_statement statement);
 
 /// @brief A member executes a statement.
 /// @complexity linear in the service's acknowledged commits of the last seconds
-void onRun(soak_history &history, const member_run &run);
+void onStatementExecuted(soak_history &history, const member_execution &run);
 
 /// @brief A transaction, or single write, is in the primary's log now.
-void onEffect(soak_history &history, const std::vector<std::string> &writes);
+void onCommitted(soak_history &history, const std::vector<std::string> &writes);
 /// @brief A promotion took it out again.
 void onRolledBack(soak_history &history, const std::vector<std::string> &writes);
 
@@ -164,7 +164,7 @@
                core::time_point now);
 /// @brief The unit of a statement will not be repeated; its caller was promised that nothing is
 /// kept.
-void onNotKept(soak_history &history, std::uint64_t unit);
+void onReportedNotApplied(soak_history &history, std::uint64_t unit);
 
 /// @brief The platform carries a promotion out.
 /// @param holds whether the promoted log has a position
