--- a/include/fuchsiagw/testing/loopback_proxy.hpp
+++ b/include/fuchsiagw/testing/loopback_proxy.hpp
@@ -14,7 +14,7 @@
 namespace fuchsiagw::testing {
 
 /// Which bytes a proxy holds back. They are sent on when the cut ends.
-struct proxy_cut
+struct blocked_directions
 {
     bool towardsTarget = false;
     bool towardsClient = false;
@@ -33,11 +33,11 @@
     [[nodiscard]] std::uint16_t port() const { return port_; }
 
     void setDelay(std::chrono::milliseconds delay) { delay_ = delay; }
-    void setCut(const proxy_cut &cut);
+    void setBlockedDirections(const blocked_directions &cut);
     /// @brief Resets every connection that is open now.
-    void resetAll();
+    void resetAllConnections();
     /// @brief Connections that are open now never pass anything on again; new ones work.
-    void silenceOpen();
+    void silenceOpenConnections();
 
 private:
     struct pair;
@@ -49,7 +49,7 @@
     boost::asio::ip::tcp::endpoint target_;
     std::uint16_t port_ = 0;
     std::chrono::milliseconds delay_{ 0 };
-    proxy_cut cut_;
+    blocked_directions cut_;
     std::set<std::shared_ptr<pair>> pairs_;
 };
 
--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -61,14 +61,14 @@
 enum class caller_outcome : std::uint8_t {
     Open,
     Success,
-    NotKept, ///< the answer promises that nothing is kept
+    NotApplied, ///< the answer promises that nothing is kept
     Unknown,
 };
 
 using caller_values = std::map<std::string, std::string>;
 
 /// One statement as its caller sent it.
-struct asked_statement
+struct sent_statement
 {
     std::string text;
     std::string workspace;
@@ -88,7 +88,7 @@
 };
 
 /// One statement as a member ran it.
-struct member_run
+struct member_execution
 {
     std::string id;
     std::string text; ///< of a prepared statement: from its item on
@@ -118,7 +118,7 @@
 };
 
 /// How many operations of a workspace may run in a window.
-struct workspace_allowance
+struct workspace_rate_limit
 {
     double ratePerSecond = 0; ///< 0: unlimited
     double burst = 0;
@@ -126,10 +126,10 @@
 
 struct soak_history
 {
-    std::map<std::string, workspace_allowance> allowances; ///< by workspace
+    std::map<std::string, workspace_rate_limit> rateLimits; ///< by workspace
     std::map<std::string, std::deque<core::time_point>> startedUnits; ///< by workspace
     std::set<std::uint64_t> countedUnits;
-    std::map<std::string, asked_statement> asked; ///< by statement id
+    std::map<std::string, sent_statement> asked; ///< by statement id
     std::map<std::string, std::vector<std::pair<std::string, std::string>>>
             answers; ///< digest, row
     std::map<std::string, int> effects; ///< of writes, by statement id
@@ -146,14 +146,14 @@
 void report(soak_history &history, soak_promise promise, std::string text);
 
 /// @brief A caller is about to send a statement.
-void onAsked(soak_history &history, const std::string &id, asked_statement statement);
+void onStatementSent(soak_history &history, const std::string &id, sent_statement statement);
 
 /// @brief A member executes a statement.
 /// @complexity linear in the service's acknowledged commits of the last seconds
-void onRun(soak_history &history, const member_run &run);
+void onStatementExecuted(soak_history &history, const member_execution &run);
 
 /// @brief A transaction, or single write, is in the primary's log now.
-void onEffect(soak_history &history, const std::vector<std::string> &writes);
+void onCommitted(soak_history &history, const std::vector<std::string> &writes);
 /// @brief A promotion took it out again.
 void onRolledBack(soak_history &history, const std::vector<std::string> &writes);
 
@@ -164,7 +164,7 @@
                core::time_point now);
 /// @brief The unit of a statement will not be repeated; its caller was promised that nothing is
 /// kept.
-void onNotKept(soak_history &history, std::uint64_t unit);
+void onReportedNotApplied(soak_history &history, std::uint64_t unit);
 
 /// @brief The platform carries a promotion out.
 /// @param holds whether the promoted log has a position
--- a/testing/loopback_proxy.cpp
+++ b/testing/loopback_proxy.cpp
@@ -165,7 +165,7 @@
 
 loopback_proxy::~loopback_proxy()
 {
-    resetAll();
+    resetAllConnections();
 }
 
 void loopback_proxy::accept()
@@ -182,19 +182,19 @@
     });
 }
 
-void loopback_proxy::setCut(const proxy_cut &cut)
+void loopback_proxy::setBlockedDirections(const blocked_directions &cut)
 {
     cut_ = cut;
 }
 
-void loopback_proxy::resetAll()
+void loopback_proxy::resetAllConnections()
 {
     const auto all = pairs_;
     for (const auto &each : all)
         each->end(true);
 }
 
-void loopback_proxy::silenceOpen()
+void loopback_proxy::silenceOpenConnections()
 {
     for (const auto &each : pairs_)
         each->silent = true;
--- a/testing/soak_history.cpp
+++ b/testing/soak_history.cpp
@@ -20,7 +20,7 @@
 constexpr double rateTolerance = 20; // operations
 
 /// The newest commit that a read must see, rolled back ones left out.
-core::log_index requiredIndex(const soak_history &history, const asked_statement &from)
+core::log_index requiredIndex(const soak_history &history, const sent_statement &from)
 {
     core::time_point before = from.unitSentAt;
     if (from.kind != consistency::Primary)
@@ -44,7 +44,7 @@
     return text;
 }
 
-void checkText(soak_history &history, const member_run &run, const asked_statement &from)
+void checkText(soak_history &history, const member_execution &run, const sent_statement &from)
 {
     if (run.text != from.text || run.shape != from.shape)
         report(history, soak_promise::OnlyAsked,
@@ -63,7 +63,7 @@
                fmt::format("{}: ran at {} with a withdrawn key", run.id, run.member));
 }
 
-void checkPlace(soak_history &history, const member_run &run, const asked_statement &from)
+void checkPlace(soak_history &history, const member_execution &run, const sent_statement &from)
 {
     // A read may run inside a transaction of the proxy's own.
     if ((run.transaction == 0) == from.inTransaction
@@ -95,10 +95,10 @@
     place.transaction = run.transaction;
 }
 
-void checkRate(soak_history &history, const member_run &run, const asked_statement &from)
+void checkRate(soak_history &history, const member_execution &run, const sent_statement &from)
 {
-    const auto allowance = history.allowances.find(from.workspace);
-    if (allowance == history.allowances.end() || allowance->second.ratePerSecond == 0
+    const auto allowance = history.rateLimits.find(from.workspace);
+    if (allowance == history.rateLimits.end() || allowance->second.ratePerSecond == 0
         || !history.countedUnits.insert(from.unit).second)
         return;
     auto &started = history.startedUnits[from.workspace];
@@ -123,14 +123,14 @@
         history.findings.push_back({ promise, std::move(text) });
 }
 
-void onAsked(soak_history &history, const std::string &id, asked_statement statement)
+void onStatementSent(soak_history &history, const std::string &id, sent_statement statement)
 {
     if (statement.writes)
         history.writesOf[statement.unit].insert(id);
     history.asked.emplace(id, std::move(statement));
 }
 
-void onRun(soak_history &history, const member_run &run)
+void onStatementExecuted(soak_history &history, const member_execution &run)
 {
     const auto found = history.asked.find(run.id);
     if (found == history.asked.end()) {
@@ -138,7 +138,7 @@
                fmt::format("{}: member {} ran '{}', nobody asked", run.id, run.member, run.text));
         return;
     }
-    const asked_statement &from = found->second;
+    const sent_statement &from = found->second;
     checkText(history, run, from);
     checkPlace(history, run, from);
     checkRate(history, run, from);
@@ -150,7 +150,7 @@
                            toString(from.kind), run.member, run.applied, required));
 }
 
-void onEffect(soak_history &history, const std::vector<std::string> &writes)
+void onCommitted(soak_history &history, const std::vector<std::string> &writes)
 {
     for (const std::string &id : writes) {
         if (++history.effects[id] > 1)
@@ -183,7 +183,7 @@
         history.acknowledged[history.asked.at(id).service].push_back({ now, *commit });
 }
 
-void onNotKept(soak_history &history, std::uint64_t unit)
+void onReportedNotApplied(soak_history &history, std::uint64_t unit)
 {
     history.refusedUnits.insert(unit);
     for (const std::string &id : history.writesOf[unit]) {
--- a/tests/unit-soak-history.cpp
+++ b/tests/unit-soak-history.cpp
@@ -22,7 +22,7 @@
     void ask(const std::string &id, std::uint64_t unit, bool writes,
              proxy::consistency kind = proxy::consistency::Primary)
     {
-        asked_statement from;
+        sent_statement from;
         from.text = "text " + id;
         from.workspace = "house";
         from.service = "books";
@@ -31,12 +31,12 @@
         from.kind = kind;
         from.maxStaleness = seconds(2);
         from.sentAt = from.unitSentAt = start + seconds(10);
-        onAsked(history, id, from);
+        onStatementSent(history, id, from);
     }
 
-    member_run runOf(const std::string &id, core::log_index applied = 0)
+    member_execution runOf(const std::string &id, core::log_index applied = 0)
     {
-        member_run run;
+        member_execution run;
         run.id = id;
         run.text = "text " + id;
         run.workspace = "house";
@@ -70,11 +70,11 @@
 TEST(soak_history, faultlessStatementsLeaveNoFinding)
 {
     world.ask("a", 1, true);
-    onRun(world.history, world.runOf("a"));
-    onEffect(world.history, { "a" });
+    onStatementExecuted(world.history, world.runOf("a"));
+    onCommitted(world.history, { "a" });
     onSuccess(world.history, "a", "digest a", {}, core::log_position{ 1, 1 }, start + seconds(11));
     world.ask("b", 2, false);
-    onRun(world.history, world.runOf("b", 1));
+    onStatementExecuted(world.history, world.runOf("b", 1));
     onSuccess(world.history, "b", "digest b", {}, std::nullopt, start + seconds(12));
     CHECK(world.history.findings.empty());
 }
@@ -82,32 +82,32 @@
 TEST(soak_history, answerOfNoMemberIsNoticed)
 {
     world.ask("a", 1, false);
-    onRun(world.history, world.runOf("a"));
+    onStatementExecuted(world.history, world.runOf("a"));
     onSuccess(world.history, "a", "digest of another", {}, std::nullopt, start);
     world.expect(soak_promise::OwnAnswer);
 }
 
 TEST(soak_history, statementThatNobodyAskedIsNoticed)
 {
-    onRun(world.history, world.runOf("a"));
+    onStatementExecuted(world.history, world.runOf("a"));
     world.expect(soak_promise::OnlyAsked);
 }
 
 TEST(soak_history, otherWorkspaceIsNoticed)
 {
     world.ask("a", 1, false);
-    member_run run = world.runOf("a");
+    member_execution run = world.runOf("a");
     run.workspace = "rival";
-    onRun(world.history, run);
+    onStatementExecuted(world.history, run);
     world.expect(soak_promise::OnlyAsked);
 }
 
 TEST(soak_history, otherSessionsValuesAreNoticed)
 {
     world.ask("a", 1, false);
-    member_run run = world.runOf("a");
+    member_execution run = world.runOf("a");
     run.values["tz"] = "3";
-    onRun(world.history, run);
+    onStatementExecuted(world.history, run);
     world.expect(soak_promise::OneTransaction);
 }
 
@@ -116,9 +116,9 @@
     for (const auto &[id, unit] : { std::pair("a", 1), std::pair("b", 2) }) {
         world.ask(id, static_cast<std::uint64_t>(unit), true);
         world.history.asked.at(id).inTransaction = true;
-        member_run run = world.runOf(id);
+        member_execution run = world.runOf(id);
         run.transaction = 7;
-        onRun(world.history, run);
+        onStatementExecuted(world.history, run);
     }
     world.expect(soak_promise::OneTransaction);
 }
@@ -127,37 +127,37 @@
 {
     world.ask("a", 1, true);
     world.history.asked.at("a").inTransaction = true;
-    onRun(world.history, world.runOf("a"));
+    onStatementExecuted(world.history, world.runOf("a"));
     world.expect(soak_promise::OneTransaction);
 }
 
 TEST(soak_history, secondEffectIsNoticed)
 {
     world.ask("a", 1, true);
-    onEffect(world.history, { "a" });
-    onEffect(world.history, { "a" });
+    onCommitted(world.history, { "a" });
+    onCommitted(world.history, { "a" });
     world.expect(soak_promise::OnceOnly);
 }
 
 TEST(soak_history, effectThatWasRolledBackDoesNotCount)
 {
     world.ask("a", 1, true);
-    onEffect(world.history, { "a" });
+    onCommitted(world.history, { "a" });
     onRolledBack(world.history, { "a" });
-    onNotKept(world.history, 1);
+    onReportedNotApplied(world.history, 1);
     CHECK(world.history.findings.empty());
 }
 
 TEST(soak_history, untrueRefusalIsNoticedInEitherOrder)
 {
     world.ask("a", 1, true);
-    onEffect(world.history, { "a" });
-    onNotKept(world.history, 1);
+    onCommitted(world.history, { "a" });
+    onReportedNotApplied(world.history, 1);
     world.expect(soak_promise::TrueRefusal);
     world.history.findings.clear();
     world.ask("b", 2, true);
-    onNotKept(world.history, 2);
-    onEffect(world.history, { "b" });
+    onReportedNotApplied(world.history, 2);
+    onCommitted(world.history, { "b" });
     world.expect(soak_promise::TrueRefusal);
 }
 
@@ -165,15 +165,15 @@
 {
     world.acknowledge(3, start + seconds(9));
     world.ask("bounded", 1, false, proxy::consistency::BoundedStaleness);
-    onRun(world.history, world.runOf("bounded", 2));
+    onStatementExecuted(world.history, world.runOf("bounded", 2));
     CHECK(world.history.findings.empty());
     world.ask("current", 2, false);
-    onRun(world.history, world.runOf("current", 2));
+    onStatementExecuted(world.history, world.runOf("current", 2));
     world.expect(soak_promise::Fresh);
     world.history.findings.clear();
     world.acknowledge(4, start + seconds(7));
     world.ask("late", 3, false, proxy::consistency::BoundedStaleness);
-    onRun(world.history, world.runOf("late", 3));
+    onStatementExecuted(world.history, world.runOf("late", 3));
     world.expect(soak_promise::Fresh);
 }
 
@@ -181,7 +181,7 @@
 {
     world.ask("own", 1, false, proxy::consistency::ReadYourWrites);
     world.history.asked.at("own").ownCommit = 5;
-    onRun(world.history, world.runOf("own", 4));
+    onStatementExecuted(world.history, world.runOf("own", 4));
     world.expect(soak_promise::Fresh);
 }
 
@@ -205,17 +205,17 @@
 {
     world.ask("a", 1, false);
     world.history.asked.at("a").keyEndsAt = start + seconds(9);
-    onRun(world.history, world.runOf("a"));
+    onStatementExecuted(world.history, world.runOf("a"));
     world.expect(soak_promise::KeysEnd);
 }
 
 TEST(soak_history, exceededRateIsNoticed)
 {
-    world.history.allowances["house"] = { 2, 5 };
+    world.history.rateLimits["house"] = { 2, 5 };
     for (std::uint64_t i = 0; i < 60 && world.history.findings.empty(); ++i) {
         const std::string id = "s" + std::to_string(i);
         world.ask(id, i, false);
-        onRun(world.history, world.runOf(id));
+        onStatementExecuted(world.history, world.runOf(id));
     }
     // (2 x 5 + 5) x 1.1 + 20 operations are allowed in a window.
     CHECK_EQUAL(37U, world.history.asked.size());
