--- a/include/fuchsiagw/testing/fault_server.hpp
+++ b/include/fuchsiagw/testing/fault_server.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief An HTTP server that tests can make misbehave per connection.
+/// @brief HTTP server for fault injection per connection.
 ///
-/// The product's server answers each request once and keeps its connections in order. A stand-in
-/// must also leave requests unanswered for ever, give the answer of one connection to another, and
-/// go away and come back on the same port.
+/// The proxy's own HTTP server answers each request exactly once, on its connection. A stand-in
+/// must also be able to leave a request unanswered, to send an answer on the wrong connection, and
+/// to close its port and open it again.
 
 #pragma once
 
@@ -20,16 +20,16 @@
 
 namespace fuchsiagw::testing {
 
-/// Lives on one context's thread. A connection has at most one request in progress; the next one
-/// is read after answer().
+/// Used on the thread of one context only. A connection has at most one request in progress; the
+/// next one is read after answer().
 class fault_server
 {
 public:
     using request_handler = std::function<void(net::http_request &&, connection_number)>;
     using closed_handler = std::function<void(connection_number)>;
 
-    /// The server is for tests on this machine and listens on the loopback address only.
-    /// @param port 0: the kernel chooses, and start() keeps this port from then on
+    /// The server listens on the loopback address only.
+    /// @param port 0: chosen by the kernel at the first start() and kept afterwards
     /// @param onClosed called once for each connection, whichever side closed it
     fault_server(boost::asio::io_context &context, std::uint16_t port, request_handler onRequest,
                  closed_handler onClosed);
@@ -37,8 +37,8 @@
     fault_server(const fault_server &) = delete;
     fault_server &operator=(const fault_server &) = delete;
 
-    /// @brief Binds and accepts.
-    /// @return the system's error if the address can't be bound
+    /// @brief Binds the port and accepts connections.
+    /// @return the system error if the address can't be bound
     [[nodiscard]] std::error_code start();
 
     /// @brief Closes all connections and refuses new ones until start().
--- a/include/fuchsiagw/testing/fault_state.hpp
+++ b/include/fuchsiagw/testing/fault_state.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One fault of a stand-in: whether it is on, and its value.
+/// @brief State of a fault of a stand-in.
 
 #pragma once
 
@@ -14,17 +14,18 @@
 struct fault_state
 {
     bool on = false;
-    std::optional<std::uint64_t> value; ///< milliseconds or a number of answers, see the kind
+    std::optional<std::uint64_t>
+            value; ///< milliseconds or number of answers, depending on the fault
 };
 
-/// @return the value of a fault that delays; zero if it is off
+/// @return the delay that the fault adds; zero if it is off
 [[nodiscard]] inline core::duration delayOf(const fault_state &fault)
 {
     return fault.on ? std::chrono::milliseconds(fault.value.value_or(0)) : core::duration::zero();
 }
 
-/// @brief Counts one answer against the fault's value and switches the fault off after the last.
-/// @return whether the fault concerns this answer
+/// @brief Counts down the affected answers and switches the fault off after the last one.
+/// @return whether the fault affects this answer
 [[nodiscard]] inline bool consume(fault_state &fault)
 {
     if (!fault.on || !fault.value.has_value())
--- a/include/fuchsiagw/testing/group_standin.hpp
+++ b/include/fuchsiagw/testing/group_standin.hpp
@@ -24,8 +24,8 @@
 
 namespace fuchsiagw::testing {
 
-/// Lives on one context's thread and must outlive the context's last run. It begins in term 1 with
-/// the first member as primary.
+/// Used on the thread of one context only; must outlive the context's last run. The group starts in
+/// term 1 with the first member as primary.
 class group_standin
 {
 public:
@@ -33,7 +33,7 @@
     group_standin(const group_standin &) = delete;
     group_standin &operator=(const group_standin &) = delete;
 
-    /// @brief Binds all ports.
+    /// @brief Binds the ports of all members and the fault port.
     [[nodiscard]] std::error_code start();
 
     [[nodiscard]] net::endpoint faultAddress() const { return faultServer_.address(); }
@@ -42,13 +42,13 @@
     /// @return InvalidValue for an unknown member or a missing value
     [[nodiscard]] std::error_code setFault(const member_fault_request &request);
 
-    /// @return the statements after number @p after that are still kept
+    /// @return the retained statements with a number above @p after
     [[nodiscard]] statement_history history(std::uint64_t after) const;
 
     [[nodiscard]] const group_counters &counters() const { return counters_; }
 
 private:
-    /// Replication to one member.
+    /// State of the replication to one member.
     struct replication
     {
         explicit replication(boost::asio::io_context &context)
@@ -56,14 +56,14 @@
         { }
 
         boost::asio::steady_timer timer;
-        core::duration lag{ 0 }; ///< drawn again after each copy
+        core::duration lag{ 0 }; ///< drawn at random again after each copy
     };
 
     member_hooks makeHooks();
     void replicateAll();
     void replicate(std::size_t index);
-    void drawLag(std::size_t index);
-    [[nodiscard]] const standin_member *sourceOf(const standin_member &replica) const;
+    void drawReplicationLag(std::size_t index);
+    [[nodiscard]] const standin_member *replicationSourceOf(const standin_member &replica) const;
     [[nodiscard]] net::http_response respond(const net::http_request &request);
 
     boost::asio::io_context &context_;
--- a/include/fuchsiagw/testing/loopback_proxy.hpp
+++ b/include/fuchsiagw/testing/loopback_proxy.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Forwards TCP connections on this machine and harms them on demand.
+/// @brief TCP proxy on loopback that injects delays, partitions and resets.
 
 #pragma once
 
@@ -13,15 +13,16 @@
 
 namespace fuchsiagw::testing {
 
-/// Which bytes a proxy holds back. They are sent on when the cut ends.
+/// Directions in which the proxy holds bytes back. It forwards them when the direction is
+/// unblocked.
 struct blocked_directions
 {
     bool towardsTarget = false;
     bool towardsClient = false;
 };
 
-/// Lives on one context's thread.
-/// Invariant: bytes of one direction are passed on in order, or not at all.
+/// Used on the thread of one context only.
+/// Invariant: the bytes of a direction are forwarded in order and without gaps.
 class loopback_proxy
 {
 public:
@@ -32,15 +33,16 @@
 
     [[nodiscard]] std::uint16_t port() const { return port_; }
 
+    /// @brief Sets the delay of each chunk of bytes, in both directions.
     void setDelay(std::chrono::milliseconds delay) { delay_ = delay; }
-    void setBlockedDirections(const blocked_directions &cut);
-    /// @brief Resets every connection that is open now.
+    void setBlockedDirections(const blocked_directions &blocked);
+    /// @brief Resets every open connection.
     void resetAllConnections();
-    /// @brief Connections that are open now never pass anything on again; new ones work.
+    /// @brief Stops forwarding on the open connections for good; new connections work.
     void silenceOpenConnections();
 
 private:
-    struct pair;
+    struct connection_pair;
 
     void accept();
 
@@ -49,8 +51,8 @@
     boost::asio::ip::tcp::endpoint target_;
     std::uint16_t port_ = 0;
     std::chrono::milliseconds delay_{ 0 };
-    blocked_directions cut_;
-    std::set<std::shared_ptr<pair>> pairs_;
+    blocked_directions blocked_;
+    std::set<std::shared_ptr<connection_pair>> connectionPairs_;
 };
 
 } // namespace fuchsiagw::testing
--- a/include/fuchsiagw/testing/platform_model.hpp
+++ b/include/fuchsiagw/testing/platform_model.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Behaviour of the platform (section 13 of the design), without I/O.
+/// @brief Model of the platform, without I/O, as section 13 of the design specifies.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace fuchsiagw::testing {
 
-/// A change of the instance list that readers do not see yet.
+/// A change of the instance list that is not visible to readers yet.
 struct instance_change
 {
     core::time_point visibleAt;
@@ -24,15 +24,15 @@
     std::optional<core::instance_entry> entry; ///< empty: the instance is removed
 };
 
-/// Invariant: `pending` is ordered by `visibleAt`, so that the list never shows an older state
+/// Invariant: `pending` is ordered by `visibleAt`, so readers never see an older state of the list
 /// after a newer one.
 struct platform_model
 {
     std::map<std::string, core::table_row> rows;
     std::map<std::string, core::transact_answer> answers; ///< by transaction id
-    std::deque<std::pair<core::time_point, std::string>> answerOrder; ///< oldest first
+    std::deque<std::pair<core::time_point, std::string>> answersByAge; ///< oldest first
     std::map<std::string, std::string> objects;
-    std::map<core::instance_id, core::instance_entry> instances; ///< what readers see
+    std::map<core::instance_id, core::instance_entry> instances; ///< visible to readers
     std::deque<instance_change> pending;
 };
 
@@ -43,12 +43,13 @@
 /// @complexity logarithmic in the number of rows and linear in those found
 [[nodiscard]] core::scan_answer scan(const platform_model &model, std::string_view prefix);
 
-/// @brief Applies a transaction, or repeats the first answer to its id.
-/// @return nothing if the request is not valid: an empty id, a key that is no platform name, or a
-/// key that is put or deleted twice; nothing is remembered then
+/// @brief Applies a transaction; a repeated transaction id gets the first answer.
+/// @return the answer; nothing if the request is invalid (an empty id, a key that is not a platform
+/// name, or a key that is put or deleted twice), and then its id may be used again
 [[nodiscard]] std::optional<core::transact_answer>
 transact(platform_model &model, const core::transact_request &request, core::time_point now);
 
+/// @brief Stores an object unless it exists.
 /// @return false if the object exists with different content
 [[nodiscard]] bool putObject(platform_model &model, const std::string &name,
                              const std::string &content);
@@ -58,7 +59,7 @@
                  std::optional<core::instance_entry> entry, core::time_point now,
                  core::duration lag);
 
-/// @return the newest entry of an instance, whether or not readers see it yet
+/// @return the newest entry of an instance, whether or not it is visible to readers yet
 [[nodiscard]] std::optional<core::instance_entry> newestEntry(const platform_model &model,
                                                               const core::instance_id &instance);
 
--- a/include/fuchsiagw/testing/platform_standin.hpp
+++ b/include/fuchsiagw/testing/platform_standin.hpp
@@ -2,9 +2,9 @@
 /// @brief Stand-in for the platform: table service, object store and instance list on one port, and
 /// a fault port.
 ///
-/// Both ports answer `PUT /instances/{instance}` and `DELETE /instances/{instance}`, with which
-/// tests register instances, and `GET /counters`. The fault port also answers `POST /fault`; the
-/// bodies are in standin_json.hpp.
+/// Both ports answer `GET /counters`, and `PUT /instances/{instance}` and `DELETE
+/// /instances/{instance}` for the registration of instances by tests. The fault port also answers
+/// `POST /fault`; the bodies are in standin_json.hpp.
 
 #pragma once
 
@@ -23,12 +23,12 @@
 
 namespace fuchsiagw::testing {
 
-/// Lives on one context's thread and must outlive the context's last run.
+/// Used on the thread of one context only; must outlive the context's last run.
 class platform_standin
 {
 public:
-    /// @param port port of the platform; 0: the kernel chooses
-    /// @param faultPort port for faults; 0: the kernel chooses
+    /// @param port port of the platform; 0: chosen by the kernel
+    /// @param faultPort port for faults; 0: chosen by the kernel
     platform_standin(boost::asio::io_context &context, std::uint16_t port, std::uint16_t faultPort);
     platform_standin(const platform_standin &) = delete;
     platform_standin &operator=(const platform_standin &) = delete;
@@ -39,10 +39,10 @@
     [[nodiscard]] net::endpoint address() const { return server_.address(); }
     [[nodiscard]] net::endpoint faultAddress() const { return faultServer_.address(); }
 
-    /// @return InvalidValue for an unknown instance or a missing value
+    /// @return InvalidValue for an unknown or missing instance or a missing value
     [[nodiscard]] std::error_code setFault(const platform_fault_request &request);
 
-    /// @brief Registers or changes an instance; readers see it after the list's lag.
+    /// @brief Registers or changes an instance; the fault ListLag delays when readers see it.
     void setInstance(const core::instance_entry &entry);
 
     [[nodiscard]] const platform_counters &counters() const { return counters_; }
@@ -59,7 +59,7 @@
     [[nodiscard]] net::http_response respondTransact(const net::http_request &request);
     [[nodiscard]] net::http_response respondObject(const net::http_request &request);
     [[nodiscard]] net::http_response respondInstances(const net::http_request &request);
-    void after(core::duration delay, std::function<void()> action);
+    void runAfter(core::duration delay, std::function<void()> action);
     [[nodiscard]] fault_state &fault(platform_fault kind)
     {
         return faults_.at(static_cast<std::size_t>(kind));
--- a/include/fuchsiagw/testing/process_harness.hpp
+++ b/include/fuchsiagw/testing/process_harness.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Starts real daemons and stand-ins on loopback and speaks with them.
+/// @brief Starts daemons and stand-ins as processes on loopback and sends requests to them.
 
 #pragma once
 
@@ -15,12 +15,13 @@
 
 namespace fuchsiagw::testing {
 
-/// A process that the harness has started. It is killed when this object ends.
+/// A process that the harness started; killed when this object is destroyed.
 class child_process
 {
 public:
     child_process() = default;
-    /// @param log file for its standard output and error
+    /// @param command program and arguments
+    /// @param log file to which standard output and error are appended
     child_process(const std::vector<std::string> &command, const std::string &log);
     ~child_process();
     child_process(child_process &&other) noexcept;
@@ -28,11 +29,11 @@
 
     void signal(int number) const;
 
-    /// @brief Waits for its end.
-    /// @return the exit code; -1 if it was killed or does not end before the limit
-    int wait(std::chrono::milliseconds limit);
+    /// @brief Waits for the process to end.
+    /// @return the exit code; -1 if a signal ended the process or it still runs after the timeout
+    int wait(std::chrono::milliseconds timeout);
 
-    /// @return false once it has ended by itself; its end is then taken note of
+    /// @return false if the process has ended; it is then reaped
     [[nodiscard]] bool isRunning();
 
     [[nodiscard]] pid_t pid() const { return pid_; }
@@ -41,7 +42,7 @@
     pid_t pid_ = -1;
 };
 
-/// What a deployment consists of.
+/// Size and settings of a deployment.
 struct deployment_plan
 {
     std::vector<std::string> zones;
@@ -49,12 +50,12 @@
     std::uint32_t groups = 3;
     std::uint32_t connections = 16; ///< per group
     std::uint32_t slots = 2;
-    double lagMs = 20;
-    double connectMs = 12;
-    double rate = 2000; ///< of the workspace
+    double replicationLagMs = 20;
+    double connectDelayMs = 12;
+    double rate = 2000; ///< rate limit and burst of the workspace, in operations per second
 };
 
-/// One caller's view of an answer.
+/// An answer as its caller sees it.
 struct call_result
 {
     int status = 0; ///< 0: no answer
@@ -67,7 +68,8 @@
     bool fromReplica = false;
 };
 
-/// One workspace, its groups g1, g2 ..., each with members <group>-1 to <group>-3.
+/// Daemons, a platform and one workspace with groups g1, g2 ...; each group has the members
+/// <group>-1 to <group>-3.
 class deployment
 {
 public:
@@ -78,39 +80,43 @@
 
     void startDaemon(std::size_t index);
 
-    /// @brief Sends a request as a caller.
+    /// @brief Sends a caller's request with the workspace's key.
     call_result call(std::size_t daemon, const std::string &path, const std::string &body,
                      const std::string &session = {}) const;
     call_result write(std::size_t daemon, const std::string &group, const std::string &statement,
                       const std::string &value, const std::string &session = {}) const;
     call_result read(std::size_t daemon, const std::string &group, const std::string &statement,
-                     bool mayLag, const std::string &session = {}) const;
+                     bool allowStale, const std::string &session = {}) const;
 
-    /// @brief Sets a fault at a group's members or at the platform.
+    /// @brief Sets a fault at a group's member or at the platform.
+    /// @param body JSON body of `POST /fault`
+    /// @throw std::runtime_error if the stand-in refuses the fault
     void fault(const std::string &group, const std::string &body) const;
     void platformFault(const std::string &body) const;
 
-    /// @return the primary's name as the members say, the one of the highest term
+    /// @return the member that reports itself as primary in the highest term; empty: none
     [[nodiscard]] std::string primaryOf(const std::string &group) const;
 
-    /// @return everything that the members of a group have received, as JSON text
+    /// @return the statements that the members of a group received, as JSON text
     [[nodiscard]] std::string historyOf(const std::string &group) const;
 
-    /// @brief Waits until a condition holds; polls every 20 ms.
+    /// @brief Polls a condition every 20 ms.
+    /// @return false if the condition does not hold before the timeout
     [[nodiscard]] static bool waitFor(const std::function<bool()> &condition,
-                                      std::chrono::milliseconds limit);
+                                      std::chrono::milliseconds timeout);
 
     std::vector<child_process> daemons;
     std::string key;
 
 private:
-    net::http_response ask(std::uint16_t port, const net::http_request &request,
-                           std::chrono::milliseconds limit = std::chrono::seconds(8)) const;
+    net::http_response
+    sendHttpRequest(std::uint16_t port, const net::http_request &request,
+                    std::chrono::milliseconds timeout = std::chrono::seconds(8)) const;
     void startPlatform();
     void startGroup(std::uint32_t number);
     void seedConfiguration();
     void registerDaemon(std::size_t index);
-    [[nodiscard]] std::uint16_t nextPort();
+    [[nodiscard]] std::uint16_t findFreePort();
 
     struct group_ports
     {
--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// @brief What callers asked and were told and what members ran, checked while it is recorded.
+/// @brief Records the events of the fault soak and checks the proxy's guarantees on them.
 ///
-/// Callers and members of the soak report to one history. A promise that was broken becomes a
-/// finding at the moment at which it can be seen.
+/// Callers report the statements that they send and the answers that they get; members report the
+/// statements that they execute. Each report is checked against the earlier ones, and a violated
+/// guarantee becomes a finding.
 
 #pragma once
 
@@ -23,21 +24,23 @@
 
 namespace fuchsiagw::testing {
 
-/// The promises that the soak checks.
+/// The guarantees that the soak checks.
 enum class soak_promise : std::uint8_t {
-    OwnAnswer, ///< a success carries the member's answer to this very statement
-    OnlyAsked, ///< members run what callers sent, unchanged, under the key's workspace
-    OneTransaction, ///< on its own connection, with its own values and prepared statements
-    OnceOnly, ///< no write takes effect twice
-    TrueRefusal, ///< what was refused as not run left nothing behind
-    Fresh, ///< reads see what their route promises
-    NothingLost, ///< a promoted member has every acknowledged commit
-    OnePromoter, ///< fencing tokens are not used by two daemons
-    RateLimit, ///< no workspace runs more than its rate and burst
-    KeysEnd, ///< a withdrawn key stops working in time
-    PlannedStop, ///< a planned stop cuts no statement
-    Recovery, ///< everything is served again after the faults
-    NoCrash, ///< no daemon ends by itself
+    OwnAnswer, ///< a successful answer is the member's answer to the same statement
+    OnlyAsked, ///< members execute only statements that a caller sent, unchanged, in the key's
+               ///< workspace
+    OneTransaction, ///< a transaction has its own connection, session values and prepared
+                    ///< statements
+    OnceOnly, ///< no write is committed twice
+    TrueRefusal, ///< a statement that was reported as not applied has no effect
+    Fresh, ///< reads are as fresh as the consistency level of their route demands
+    NothingLost, ///< a promoted member's log contains every acknowledged commit
+    OnePromoter, ///< no two daemons promote with the same fencing token
+    RateLimit, ///< no workspace exceeds its rate and burst
+    KeysEnd, ///< a withdrawn key is refused within the promised time
+    PlannedStop, ///< a planned stop interrupts no statement
+    Recovery, ///< all requests succeed again after the faults end
+    NoCrash, ///< no daemon process ends unless the soak ends it
 };
 
 inline constexpr std::array<std::string_view, 13> soakPromiseNames{
@@ -57,58 +60,58 @@
     std::string text;
 };
 
-/// What a caller may conclude from an answer, or from none.
+/// What a caller may conclude from the answer to a statement, or from its absence.
 enum class caller_outcome : std::uint8_t {
     Open,
     Success,
-    NotApplied, ///< the answer promises that nothing is kept
+    NotApplied, ///< the answer says that no write of the unit is applied
     Unknown,
 };
 
 using caller_values = std::map<std::string, std::string>;
 
-/// One statement as its caller sent it.
+/// A statement as its caller sent it.
 struct sent_statement
 {
     std::string text;
     std::string workspace;
     std::string service;
     std::uint64_t session = 0;
-    std::uint64_t unit = 0; ///< single statement or transaction
+    std::uint64_t unit = 0; ///< number of the transaction or single statement that it belongs to
     bool inTransaction = false;
     bool writes = false;
-    std::string shape; ///< of a prepared statement: access and shape
+    std::string shape; ///< access and shape of a prepared statement; empty: not prepared
     caller_values values;
     proxy::consistency kind = proxy::consistency::Primary;
     core::duration maxStaleness{ 0 };
     core::time_point sentAt{};
     core::time_point unitSentAt{}; ///< when the first statement of the unit was sent
     core::log_index ownCommit = 0; ///< newest acknowledged commit of the session
-    core::time_point keyEndsAt = core::noDeadline; ///< the key must not work later
+    core::time_point keyEndsAt = core::noDeadline; ///< statements sent later must be refused
 };
 
-/// One statement as a member ran it.
+/// A statement as a member executed it.
 struct member_execution
 {
     std::string id;
-    std::string text; ///< of a prepared statement: from its item on
+    std::string text; ///< for a prepared statement, only the part from its item on
     std::string shape;
     std::string workspace;
     std::string service;
     std::string member;
-    std::uint64_t transaction = 0; ///< number that the member gave it; 0: none
+    std::uint64_t transaction = 0; ///< the member's number of the transaction; 0: none
     caller_values values;
-    core::log_index applied = 0; ///< newest entry that the member's data holds
-    std::string digest; ///< of the answer
+    core::log_index applied = 0; ///< newest log entry that the member has applied
+    std::string digest; ///< of the member's answer
     std::string row;
     core::time_point now{};
 };
 
-/// Where the statements of a caller's transaction ran.
-struct transaction_place
+/// The member's transaction in which a caller's transaction runs.
+struct transaction_location
 {
     std::uint64_t transaction = 0;
-    std::string first; ///< statement; it alone may be tried again elsewhere
+    std::string firstStatement; ///< only this statement may be retried in another transaction
 };
 
 struct acknowledged_commit
@@ -117,7 +120,7 @@
     core::log_position position;
 };
 
-/// How many operations of a workspace may run in a window.
+/// Rate limit of a workspace, in operations.
 struct workspace_rate_limit
 {
     double ratePerSecond = 0; ///< 0: unlimited
@@ -127,48 +130,50 @@
 struct soak_history
 {
     std::map<std::string, workspace_rate_limit> rateLimits; ///< by workspace
-    std::map<std::string, std::deque<core::time_point>> startedUnits; ///< by workspace
-    std::set<std::uint64_t> countedUnits;
+    std::map<std::string, std::deque<core::time_point>> unitStarts; ///< by workspace
+    std::set<std::uint64_t> rateCountedUnits;
     std::map<std::string, sent_statement> asked; ///< by statement id
     std::map<std::string, std::vector<std::pair<std::string, std::string>>>
-            answers; ///< digest, row
-    std::map<std::string, int> effects; ///< of writes, by statement id
-    std::set<std::uint64_t> refusedUnits;
-    std::map<std::uint64_t, std::set<std::string>> writesOf; ///< by unit
-    std::map<std::uint64_t, std::uint64_t> unitOf; ///< by the members' number of the transaction
-    std::map<std::uint64_t, transaction_place> placeOf; ///< by unit
+            answers; ///< digest and row of each execution, by statement id
+    std::map<std::string, int> effects; ///< number of commits of each write, by statement id
+    std::set<std::uint64_t> notAppliedUnits;
+    std::map<std::uint64_t, std::set<std::string>> writesByUnit; ///< statement ids
+    std::map<std::uint64_t, std::uint64_t> unitByTransaction; ///< key: the member's number
+    std::map<std::uint64_t, transaction_location> locationByUnit;
     std::map<std::string, std::vector<acknowledged_commit>> acknowledged; ///< by service
-    std::map<std::pair<std::string, std::uint64_t>, std::string> holders; ///< of tokens
-    std::map<std::string, std::uint64_t> outcomes; ///< how often each was seen, for the report
+    std::map<std::pair<std::string, std::uint64_t>, std::string>
+            tokenHolders; ///< by service and fencing token
+    std::map<std::string, std::uint64_t> outcomes; ///< number of each, for the report
     std::vector<soak_finding> findings;
 };
 
+/// @brief Adds a finding, unless the limit on findings is reached.
 void report(soak_history &history, soak_promise promise, std::string text);
 
-/// @brief A caller is about to send a statement.
+/// @brief Records a statement that a caller is about to send.
 void onStatementSent(soak_history &history, const std::string &id, sent_statement statement);
 
-/// @brief A member executes a statement.
-/// @complexity linear in the service's acknowledged commits of the last seconds
-void onStatementExecuted(soak_history &history, const member_execution &run);
+/// @brief Checks a statement that a member executed.
+/// @complexity linear in the service's acknowledged commits
+void onStatementExecuted(soak_history &history, const member_execution &execution);
 
-/// @brief A transaction, or single write, is in the primary's log now.
+/// @brief Records that the primary's log contains the writes of a transaction or a single write.
 void onCommitted(soak_history &history, const std::vector<std::string> &writes);
-/// @brief A promotion took it out again.
+/// @brief Records that a promotion truncated these writes.
 void onRolledBack(soak_history &history, const std::vector<std::string> &writes);
 
-/// @brief A caller got an answer that ends a statement.
-/// @param digest of a success by a member; "-": the proxy answered itself
+/// @brief Records a successful answer to a statement.
+/// @param digest digest of the member's answer; "-": the proxy answered by itself
 void onSuccess(soak_history &history, const std::string &id, const std::string &digest,
                const std::string &row, std::optional<core::log_position> commit,
                core::time_point now);
-/// @brief The unit of a statement will not be repeated; its caller was promised that nothing is
-/// kept.
+/// @brief Records that a unit is not applied: its caller was told so and does not retry it.
 void onReportedNotApplied(soak_history &history, std::uint64_t unit);
 
-/// @brief The platform carries a promotion out.
-/// @param holds whether the promoted log has a position
+/// @brief Records a promotion that the platform carries out.
+/// @param containsPosition tells whether the promoted member's log contains a position
 void onPromoted(soak_history &history, const std::string &service, const std::string &holder,
-                std::uint64_t token, const std::function<bool(core::log_position)> &holds);
+                std::uint64_t token,
+                const std::function<bool(core::log_position)> &containsPosition);
 
 } // namespace fuchsiagw::testing
--- a/include/fuchsiagw/testing/standin_json.hpp
+++ b/include/fuchsiagw/testing/standin_json.hpp
@@ -18,19 +18,19 @@
 
 namespace fuchsiagw::testing {
 
-/// What may be wrong with a member. `value` is in milliseconds for Slow, Lag and Late; for Cross
-/// and LoseAnswer it is the number of answers concerned, and a missing value means all.
+/// Faults of a member. `value` is in milliseconds for Slow, Lag and Late; for Cross and LoseAnswer
+/// it is the number of affected answers, and a missing value means all.
 enum class member_fault : std::uint8_t {
-    Stop, ///< closes its connections and refuses new ones; its log survives
-    Isolate, ///< no replication to or from it; callers still reach it
-    IsolateCallers, ///< requests and answers are delivered only after the fault is over
-    Silent, ///< connections open now are silent for good; new ones work
-    Slow, ///< each statement takes longer
+    Stop, ///< closes all connections and refuses new ones; the log survives
+    Isolate, ///< no replication to or from the member; callers still reach it
+    IsolateCallers, ///< requests and answers are delivered only after the fault ends
+    Silent, ///< open connections never answer again; new ones work
+    Slow, ///< adds to the execution time of each statement
     Lag, ///< replaces the replication lag
     Cross, ///< swaps the answers of two connections
-    Late, ///< answers are sent later
-    LoseAnswer, ///< statements run and are never answered; the connection stays open
-    Leaving, ///< says so in its status
+    Late, ///< delays answers after the execution
+    LoseAnswer, ///< statements are executed but never answered; connections stay open
+    Leaving, ///< the member reports in its status that it is leaving
 };
 
 inline constexpr std::array<std::string_view, 10> memberFaultNames{
@@ -47,14 +47,14 @@
     std::optional<std::uint64_t> value;
 };
 
-/// What may be wrong with the platform. `value` is in milliseconds for Slow and ListLag; for
-/// LoseAnswer it is the number of answers concerned, and a missing value means all.
+/// Faults of the platform. `value` is in milliseconds for Slow and ListLag; for LoseAnswer it is
+/// the number of affected answers, and a missing value means all.
 enum class platform_fault : std::uint8_t {
     Down, ///< refuses connections
-    Slow, ///< half of the delay passes before a request takes effect, half after
-    LoseAnswer, ///< writes are applied and never answered
-    ListLag, ///< changes of the instance list show later
-    Leaving, ///< sets the state of one instance
+    Slow, ///< half of the delay precedes the effect of a request, half follows it
+    LoseAnswer, ///< writes are applied but never answered
+    ListLag, ///< delays changes of the instance list
+    Leaving, ///< sets or clears the leaving state of one instance
 };
 
 inline constexpr std::array<std::string_view, 5> platformFaultNames{ "down", "slow", "lose_answer",
@@ -69,30 +69,31 @@
     std::optional<core::instance_id> instance; ///< for Leaving only
 };
 
-/// One statement that a member ran, or answered with the first answer to its key, or refused.
+/// A statement that a member executed, refused, or answered with the stored answer to its
+/// idempotency key.
 struct executed_statement
 {
-    std::uint64_t number = 0; ///< 1 for the first, without gaps
+    std::uint64_t number = 0; ///< consecutive, from 1
     core::member_id member;
     connection_number connection = 0;
     core::request_id id;
     core::workspace_id workspace;
-    core::term_number term = 0; ///< as sent
+    core::term_number term = 0; ///< term that the caller sent
     core::statement_kind kind = core::statement_kind::Read;
     std::string statement;
     std::vector<std::string> parameters;
     std::string idempotencyKey;
     core::execute_status status = core::execute_status::Ok;
-    bool hasRun = false; ///< false for a refusal and for a repeat
-    core::log_position position; ///< as answered
-    core::log_position applied; ///< as answered
-    std::vector<std::vector<std::string>> headers; ///< name and value of each, as received
+    bool hasRun = false; ///< false for a refusal and for a repeated idempotency key
+    core::log_position position; ///< position in the answer
+    core::log_position applied; ///< applied position in the answer
+    std::vector<std::vector<std::string>> headers; ///< name and value of each
 };
 
 /// Answer to `GET /history?after=N`.
 struct statement_history
 {
-    std::vector<executed_statement> statements; ///< with numbers above N that are still kept
+    std::vector<executed_statement> statements; ///< retained statements with numbers above N
     std::uint64_t newest = 0; ///< number of the newest statement
 };
 
@@ -113,18 +114,18 @@
 /// Answer to `GET /counters` of the upstream stand-in.
 struct group_counters
 {
-    std::uint64_t received = 0; ///< statements, also those that wait or are refused
-    std::uint64_t executed = 0; ///< statements that ran
-    std::uint64_t connections = 0; ///< data connections open now
+    std::uint64_t received = 0; ///< statements, including queued and refused ones
+    std::uint64_t executed = 0; ///< statements that were executed
+    std::uint64_t connections = 0; ///< open data connections
     std::uint64_t peakConnections = 0;
-    std::uint64_t refusedConnections = 0; ///< statements refused for want of a connection
+    std::uint64_t refusedConnections = 0; ///< statements refused because of the connection limit
 };
 
 /// Answer to `GET /counters` of the platform stand-in.
 struct platform_counters
 {
-    std::uint64_t reads = 0; ///< of rows, scans, objects and the list
-    std::uint64_t writes = 0; ///< transactions and objects, also if they had no effect
+    std::uint64_t reads = 0; ///< of rows, scans, objects and the instance list
+    std::uint64_t writes = 0; ///< of transactions and objects, including those without effect
 };
 
 [[nodiscard]] std::string toJson(const member_fault_request &request);
@@ -144,7 +145,7 @@
 /// @return a response with a JSON body
 [[nodiscard]] net::http_response jsonResponse(int status, std::string body);
 
-/// @return the response to a request that @p error refuses, with the error's name as its problem
+/// @return the response to a request that failed with @p error; `problem` is the error's name
 [[nodiscard]] net::http_response errorResponse(const std::error_code &error);
 
 } // namespace fuchsiagw::testing
--- a/include/fuchsiagw/testing/standin_member.hpp
+++ b/include/fuchsiagw/testing/standin_member.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One member of the stand-in for a database group: its port, slots, queue and faults.
+/// @brief One member of the stand-in for a database group: port, execution slots, queue and faults.
 
 #pragma once
 
@@ -25,17 +25,18 @@
 
 namespace fuchsiagw::testing {
 
-/// What a member needs from its group. The calls come on the context's thread.
+/// Callbacks from a member to its group. They are called on the context's thread.
 struct member_hooks
 {
     std::function<void()> statementReceived;
-    std::function<bool()> takeConnection; ///< false: the group has no connection left
+    std::function<bool()> acquireConnection; ///< false: the group's connection limit is reached
     std::function<void()> releaseConnection;
-    std::function<void(executed_statement &&)> record; ///< its number is not set yet
-    std::function<void()> logChanged; ///< or role, or term, or what it follows
+    std::function<void(executed_statement &&)>
+            record; ///< adds to the history; the group sets the number
+    std::function<void()> logChanged; ///< log, role, term or followed primary changed
 };
 
-/// Lives on one context's thread and must outlive the context's last run.
+/// Used on the thread of one context only; must outlive the context's last run.
 class standin_member
 {
 public:
@@ -46,18 +47,19 @@
     [[nodiscard]] net::endpoint address() const { return server_.address(); }
 
     /// @brief Switches a fault on or off.
-    /// @return InvalidValue if the kind needs a value and has none
+    /// @return InvalidValue if the fault needs a value and none is given
     [[nodiscard]] std::error_code setFault(member_fault kind, bool on,
                                            std::optional<std::uint64_t> value);
 
-    /// @return whether the other members reach it
+    /// @return whether replication from and to the other members is possible
     [[nodiscard]] bool isReachableByMembers() const;
 
-    /// @return the replication lag that a fault sets, if any
-    [[nodiscard]] std::optional<core::duration> lagFault() const;
+    /// @return the replication lag that the fault Lag sets; nothing if it is off
+    [[nodiscard]] std::optional<core::duration> lagOverride() const;
 
-    /// @brief Answers the waits whose position the log has reached or can't reach any more.
-    /// @complexity linear in the number of waits that it answers
+    /// @brief Answers the waits whose position the log has reached, or can no longer reach because
+    /// the term has changed.
+    /// @complexity linear in the number of answered waits
     void answerWaits();
 
     member_model model;
@@ -65,17 +67,17 @@
 private:
     struct connection_state
     {
-        bool isData = false; ///< counts against the group's connections
+        bool isDataConnection = false; ///< counts towards the group's connection limit
         bool isSilent = false;
     };
 
-    /// A statement in the queue or in a slot.
+    /// A statement that is queued or executing.
     struct job
     {
         connection_number connection = 0;
         core::execute_request request;
         net::http_headers headers;
-        bool hadTransaction = false; ///< when it got its slot
+        bool wasInTransaction = false; ///< at the time when it got its slot
     };
 
     struct pending_wait
@@ -86,7 +88,7 @@
 
     void onRequest(net::http_request &&request, connection_number connection);
     void onClosed(connection_number connection);
-    void forget(connection_number connection);
+    void dropConnection(connection_number connection);
     void route(const net::http_request &request, connection_number connection);
     void wait(const net::http_request &request, connection_number connection);
     void acceptTerm(const net::http_request &request, connection_number connection);
@@ -102,7 +104,7 @@
     void answer(connection_number connection, const net::http_response &response);
     void answerStatus(connection_number connection);
     void answerExecution(connection_number connection, const net::http_response &response);
-    void after(core::duration delay, std::function<void()> action);
+    void runAfter(core::duration delay, std::function<void()> action);
     [[nodiscard]] fault_state &fault(member_fault kind)
     {
         return faults_.at(static_cast<std::size_t>(kind));
@@ -120,12 +122,12 @@
     std::map<connection_number, connection_state> connections_;
     std::deque<job> queue_;
     std::uint32_t running_ = 0; ///< at most settings_.slots
-    std::uint64_t runs_ = 1; ///< increases at each stop, so that older timers have no effect
-    /// By position and then by number of the wait.
+    std::uint64_t generation_ = 1; ///< incremented by stop(), so that older timers have no effect
+    /// Ordered by position, then by number of the wait.
     std::map<std::pair<core::log_position, std::uint64_t>, pending_wait> waits_;
     std::uint64_t newestWait_ = 0;
-    std::vector<std::function<void()>> held_; ///< deliveries while callers can't reach it
-    std::optional<std::pair<connection_number, net::http_response>> crossed_; ///< waits for another
+    std::vector<std::function<void()>> delayedDeliveries_; ///< of the fault IsolateCallers
+    std::optional<std::pair<connection_number, net::http_response>> swappedResponse_; ///< of Cross
 };
 
 } // namespace fuchsiagw::testing
--- a/testing/fault_server.cpp
+++ b/testing/fault_server.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The stand-ins' server on Boost.Beast.
+/// @brief Fault injection server on Boost.Beast.
 
 #include <utility>
 
@@ -21,12 +21,12 @@
 using boost::system::error_code;
 using tcp = boost::asio::ip::tcp;
 
-constexpr std::uint64_t maxBody = 16 * 1024 * 1024; // bytes
+constexpr std::uint64_t maxBodyBytes = 16 * 1024 * 1024;
 
-/// One connection. `exchange` counts its requests, so that an outdated watch can be told apart.
-struct session
+/// One connection. watchForClose() recognizes by `requestCount` that its request has been answered.
+struct client_connection
 {
-    explicit session(tcp::socket &&from)
+    explicit client_connection(tcp::socket &&from)
         : socket(std::move(from))
     { }
 
@@ -34,8 +34,8 @@
     boost::beast::flat_buffer buffer;
     std::optional<http::request_parser<http::string_body>> parser;
     http::response<http::string_body> response;
-    std::uint64_t exchange = 0;
-    bool isWaiting = false; ///< for the answer to its request
+    std::uint64_t requestCount = 0;
+    bool awaitsAnswer = false; ///< a request is in progress
 };
 
 } // namespace
@@ -55,8 +55,8 @@
             if (!error) {
                 socket.set_option(tcp::no_delay(true), error);
                 socket.non_blocking(true, error);
-                const connection_number number = ++self->newest;
-                self->sessions[number] = std::make_shared<session>(std::move(socket));
+                const connection_number number = ++self->newestNumber;
+                self->connections[number] = std::make_shared<client_connection>(std::move(socket));
                 self->read(number);
             }
             self->accept();
@@ -65,19 +65,19 @@
 
     void read(connection_number number)
     {
-        const auto each = sessions.at(number);
+        const auto each = connections.at(number);
         each->parser.emplace();
-        each->parser->body_limit(maxBody);
+        each->parser->body_limit(maxBodyBytes);
         http::async_read(each->socket, each->buffer, *each->parser,
                          [self = shared_from_this(), each, number](error_code error, std::size_t) {
                              if (error)
                                  self->drop(number);
-                             else if (self->sessions.contains(number))
+                             else if (self->connections.contains(number))
                                  self->handle(number, *each);
                          });
     }
 
-    void handle(connection_number number, session &each)
+    void handle(connection_number number, client_connection &each)
     {
         auto message = each.parser->release();
         net::http_request request;
@@ -87,19 +87,20 @@
             request.headers.emplace_back(std::string(field.name_string()),
                                          std::string(field.value()));
         request.body = std::move(message.body());
-        ++each.exchange;
-        each.isWaiting = true;
-        watch(number, each.exchange);
+        ++each.requestCount;
+        each.awaitsAnswer = true;
+        watchForClose(number, each.requestCount);
         onRequest(std::move(request), number);
     }
 
-    /// Notices that the peer closes while its request is in progress, when nothing is read.
-    void watch(connection_number number, std::uint64_t exchange)
+    /// Detects that the peer closes the connection while its request is in progress, because no
+    /// read is pending then.
+    void watchForClose(connection_number number, std::uint64_t requestCount)
     {
-        const auto each = sessions.at(number);
+        const auto each = connections.at(number);
         each->socket.async_wait(tcp::socket::wait_read, [self = shared_from_this(), each, number,
-                                                         exchange](error_code error) {
-            if (error || !each->isWaiting || each->exchange != exchange)
+                                                         requestCount](error_code error) {
+            if (error || !each->awaitsAnswer || each->requestCount != requestCount)
                 return;
             char byte = 0;
             each->socket.receive(boost::asio::buffer(&byte, 1), tcp::socket::message_peek, error);
@@ -110,11 +111,11 @@
 
     void answer(connection_number number, const net::http_response &response)
     {
-        const auto found = sessions.find(number);
-        if (found == sessions.end() || !found->second->isWaiting)
+        const auto found = connections.find(number);
+        if (found == connections.end() || !found->second->awaitsAnswer)
             return;
         const auto each = found->second;
-        each->isWaiting = false;
+        each->awaitsAnswer = false;
         each->response = {};
         each->response.result(static_cast<unsigned>(response.status));
         for (const auto &[name, value] : response.headers)
@@ -125,18 +126,18 @@
                           [self = shared_from_this(), each, number](error_code error, std::size_t) {
                               if (error)
                                   self->drop(number);
-                              else if (self->sessions.contains(number))
+                              else if (self->connections.contains(number))
                                   self->read(number);
                           });
     }
 
     void drop(connection_number number)
     {
-        const auto found = sessions.find(number);
-        if (found == sessions.end())
+        const auto found = connections.find(number);
+        if (found == connections.end())
             return;
         const auto each = found->second;
-        sessions.erase(found);
+        connections.erase(found);
         error_code ignored;
         each->socket.close(ignored);
         if (onClosed)
@@ -147,16 +148,16 @@
     {
         error_code ignored;
         acceptor.close(ignored);
-        while (!sessions.empty())
-            drop(sessions.begin()->first);
+        while (!connections.empty())
+            drop(connections.begin()->first);
     }
 
     tcp::acceptor acceptor;
     net::endpoint address;
     request_handler onRequest;
     closed_handler onClosed;
-    std::map<connection_number, std::shared_ptr<session>> sessions;
-    connection_number newest = 0;
+    std::map<connection_number, std::shared_ptr<client_connection>> connections;
+    connection_number newestNumber = 0;
 };
 
 fault_server::fault_server(boost::asio::io_context &context, std::uint16_t port,
--- a/testing/group_standin.cpp
+++ b/testing/group_standin.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Replication, history and fault port of the stand-in for a group.
+/// @brief Replication, history and fault port of the stand-in for a database group.
 
 #include <utility>
 
@@ -22,7 +22,7 @@
 constexpr std::string_view historyRoute = "/history";
 constexpr std::string_view historyQuery = "/history?after=";
 
-/// @return the N of `/history?after=N`, 0 for `/history`, nothing for another target
+/// @return N for `/history?after=N`, 0 for `/history`, nothing for any other target
 std::optional<std::uint64_t> parseHistoryTarget(std::string_view target)
 {
     if (target == historyRoute)
@@ -52,7 +52,7 @@
     for (std::uint32_t i = 0; i < settings_.members; ++i) {
         members_.push_back(std::make_unique<standin_member>(context_, settings_, i, makeHooks()));
         replications_.emplace_back(context_);
-        drawLag(i);
+        drawReplicationLag(i);
     }
     const core::time_point now = net::currentTime();
     for (const auto &each : members_) {
@@ -112,7 +112,7 @@
 {
     member_hooks hooks;
     hooks.statementReceived = [this] { ++counters_.received; };
-    hooks.takeConnection = [this] {
+    hooks.acquireConnection = [this] {
         if (counters_.connections >= settings_.connections) {
             ++counters_.refusedConnections;
             return false;
@@ -144,15 +144,15 @@
     standin_member &member = *members_[index];
     replication &state = replications_[index];
     const core::time_point now = net::currentTime();
-    const core::duration lag = member.lagFault().value_or(state.lag);
-    const standin_member *source = sourceOf(member);
+    const core::duration lag = member.lagOverride().value_or(state.lag);
+    const standin_member *source = replicationSourceOf(member);
     if (source != nullptr && copyLog(member.model, source->model, now - lag))
-        drawLag(index);
+        drawReplicationLag(index);
     applyLog(member.model, now - lag - settings_.applyLag);
     member.answerWaits();
 
     const member_model &model = member.model;
-    const core::duration nextLag = member.lagFault().value_or(state.lag);
+    const core::duration nextLag = member.lagOverride().value_or(state.lag);
     core::time_point next = core::noDeadline;
     if (source != nullptr && model.log.size() < source->model.log.size())
         next = source->model.log[model.log.size()]->appendedAt + nextLag;
@@ -168,23 +168,23 @@
     });
 }
 
-void group_standin::drawLag(std::size_t index)
+void group_standin::drawReplicationLag(std::size_t index)
 {
-    constexpr std::uint64_t least = 500; // thousandths of the mean
+    constexpr std::uint64_t minimum = 500; // thousandths of the mean
     constexpr std::uint64_t range = 1000;
-    const auto factor = static_cast<std::int64_t>(least + core::drawBelow(random_, range + 1));
+    const auto factor = static_cast<std::int64_t>(minimum + core::drawBelow(random_, range + 1));
     replications_[index].lag = settings_.lag * factor / 1000;
 }
 
-const standin_member *group_standin::sourceOf(const standin_member &replica) const
+const standin_member *group_standin::replicationSourceOf(const standin_member &replica) const
 {
     const auto found = std::find_if(members_.begin(), members_.end(), [&replica](const auto &each) {
         return each->model.member == replica.model.following;
     });
-    const bool isReachable = found != members_.end() && replica.isReachableByMembers()
-                             && (*found)->isReachableByMembers();
-    // A source that is no longer primary of the replica's term gives nothing, see copyLog().
-    if (!isReachable || (*found)->model.role != core::member_role::Primary
+    const bool areConnected = found != members_.end() && replica.isReachableByMembers()
+                              && (*found)->isReachableByMembers();
+    // A member that is no longer primary of the replica's term is no source, see copyLog().
+    if (!areConnected || (*found)->model.role != core::member_role::Primary
         || (*found)->model.term != replica.model.term)
         return nullptr;
     return found->get();
--- a/testing/loopback_proxy.cpp
+++ b/testing/loopback_proxy.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Connection pairs of the harmful proxy.
+/// @brief Connection pairs of the fault-injecting proxy.
 
 #include <utility>
 
@@ -21,12 +21,13 @@
 using boost::system::error_code;
 
 constexpr std::size_t bufferBytes = 16 * 1024;
-constexpr std::chrono::milliseconds cutCheck{ 5 };
+constexpr std::chrono::milliseconds blockedPollInterval{ 5 };
 
 } // namespace
 
-/// One client's connection and the one to the target.
-struct loopback_proxy::pair : std::enable_shared_from_this<loopback_proxy::pair>
+/// A client's connection and the matching connection to the target.
+struct loopback_proxy::connection_pair
+    : std::enable_shared_from_this<loopback_proxy::connection_pair>
 {
     struct direction
     {
@@ -36,12 +37,12 @@
         std::array<char, bufferBytes> buffer{};
     };
 
-    pair(loopback_proxy &proxy, tcp::socket &&accepted)
+    connection_pair(loopback_proxy &proxy, tcp::socket &&accepted)
         : owner(proxy)
         , client(std::move(accepted))
         , target(proxy.context_)
-        , timer(proxy.context_)
-        , backTimer(proxy.context_)
+        , towardsTargetTimer(proxy.context_)
+        , towardsClientTimer(proxy.context_)
     {
         forward.from = backward.to = &client;
         forward.to = backward.from = &target;
@@ -50,39 +51,39 @@
 
     void start()
     {
-        target.async_connect(owner.target_, [keep = shared_from_this()](error_code error) {
+        target.async_connect(owner.target_, [self = shared_from_this()](error_code error) {
             if (error) {
-                keep->end(true);
+                self->closeBoth(true);
                 return;
             }
             error_code ignored;
-            keep->client.set_option(tcp::no_delay(true), ignored);
-            keep->target.set_option(tcp::no_delay(true), ignored);
-            keep->read(keep->forward);
-            keep->read(keep->backward);
+            self->client.set_option(tcp::no_delay(true), ignored);
+            self->target.set_option(tcp::no_delay(true), ignored);
+            self->read(self->forward);
+            self->read(self->backward);
         });
     }
 
-    void read(direction &way)
+    void read(direction &flow)
     {
-        way.from->async_read_some(
-                boost::asio::buffer(way.buffer),
-                [keep = shared_from_this(), &way](error_code error, std::size_t length) {
-                    if (keep->ended)
+        flow.from->async_read_some(
+                boost::asio::buffer(flow.buffer),
+                [self = shared_from_this(), &flow](error_code error, std::size_t length) {
+                    if (self->isClosed)
                         return;
                     if (error == boost::asio::error::eof) {
-                        keep->pass(way, 0);
+                        self->relay(flow, 0);
                         return;
                     }
                     if (error) {
-                        keep->end(true);
+                        self->closeBoth(true);
                         return;
                     }
-                    keep->pass(way, length);
+                    self->relay(flow, length);
                 });
     }
 
-    /// Whether a sender has reset its connection: what is held back from it must not arrive later.
+    /// @return whether the sender has reset its connection; its delayed bytes are then discarded
     static bool isReset(tcp::socket &from)
     {
         char next = 0;
@@ -90,45 +91,48 @@
         return length < 0 && errno != EAGAIN && errno != EWOULDBLOCK;
     }
 
-    /// Waits for the delay and for the end of a cut, then sends on; 0 bytes: the end of the stream.
-    void pass(direction &way, std::size_t length, bool delayed = false)
+    /// Forwards bytes after the delay and once the direction is unblocked.
+    /// @param length number of bytes; 0: the end of the stream
+    void relay(direction &flow, std::size_t length, bool delayed = false)
     {
-        if (delayed && isReset(*way.from)) {
-            end(true);
+        if (delayed && isReset(*flow.from)) {
+            closeBoth(true);
             return;
         }
-        const bool isCut = way.towardsTarget ? owner.cut_.towardsTarget : owner.cut_.towardsClient;
-        const auto wait = delayed ? std::chrono::milliseconds(0) : owner.delay_;
-        if (isCut || silent || wait.count() > 0) {
-            auto &pause = way.towardsTarget ? timer : backTimer;
-            pause.expires_after(wait.count() > 0 ? wait : cutCheck);
-            pause.async_wait([keep = shared_from_this(), &way, length](error_code error) {
-                if (!error && !keep->ended)
-                    keep->pass(way, length, true);
+        const bool isBlocked =
+                flow.towardsTarget ? owner.blocked_.towardsTarget : owner.blocked_.towardsClient;
+        const auto remainingDelay = delayed ? std::chrono::milliseconds(0) : owner.delay_;
+        if (isBlocked || isSilent || remainingDelay.count() > 0) {
+            auto &relayTimer = flow.towardsTarget ? towardsTargetTimer : towardsClientTimer;
+            relayTimer.expires_after(remainingDelay.count() > 0 ? remainingDelay
+                                                                : blockedPollInterval);
+            relayTimer.async_wait([self = shared_from_this(), &flow, length](error_code error) {
+                if (!error && !self->isClosed)
+                    self->relay(flow, length, true);
             });
             return;
         }
         if (length == 0) {
             error_code ignored;
-            way.to->shutdown(tcp::socket::shutdown_send, ignored);
-            if (std::exchange(halfClosed, true))
-                end(false);
+            flow.to->shutdown(tcp::socket::shutdown_send, ignored);
+            if (std::exchange(isHalfClosed, true))
+                closeBoth(false);
             return;
         }
-        boost::asio::async_write(*way.to, boost::asio::buffer(way.buffer.data(), length),
-                                 [keep = shared_from_this(), &way](error_code error, std::size_t) {
-                                     if (keep->ended)
+        boost::asio::async_write(*flow.to, boost::asio::buffer(flow.buffer.data(), length),
+                                 [self = shared_from_this(), &flow](error_code error, std::size_t) {
+                                     if (self->isClosed)
                                          return;
                                      if (error)
-                                         keep->end(true);
+                                         self->closeBoth(true);
                                      else
-                                         keep->read(way);
+                                         self->read(flow);
                                  });
     }
 
-    void end(bool reset)
+    void closeBoth(bool reset)
     {
-        if (std::exchange(ended, true))
+        if (std::exchange(isClosed, true))
             return;
         error_code ignored;
         if (reset) {
@@ -137,21 +141,21 @@
         }
         client.close(ignored);
         target.close(ignored);
-        timer.cancel();
-        backTimer.cancel();
-        owner.pairs_.erase(shared_from_this());
+        towardsTargetTimer.cancel();
+        towardsClientTimer.cancel();
+        owner.connectionPairs_.erase(shared_from_this());
     }
 
     loopback_proxy &owner;
     tcp::socket client;
     tcp::socket target;
-    boost::asio::steady_timer timer;
-    boost::asio::steady_timer backTimer;
+    boost::asio::steady_timer towardsTargetTimer;
+    boost::asio::steady_timer towardsClientTimer;
     direction forward;
     direction backward;
-    bool silent = false;
-    bool halfClosed = false;
-    bool ended = false;
+    bool isSilent = false;
+    bool isHalfClosed = false;
+    bool isClosed = false;
 };
 
 loopback_proxy::loopback_proxy(boost::asio::io_context &context, tcp::endpoint target)
@@ -174,30 +178,30 @@
         if (error == boost::asio::error::operation_aborted)
             return;
         if (!error) {
-            const auto next = std::make_shared<pair>(*this, std::move(socket));
-            pairs_.insert(next);
+            const auto next = std::make_shared<connection_pair>(*this, std::move(socket));
+            connectionPairs_.insert(next);
             next->start();
         }
         accept();
     });
 }
 
-void loopback_proxy::setBlockedDirections(const blocked_directions &cut)
+void loopback_proxy::setBlockedDirections(const blocked_directions &blocked)
 {
-    cut_ = cut;
+    blocked_ = blocked;
 }
 
 void loopback_proxy::resetAllConnections()
 {
-    const auto all = pairs_;
+    const auto all = connectionPairs_;
     for (const auto &each : all)
-        each->end(true);
+        each->closeBoth(true);
 }
 
 void loopback_proxy::silenceOpenConnections()
 {
-    for (const auto &each : pairs_)
-        each->silent = true;
+    for (const auto &each : connectionPairs_)
+        each->isSilent = true;
 }
 
 } // namespace fuchsiagw::testing
--- a/testing/member_model.cpp
+++ b/testing/member_model.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Statements, transactions, terms and log of a modelled member.
+/// @brief Statements, transactions, terms and log of the member model.
 
 #include <fuchsiagw/testing/member_model.hpp>
 
@@ -22,12 +22,12 @@
 constexpr std::string_view notPrimary = "this member is not the primary";
 constexpr std::string_view noTransaction = "the connection has no transaction";
 
-core::log_position endOf(const member_model &model, core::log_index index)
+core::log_position positionAt(const member_model &model, core::log_index index)
 {
     return index == 0 ? core::log_position{} : model.log[index - 1]->position;
 }
 
-/// What a command sees: the workspace's data under the writes of its transaction.
+/// Data that a command sees: the writes of its transaction over the workspace's data.
 struct transaction_view
 {
     const workspace_data &data;
@@ -36,7 +36,8 @@
     std::optional<std::string> read(const std::string &key)
     {
         const auto stored = data.find(key);
-        transaction.seen.try_emplace(key, stored == data.end() ? 0 : stored->second.changedAt);
+        transaction.readVersions.try_emplace(key,
+                                             stored == data.end() ? 0 : stored->second.changedAt);
         const auto written = transaction.written.find(key);
         if (written != transaction.written.end())
             return written->second;
@@ -56,7 +57,8 @@
     return number;
 }
 
-/// Cuts the text before the first space off @p rest.
+/// Removes the first word and the space after it from @p rest.
+/// @return the word
 std::string_view takeWord(std::string_view &rest)
 {
     const std::string_view word = rest.substr(0, rest.find(' '));
@@ -64,7 +66,7 @@
     return word;
 }
 
-/// @return the parameter if @p text is `$N`, else @p text; nothing if there is no parameter N
+/// @return parameter N if @p text is `$N`, else @p text; nothing if parameter N is missing
 std::optional<std::string> valueOf(std::string_view text,
                                    const std::vector<std::string> &parameters)
 {
@@ -84,9 +86,9 @@
     answer.rows.clear();
 }
 
-/// Runs a command that changes its key; sets the new value in the view and in the answer's row.
-void runChange(std::string_view command, const std::string &key, const std::string &operand,
-               transaction_view view, core::execute_answer &answer)
+/// Executes a command that changes its key; puts the new value into the transaction and the answer.
+void runWrite(std::string_view command, const std::string &key, const std::string &operand,
+              transaction_view view, core::execute_answer &answer)
 {
     const std::string old = view.read(key).value_or("");
     std::string value = operand;
@@ -114,17 +116,17 @@
     const std::string_view command = takeWord(rest);
     const auto key = valueOf(takeWord(rest), request.parameters);
     const auto operand = valueOf(rest, request.parameters);
-    const bool isChange = command == "set" || command == "add" || command == "append";
+    const bool isWriteCommand = command == "set" || command == "add" || command == "append";
     if (command == "fail") {
-        fail(answer, "the statement asked to fail");
-    } else if (!isChange && command != "get") {
+        fail(answer, "the command is 'fail'");
+    } else if (!isWriteCommand && command != "get") {
         fail(answer, "unknown command");
     } else if (!key.has_value() || key->empty() || !operand.has_value()) {
         fail(answer, "the key or a parameter is missing");
-    } else if (isChange && request.kind == statement_kind::Read) {
+    } else if (isWriteCommand && request.kind == statement_kind::Read) {
         fail(answer, "a read must not change data");
-    } else if (isChange) {
-        runChange(command, *key, *operand, view, answer);
+    } else if (isWriteCommand) {
+        runWrite(command, *key, *operand, view, answer);
     } else if (const auto value = view.read(*key)) {
         answer.rows = { { *value } };
     }
@@ -137,8 +139,8 @@
         for (const auto &[key, value] : entry.changes)
             model.data[entry.workspace][key] = { value, entry.position.index };
         if (!entry.idempotencyKey.empty())
-            model.entryOfKey.try_emplace({ entry.workspace, entry.idempotencyKey },
-                                         entry.position.index);
+            model.entryByIdempotencyKey.try_emplace({ entry.workspace, entry.idempotencyKey },
+                                                    entry.position.index);
     }
 }
 
@@ -153,18 +155,20 @@
     apply(model, model.log.size());
 }
 
-/// Appends the transaction's writes as one entry, or fails if another one changed what it saw.
+/// Appends the transaction's writes as one log entry; fails if another transaction has changed a
+/// key that this one used.
 void commit(member_model &model, const open_transaction &transaction,
             const core::execute_request &request, core::time_point now,
             core::execute_answer &answer)
 {
     const workspace_data &data = model.data[transaction.workspace];
-    const bool isCurrent = std::all_of(
-            transaction.seen.begin(), transaction.seen.end(), [&data](const auto &seen) {
-                const auto stored = data.find(seen.first);
-                return seen.second == (stored == data.end() ? 0 : stored->second.changedAt);
+    const bool isUnchanged = std::all_of(
+            transaction.readVersions.begin(), transaction.readVersions.end(),
+            [&data](const auto &version) {
+                const auto stored = data.find(version.first);
+                return version.second == (stored == data.end() ? 0 : stored->second.changedAt);
             });
-    if (!isCurrent) {
+    if (!isUnchanged) {
         fail(answer, "another transaction changed the same keys");
         return;
     }
@@ -177,9 +181,9 @@
     answer = model.log.back()->answer;
 }
 
-/// @return why nothing may run, or an empty text
-std::string_view refusal(const member_model &model, const core::execute_request &request,
-                         const open_transaction *transaction)
+/// @return why the request is refused; empty if it may run
+std::string_view refusalReason(const member_model &model, const core::execute_request &request,
+                               const open_transaction *transaction)
 {
     const bool isPrimary = model.role == member_role::Primary;
     if (request.term != model.term)
@@ -196,18 +200,20 @@
     return {};
 }
 
-const log_entry *findRepeat(const member_model &model, const core::execute_request &request)
+const log_entry *findRepeatedEntry(const member_model &model, const core::execute_request &request)
 {
     if (request.idempotencyKey.empty() || request.term != model.term
         || model.role != member_role::Primary)
         return nullptr;
-    const auto found = model.entryOfKey.find({ request.workspace, request.idempotencyKey });
-    return found == model.entryOfKey.end() ? nullptr : model.log[found->second - 1].get();
+    const auto found =
+            model.entryByIdempotencyKey.find({ request.workspace, request.idempotencyKey });
+    return found == model.entryByIdempotencyKey.end() ? nullptr
+                                                      : model.log[found->second - 1].get();
 }
 
 /// @return the position of the first entry of the current term
-/// @pre the member is the primary, so that there is one
-core::log_position firstOfTerm(const member_model &model)
+/// @pre the member is the primary of this term, so the entry exists
+core::log_position firstPositionOfTerm(const member_model &model)
 {
     const auto found =
             std::partition_point(model.log.begin(), model.log.end(), [&model](const auto &entry) {
@@ -217,7 +223,7 @@
     return (*found)->position;
 }
 
-core::accept_term_answer answerOf(const member_model &model, bool accepted)
+core::accept_term_answer makeTermAnswer(const member_model &model, bool accepted)
 {
     return { accepted, statusOf(model) };
 }
@@ -230,8 +236,8 @@
              model.group,
              model.role,
              model.term,
-             endOf(model, model.log.size()),
-             endOf(model, model.appliedIndex),
+             positionAt(model, model.log.size()),
+             positionAt(model, model.appliedIndex),
              model.leaving };
 }
 
@@ -242,22 +248,22 @@
     core::execute_answer &answer = result.answer;
     const auto finish = [&model, &request, &result]() -> execution & {
         result.answer.id = request.id;
-        result.answer.applied = endOf(model, model.appliedIndex);
+        result.answer.applied = positionAt(model, model.appliedIndex);
         result.answer.term = model.term;
         return result;
     };
 
     const auto open = model.transactions.find(connection);
     const bool isOpen = open != model.transactions.end();
-    const bool commitsItself = request.kind == statement_kind::Write && !isOpen;
-    if (commitsItself || request.kind == statement_kind::Commit) {
-        if (const log_entry *first = findRepeat(model, request)) {
+    const bool isAutocommit = request.kind == statement_kind::Write && !isOpen;
+    if (isAutocommit || request.kind == statement_kind::Commit) {
+        if (const log_entry *first = findRepeatedEntry(model, request)) {
             answer = first->answer;
-            answer.position = std::max(answer.position, firstOfTerm(model));
+            answer.position = std::max(answer.position, firstPositionOfTerm(model));
             return finish();
         }
     }
-    if (const auto problem = refusal(model, request, isOpen ? &open->second : nullptr);
+    if (const auto problem = refusalReason(model, request, isOpen ? &open->second : nullptr);
         !problem.empty()) {
         answer.status = execute_status::Refused;
         answer.problem = problem;
@@ -284,7 +290,7 @@
         open_transaction single{ request.workspace, {}, {} };
         open_transaction &transaction = isOpen ? open->second : single;
         runCommand(request, { model.data[request.workspace], transaction }, answer);
-        if (answer.status == execute_status::Ok && commitsItself)
+        if (answer.status == execute_status::Ok && isAutocommit)
             commit(model, single, request, now, answer);
         break;
     }
@@ -300,19 +306,19 @@
 core::accept_term_answer acceptTerm(member_model &model, core::term_number term)
 {
     if (term <= model.term)
-        return answerOf(model, false);
+        return makeTermAnswer(model, false);
     model.term = term;
     model.role = member_role::Replica;
     model.following = {};
     model.transactions.clear();
-    return answerOf(model, true);
+    return makeTermAnswer(model, true);
 }
 
 core::accept_term_answer lead(member_model &model, core::term_number term, core::time_point now)
 {
     const bool isFollowing = !model.following.empty();
     if (term == 0 || term != model.term || isFollowing)
-        return answerOf(model, false);
+        return makeTermAnswer(model, false);
     if (model.role != member_role::Primary) {
         model.role = member_role::Primary;
         model.transactions.clear();
@@ -321,61 +327,62 @@
         first.appendedAt = now;
         append(model, std::move(first));
     }
-    return answerOf(model, true);
+    return makeTermAnswer(model, true);
 }
 
 core::accept_term_answer follow(member_model &model, core::term_number term,
                                 const core::member_id &primary)
 {
-    const bool isOther = !model.following.empty() && model.following != primary;
-    if (term == 0 || term != model.term || model.role == member_role::Primary || isOther
+    const bool followsOther = !model.following.empty() && model.following != primary;
+    if (term == 0 || term != model.term || model.role == member_role::Primary || followsOther
         || primary.empty() || primary == model.member)
-        return answerOf(model, false);
+        return makeTermAnswer(model, false);
     model.following = primary;
-    return answerOf(model, true);
+    return makeTermAnswer(model, true);
 }
 
-bool copyLog(member_model &replica, const member_model &primary, core::time_point appendedBy)
+bool copyLog(member_model &replica, const member_model &primary, core::time_point appendedUntil)
 {
     if (replica.role == member_role::Primary || primary.role != member_role::Primary
         || replica.term != primary.term || replica.following != primary.member)
         return false;
-    // Entries with the same position are the same, and so are all before them: a term has one
-    // primary, and a primary never rewrites its log.
-    std::size_t common = std::min(replica.log.size(), primary.log.size());
-    while (common > 0 && replica.log[common - 1]->position != primary.log[common - 1]->position)
-        --common;
+    // If two entries have the same position, they and all entries before them are the same: a term
+    // has one primary, and a primary never rewrites its log.
+    std::size_t commonLength = std::min(replica.log.size(), primary.log.size());
+    while (commonLength > 0
+           && replica.log[commonLength - 1]->position != primary.log[commonLength - 1]->position)
+        --commonLength;
     bool hasChanged = false;
-    if (replica.log.size() > common) {
+    if (replica.log.size() > commonLength) {
         hasChanged = true;
-        replica.log.resize(common);
-        if (replica.appliedIndex > common) {
+        replica.log.resize(commonLength);
+        if (replica.appliedIndex > commonLength) {
             replica.data.clear();
-            replica.entryOfKey.clear();
+            replica.entryByIdempotencyKey.clear();
             replica.transactions.clear();
             replica.appliedIndex = 0;
-            apply(replica, common);
+            apply(replica, commonLength);
         }
     }
     while (replica.log.size() < primary.log.size()
-           && primary.log[replica.log.size()]->appendedAt <= appendedBy) {
+           && primary.log[replica.log.size()]->appendedAt <= appendedUntil) {
         replica.log.push_back(primary.log[replica.log.size()]);
         hasChanged = true;
     }
     return hasChanged;
 }
 
-void applyLog(member_model &model, core::time_point appendedBy)
+void applyLog(member_model &model, core::time_point appendedUntil)
 {
     core::log_index upTo = model.appliedIndex;
-    while (upTo < model.log.size() && model.log[upTo]->appendedAt <= appendedBy)
+    while (upTo < model.log.size() && model.log[upTo]->appendedAt <= appendedUntil)
         ++upTo;
     apply(model, upTo);
 }
 
 bool holds(const member_model &model, const core::log_position &position)
 {
-    return model.term == position.term && endOf(model, model.log.size()) >= position;
+    return model.term == position.term && positionAt(model, model.log.size()) >= position;
 }
 
 } // namespace fuchsiagw::testing
--- a/testing/platform-standin-main.cpp
+++ b/testing/platform-standin-main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Program that stands in for the platform on loopback ports.
+/// @brief platform-standin: runs the platform stand-in on loopback ports.
 
 #include <utility>
 
@@ -13,16 +13,17 @@
 #include <csignal>
 #include <cstdio>
 
-ABSL_FLAG(std::uint16_t, port, 0, "port of the platform; 0: any free one");
-ABSL_FLAG(std::uint16_t, fault_port, 0, "port for faults and counters; 0: any free one");
+ABSL_FLAG(std::uint16_t, port, 0, "port of the platform; 0: any free port");
+ABSL_FLAG(std::uint16_t, fault_port, 0, "port for faults and counters; 0: any free port");
 
 int main(int argc, char **argv)
 {
-    absl::SetProgramUsageMessage("Stands in for the platform on loopback ports.");
+    absl::SetProgramUsageMessage("Runs a stand-in for the platform on loopback ports.");
     absl::ParseCommandLine(argc, argv);
     using namespace fuchsiagw;
     boost::asio::io_context context(1);
-    // It outlives the stand-in, so that a second signal does not end the process abnormally.
+    // Declared before the stand-in, so that a second signal during its destruction is ignored and
+    // does not kill the process.
     boost::asio::signal_set signals(context, SIGTERM, SIGINT);
     testing::platform_standin platform(context, absl::GetFlag(FLAGS_port),
                                        absl::GetFlag(FLAGS_fault_port));
--- a/testing/platform_model.cpp
+++ b/testing/platform_model.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Transactions, objects and the instance list of the modelled platform.
+/// @brief Transactions, objects and instance list of the platform model.
 
 #include <fuchsiagw/testing/platform_model.hpp>
 
@@ -13,28 +13,29 @@
 
 namespace {
 
-/// The protocol promises one hour.
-constexpr core::duration answerLifetime = std::chrono::hours(1);
+/// The platform protocol guarantees that answers are retained for one hour.
+constexpr core::duration answerRetention = std::chrono::hours(1);
 
 bool isValid(const core::transact_request &request)
 {
     std::set<std::string_view> changed;
-    const auto isNewChange = [&changed](const std::string &key) {
+    const auto isFirstChangeOf = [&changed](const std::string &key) {
         return wire::isPlatformName(key) && changed.insert(key).second;
     };
     return !request.id.empty()
            && std::all_of(request.checks.begin(), request.checks.end(),
                           [](const auto &check) { return wire::isPlatformName(check.key); })
            && std::all_of(request.puts.begin(), request.puts.end(),
-                          [&isNewChange](const auto &put) { return isNewChange(put.key); })
-           && std::all_of(request.deletes.begin(), request.deletes.end(), isNewChange);
+                          [&isFirstChangeOf](const auto &put) { return isFirstChangeOf(put.key); })
+           && std::all_of(request.deletes.begin(), request.deletes.end(), isFirstChangeOf);
 }
 
-void forgetOldAnswers(platform_model &model, core::time_point now)
+void evictExpiredAnswers(platform_model &model, core::time_point now)
 {
-    while (!model.answerOrder.empty() && model.answerOrder.front().first + answerLifetime < now) {
-        model.answers.erase(model.answerOrder.front().second);
-        model.answerOrder.pop_front();
+    while (!model.answersByAge.empty()
+           && model.answersByAge.front().first + answerRetention < now) {
+        model.answers.erase(model.answersByAge.front().second);
+        model.answersByAge.pop_front();
     }
 }
 
@@ -60,7 +61,7 @@
 {
     if (!isValid(request))
         return std::nullopt;
-    forgetOldAnswers(model, now);
+    evictExpiredAnswers(model, now);
     if (const auto first = model.answers.find(request.id); first != model.answers.end())
         return first->second;
     core::transact_answer answer;
@@ -79,7 +80,7 @@
             model.rows.erase(key);
     }
     model.answers[request.id] = answer;
-    model.answerOrder.emplace_back(now, request.id);
+    model.answersByAge.emplace_back(now, request.id);
     return answer;
 }
 
--- a/testing/platform_standin.cpp
+++ b/testing/platform_standin.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Routes and faults of the platform's stand-in.
+/// @brief Routes and faults of the platform stand-in.
 
 #include <utility>
 
@@ -94,7 +94,7 @@
 void platform_standin::onRequest(net::http_request &&request, connection_number connection)
 {
     const core::duration delay = delayOf(fault(platform_fault::Slow)) / 2;
-    after(delay, [this, request = std::move(request), connection, delay] {
+    runAfter(delay, [this, request = std::move(request), connection, delay] {
         handle(request, connection, delay);
     });
 }
@@ -121,13 +121,13 @@
 void platform_standin::handle(const net::http_request &request, connection_number connection,
                               core::duration delay)
 {
-    // What the fault Slow still delays when the platform goes down is not applied.
+    // A request that the fault Slow still delays when the platform goes down is not applied.
     if (fault(platform_fault::Down).on)
         return;
     const net::http_response response = respond(request);
     if (isWrite(request) && consume(fault(platform_fault::LoseAnswer)))
         return;
-    after(delay, [this, response, connection] { server_.answer(connection, response); });
+    runAfter(delay, [this, response, connection] { server_.answer(connection, response); });
 }
 
 net::http_response platform_standin::respond(const net::http_request &request)
@@ -231,7 +231,7 @@
     return jsonResponse(200, "{}");
 }
 
-void platform_standin::after(core::duration delay, std::function<void()> action)
+void platform_standin::runAfter(core::duration delay, std::function<void()> action)
 {
     if (delay <= core::duration::zero()) {
         action();
--- a/testing/process_harness.cpp
+++ b/testing/process_harness.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Processes, ports and requests of the harness.
+/// @brief Processes, ports and requests of the process harness.
 
 #include <utility>
 
@@ -36,7 +36,7 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr auto pollEvery = 20ms;
+constexpr auto pollInterval = 20ms;
 
 std::string addressOf(std::uint16_t port)
 {
@@ -61,7 +61,8 @@
     posix_spawn_file_actions_init(&files);
     posix_spawn_file_actions_addopen(&files, 1, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     posix_spawn_file_actions_adddup2(&files, 1, 2);
-    // A socket of the test that the child held open would neither end nor free its port.
+    // If the child inherited a socket of the test, closing it in the test would neither end the
+    // connection nor free the port.
     posix_spawn_file_actions_addclosefrom_np(&files, 3);
     if (posix_spawn(&pid_, arguments[0], &files, nullptr, arguments.data(), environ) != 0)
         pid_ = -1;
@@ -99,12 +100,12 @@
     return pid_ > 0;
 }
 
-int child_process::wait(std::chrono::milliseconds limit)
+int child_process::wait(std::chrono::milliseconds timeout)
 {
     int status = 0;
     const bool ended = pid_ > 0
                        && deployment::waitFor(
-                               [&] { return ::waitpid(pid_, &status, WNOHANG) == pid_; }, limit);
+                               [&] { return ::waitpid(pid_, &status, WNOHANG) == pid_; }, timeout);
     if (!ended)
         return -1;
     pid_ = -1;
@@ -117,7 +118,7 @@
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "fuchsiagw-XXXXXX").string();
     if (::mkdtemp(pattern.data()) == nullptr)
-        throw std::runtime_error("no folder for the test's files");
+        throw std::runtime_error("cannot create a temporary directory for the test");
     folder_ = pattern;
     startPlatform();
     for (std::uint32_t number = 1; number <= plan_.groups; ++number)
@@ -130,7 +131,8 @@
     for (std::size_t index = 0; index < plan_.daemons; ++index) {
         const bool isReady = waitFor(
                 [&] {
-                    return ask(callerPorts_[index], { "GET", "/readyz", {}, {} }).status == 200;
+                    return sendHttpRequest(callerPorts_[index], { "GET", "/readyz", {}, {} }).status
+                           == 200;
                 },
                 20s);
         if (!isReady)
@@ -146,9 +148,10 @@
         std::filesystem::remove_all(folder_);
 }
 
-std::uint16_t deployment::nextPort()
+std::uint16_t deployment::findFreePort()
 {
-    // The kernel gives each free port once in a row, so a port that was just free stays free.
+    // The kernel does not assign the same ephemeral port twice in quick succession, so the port
+    // stays free until the child binds it.
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -162,8 +165,8 @@
 
 void deployment::startPlatform()
 {
-    platformPort_ = nextPort();
-    platformFaultPort_ = nextPort();
+    platformPort_ = findFreePort();
+    platformFaultPort_ = findFreePort();
     standins_.emplace_back(
             std::vector<std::string>{ FUCHSIAGW_PLATFORM_STANDIN,
                                       "--port=" + std::to_string(platformPort_),
@@ -171,7 +174,8 @@
             folder_ + "/platform.log");
     if (!waitFor(
                 [&] {
-                    return ask(platformPort_, { "GET", "/instances", {}, {} }).status == 200;
+                    return sendHttpRequest(platformPort_, { "GET", "/instances", {}, {} }).status
+                           == 200;
                 },
                 10s))
         throw std::runtime_error("the platform's stand-in did not start");
@@ -184,24 +188,26 @@
     std::string list;
     std::string zones;
     for (int i = 0; i < 3; ++i) {
-        ports.members.push_back(nextPort());
+        ports.members.push_back(findFreePort());
         list += (i == 0 ? "" : ",") + std::to_string(ports.members.back());
         zones +=
                 (i == 0 ? "" : ",") + plan_.zones[static_cast<std::size_t>(i) % plan_.zones.size()];
     }
-    ports.fault = nextPort();
+    ports.fault = findFreePort();
     standins_.emplace_back(
             std::vector<std::string>{ FUCHSIAGW_UPSTREAM_STANDIN, "--group=" + name,
                                       "--ports=" + list, "--zones=" + zones,
                                       "--fault_port=" + std::to_string(ports.fault),
                                       "--slots=" + std::to_string(plan_.slots),
                                       "--connections=" + std::to_string(plan_.connections),
-                                      "--lag_ms=" + std::to_string(plan_.lagMs),
-                                      "--connect_ms=" + std::to_string(plan_.connectMs) },
+                                      "--lag_ms=" + std::to_string(plan_.replicationLagMs),
+                                      "--connect_ms=" + std::to_string(plan_.connectDelayMs) },
             folder_ + "/" + name + ".log");
     if (!waitFor(
                 [&] {
-                    return ask(ports.members.back(), { "GET", "/status", {}, {} }).status == 200;
+                    return sendHttpRequest(ports.members.back(), { "GET", "/status", {}, {} })
+                                   .status
+                           == 200;
                 },
                 10s))
         throw std::runtime_error("a group's stand-in did not start");
@@ -227,26 +233,26 @@
             };
     }
     const std::string body = wire::writeConfiguration(config);
-    const std::string object = core::objectNameOf(config.version, wire::digestOf(body));
-    core::transact_request order;
-    order.id = "seed";
-    order.checks = { { std::string(core::configurationRowKey), 0 } };
-    order.puts = { { std::string(core::configurationRowKey),
-                     core::writeRow({ config.version, "seed", object }) } };
-    ask(platformPort_, { "PUT", wire::objectTarget(object), {}, body });
-    ask(platformPort_, { "POST", "/transact", {}, wire::toJson(order) });
+    const std::string objectName = core::objectNameOf(config.version, wire::digestOf(body));
+    core::transact_request request;
+    request.id = "seed";
+    request.checks = { { std::string(core::configurationRowKey), 0 } };
+    request.puts = { { std::string(core::configurationRowKey),
+                       core::writeRow({ config.version, "seed", objectName }) } };
+    sendHttpRequest(platformPort_, { "PUT", wire::objectTarget(objectName), {}, body });
+    sendHttpRequest(platformPort_, { "POST", "/transact", {}, wire::toJson(request) });
 }
 
 void deployment::startDaemon(std::size_t index)
 {
     const std::string name = "i" + std::to_string(index + 1);
     const std::string zone = plan_.zones[index % plan_.zones.size()];
-    const std::uint16_t peerPort = nextPort();
-    callerPorts_[index] = nextPort();
+    const std::uint16_t peerPort = findFreePort();
+    callerPorts_[index] = findFreePort();
     const std::string file = folder_ + "/" + name + ".yaml";
     std::ofstream(file) << "instance: " << name << "\nzone: " << zone
                         << "\ncaller_address: " << addressOf(callerPorts_[index])
-                        << "\nadmin_address: " << addressOf(nextPort())
+                        << "\nadmin_address: " << addressOf(findFreePort())
                         << "\npeer_address: " << addressOf(peerPort)
                         << "\nplatform_address: " << addressOf(platformPort_)
                         << "\ncluster_key: " << std::string(64, '7')
@@ -255,18 +261,19 @@
     entry.instance = { name };
     entry.zone = { zone };
     entry.address = addressOf(peerPort);
-    ask(platformPort_, { "PUT", wire::instanceTarget(entry.instance), {}, wire::toJson(entry) });
+    sendHttpRequest(platformPort_,
+                    { "PUT", wire::instanceTarget(entry.instance), {}, wire::toJson(entry) });
     daemons[index] = child_process({ FUCHSIAGW_DAEMON, "--settings=" + file },
                                    folder_ + "/" + name + ".log");
 }
 
-net::http_response deployment::ask(std::uint16_t port, const net::http_request &request,
-                                   std::chrono::milliseconds limit) const
+net::http_response deployment::sendHttpRequest(std::uint16_t port, const net::http_request &request,
+                                               std::chrono::milliseconds timeout) const
 {
     net::endpoint target;
     if (net::parseEndpoint(addressOf(port), target))
         return {};
-    net::http_exchange exchange = net::callAndWait(target, request, net::currentTime() + limit);
+    net::http_exchange exchange = net::callAndWait(target, request, net::currentTime() + timeout);
     return exchange.error ? net::http_response{} : std::move(exchange.response);
 }
 
@@ -276,7 +283,7 @@
     net::http_request request{ "POST", path, { { "Authorization", "Bearer " + key } }, body };
     if (!session.empty())
         request.headers.emplace_back("Fuchsiagw-Session", session);
-    const net::http_response response = ask(callerPorts_[daemon], request);
+    const net::http_response response = sendHttpRequest(callerPorts_[daemon], request);
     call_result result;
     result.status = response.status;
     result.session = net::findHeader(response.headers, "Fuchsiagw-Session");
@@ -306,24 +313,24 @@
 }
 
 call_result deployment::read(std::size_t daemon, const std::string &group,
-                             const std::string &statement, bool mayLag,
+                             const std::string &statement, bool allowStale,
                              const std::string &session) const
 {
     json body{ { "group", group }, { "kind", "read" }, { "statement", statement } };
-    if (mayLag)
+    if (allowStale)
         body["read_class"] = "lookup";
     return call(daemon, "/v1/statements", body.dump(), session);
 }
 
 void deployment::fault(const std::string &group, const std::string &body) const
 {
-    if (ask(groups_.at(group).fault, { "POST", "/fault", {}, body }).status != 200)
+    if (sendHttpRequest(groups_.at(group).fault, { "POST", "/fault", {}, body }).status != 200)
         throw std::runtime_error("the group's stand-in refused the fault " + body);
 }
 
 void deployment::platformFault(const std::string &body) const
 {
-    if (ask(platformFaultPort_, { "POST", "/fault", {}, body }).status != 200)
+    if (sendHttpRequest(platformFaultPort_, { "POST", "/fault", {}, body }).status != 200)
         throw std::runtime_error("the platform's stand-in refused the fault " + body);
 }
 
@@ -332,8 +339,8 @@
     std::uint64_t highest = 0;
     std::string primary;
     for (const std::uint16_t port : groups_.at(group).members) {
-        const json status =
-                json::parse(ask(port, { "GET", "/status", {}, {} }, 1s).body, nullptr, false);
+        const json status = json::parse(
+                sendHttpRequest(port, { "GET", "/status", {}, {} }, 1s).body, nullptr, false);
         if (!status.is_object() || textOf(status, "role") != "primary" || status["term"] < highest)
             continue;
         highest = status["term"].get<std::uint64_t>();
@@ -344,16 +351,16 @@
 
 std::string deployment::historyOf(const std::string &group) const
 {
-    return ask(groups_.at(group).fault, { "GET", "/history", {}, {} }).body;
+    return sendHttpRequest(groups_.at(group).fault, { "GET", "/history", {}, {} }).body;
 }
 
-bool deployment::waitFor(const std::function<bool()> &condition, std::chrono::milliseconds limit)
+bool deployment::waitFor(const std::function<bool()> &condition, std::chrono::milliseconds timeout)
 {
-    const auto end = std::chrono::steady_clock::now() + limit;
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
-        if (std::chrono::steady_clock::now() >= end)
+        if (std::chrono::steady_clock::now() >= deadline)
             return false;
-        std::this_thread::sleep_for(pollEvery);
+        std::this_thread::sleep_for(pollInterval);
     }
     return true;
 }
--- a/testing/session-soak-main.cpp
+++ b/testing/session-soak-main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief session-soak: runs the fault soak with seeds of choice and prints what it found.
+/// @brief session-soak: runs the fault soak with the given seeds and prints its findings.
 
 #include <platform/standin/soak.hpp>
 
@@ -12,20 +12,20 @@
 #include <string>
 
 ABSL_FLAG(std::uint64_t, seed, 1, "first seed");
-ABSL_FLAG(std::uint64_t, runs, 1, "runs, each with the next seed");
-ABSL_FLAG(int, seconds, 15, "time with faults of each run");
-ABSL_FLAG(std::uint32_t, daemons, 4, "real daemons");
-ABSL_FLAG(std::uint32_t, groups, 2, "database groups of three members");
-ABSL_FLAG(std::uint32_t, callers, 16, "callers with a session each");
-ABSL_FLAG(std::string, profile, "everything", "calm, planned or everything");
-ABSL_FLAG(std::string, daemon, "", "program of the daemons; default: the one of this build");
-ABSL_FLAG(bool, keep_logs, false, "keep settings and logs of runs without findings too");
-ABSL_FLAG(std::string, folder, "", "where settings and logs stay; default: a folder in /tmp");
+ABSL_FLAG(std::uint64_t, runs, 1, "number of runs; each uses the next seed");
+ABSL_FLAG(int, seconds, 15, "duration of fault injection in each run");
+ABSL_FLAG(std::uint32_t, daemons, 4, "number of daemon processes");
+ABSL_FLAG(std::uint32_t, groups, 2, "number of database groups, each of three members");
+ABSL_FLAG(std::uint32_t, callers, 16, "number of callers, each with a session");
+ABSL_FLAG(std::string, profile, "everything", "fault profile: calm, planned or everything");
+ABSL_FLAG(std::string, daemon, "", "path of the daemon program; default: the one of this build");
+ABSL_FLAG(bool, keep_logs, false, "keep settings and logs of runs without findings as well");
+ABSL_FLAG(std::string, folder, "", "directory for settings and logs; default: a directory in /tmp");
 
 int main(int argc, char **argv)
 {
     using namespace fuchsiagw::testing;
-    absl::SetProgramUsageMessage("session-soak [flags]: real daemons under random faults");
+    absl::SetProgramUsageMessage("session-soak [flags]: runs daemons under random faults");
     absl::ParseCommandLine(argc, argv);
     soak_options options;
     options.duration = std::chrono::seconds(absl::GetFlag(FLAGS_seconds));
@@ -34,17 +34,18 @@
     options.daemonProgram = absl::GetFlag(FLAGS_daemon);
     options.callers = absl::GetFlag(FLAGS_callers);
     const std::string profile = absl::GetFlag(FLAGS_profile);
-    std::size_t known = 0;
-    while (known < soakProfileNames.size() && soakProfileNames.at(known) != profile)
-        ++known;
-    constexpr std::size_t mostDaemons = 250; // each has an address of one network
-    if (known == soakProfileNames.size() || options.daemons < 2 || options.groups < 1
-        || options.daemons > mostDaemons) {
-        std::fprintf(stderr,
-                     "session-soak: unknown profile, or not 2 to 250 daemons, or no group\n");
+    std::size_t profileIndex = 0;
+    while (profileIndex < soakProfileNames.size() && soakProfileNames.at(profileIndex) != profile)
+        ++profileIndex;
+    constexpr std::size_t maxDaemons = 250; // each has its own address in one network
+    if (profileIndex == soakProfileNames.size() || options.daemons < 2 || options.groups < 1
+        || options.daemons > maxDaemons) {
+        std::fprintf(
+                stderr,
+                "session-soak: unknown profile, number of daemons not in 2 to 250, or no group\n");
         return 2;
     }
-    options.profile = static_cast<soak_profile>(known);
+    options.profile = static_cast<soak_profile>(profileIndex);
     std::string folder = absl::GetFlag(FLAGS_folder);
     if (folder.empty())
         folder = (std::filesystem::temp_directory_path() / "fuchsiagw-soak").string();
--- a/testing/soak_history.cpp
+++ b/testing/soak_history.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Checks of the soak's promises.
+/// @brief Checks of the guarantees that the soak verifies.
 
 #include <fuchsiagw/testing/soak_history.hpp>
 
@@ -14,23 +14,23 @@
 
 using proxy::consistency;
 
-constexpr std::size_t mostFindings = 50;
+constexpr std::size_t maxFindings = 50;
 constexpr std::chrono::seconds rateWindow{ 5 };
-constexpr double rateOverage = 1.1;
-constexpr double rateTolerance = 20; // operations
+constexpr double rateLimitFactor = 1.1;
+constexpr double rateToleranceOperations = 20;
 
-/// The newest commit that a read must see, rolled back ones left out.
-core::log_index requiredIndex(const soak_history &history, const sent_statement &from)
+/// @return the newest commit that a read must see
+core::log_index requiredIndex(const soak_history &history, const sent_statement &sent)
 {
-    core::time_point before = from.unitSentAt;
-    if (from.kind != consistency::Primary)
-        before -= from.maxStaleness;
-    core::log_index required = from.kind == consistency::ReadYourWrites ? from.ownCommit : 0;
-    const auto list = history.acknowledged.find(from.service);
-    if (list == history.acknowledged.end())
+    core::time_point acknowledgedBefore = sent.unitSentAt;
+    if (sent.kind != consistency::Primary)
+        acknowledgedBefore -= sent.maxStaleness;
+    core::log_index required = sent.kind == consistency::ReadYourWrites ? sent.ownCommit : 0;
+    const auto commits = history.acknowledged.find(sent.service);
+    if (commits == history.acknowledged.end())
         return required;
-    for (const acknowledged_commit &each : list->second) {
-        if (each.at < before)
+    for (const acknowledged_commit &each : commits->second) {
+        if (each.at < acknowledgedBefore)
             required = std::max(required, each.position.index);
     }
     return required;
@@ -44,121 +44,132 @@
     return text;
 }
 
-void checkText(soak_history &history, const member_execution &run, const sent_statement &from)
+void checkText(soak_history &history, const member_execution &execution, const sent_statement &sent)
 {
-    if (run.text != from.text || run.shape != from.shape)
+    if (execution.text != sent.text || execution.shape != sent.shape)
         report(history, soak_promise::OnlyAsked,
-               fmt::format("{}: member {} ran '{}' [{}], asked '{}' [{}]", run.id, run.member,
-                           run.text, run.shape, from.text, from.shape));
-    if (run.workspace != from.workspace || run.service != from.service)
+               fmt::format("{}: member {} executed '{}' [{}], the caller sent '{}' [{}]",
+                           execution.id, execution.member, execution.text, execution.shape,
+                           sent.text, sent.shape));
+    if (execution.workspace != sent.workspace || execution.service != sent.service)
         report(history, soak_promise::OnlyAsked,
-               fmt::format("{}: ran as {} at {}, asked as {} at {}", run.id, run.workspace,
-                           run.service, from.workspace, from.service));
-    if (run.values != from.values)
+               fmt::format("{}: executed for workspace {} at {}, sent for workspace {} at {}",
+                           execution.id, execution.workspace, execution.service, sent.workspace,
+                           sent.service));
+    if (execution.values != sent.values)
         report(history, soak_promise::OneTransaction,
-               fmt::format("{} of session {}: ran with values{} at {}, asked with{}", run.id,
-                           from.session, textOf(run.values), run.member, textOf(from.values)));
-    if (from.sentAt > from.keyEndsAt)
+               fmt::format("{} of session {}: executed with session values{} at {}, expected{}",
+                           execution.id, sent.session, textOf(execution.values), execution.member,
+                           textOf(sent.values)));
+    if (sent.sentAt > sent.keyEndsAt)
         report(history, soak_promise::KeysEnd,
-               fmt::format("{}: ran at {} with a withdrawn key", run.id, run.member));
+               fmt::format("{}: executed at {} although its key is withdrawn", execution.id,
+                           execution.member));
 }
 
-void checkPlace(soak_history &history, const member_execution &run, const sent_statement &from)
+void checkTransaction(soak_history &history, const member_execution &execution,
+                      const sent_statement &sent)
 {
-    // A read may run inside a transaction of the proxy's own.
-    if ((run.transaction == 0) == from.inTransaction
-        && (from.inTransaction || from.writes || run.transaction == 0)) {
+    // The proxy may run a single read inside a transaction that it opens itself.
+    if ((execution.transaction == 0) == sent.inTransaction
+        && (sent.inTransaction || sent.writes || execution.transaction == 0)) {
         report(history, soak_promise::OneTransaction,
-               fmt::format("{}: asked {} a transaction, ran {} one at {}", run.id,
-                           from.inTransaction ? "in" : "outside",
-                           run.transaction == 0 ? "outside" : "in", run.member));
+               fmt::format("{}: sent {} a transaction, executed {} one at {}", execution.id,
+                           sent.inTransaction ? "in" : "outside",
+                           execution.transaction == 0 ? "outside" : "in", execution.member));
         return;
     }
-    if (run.transaction == 0)
+    if (execution.transaction == 0)
         return;
-    const auto owner = history.unitOf.emplace(run.transaction, from.unit).first;
-    if (owner->second != from.unit)
+    const auto firstUse = history.unitByTransaction.emplace(execution.transaction, sent.unit).first;
+    if (firstUse->second != sent.unit)
         report(history, soak_promise::OneTransaction,
-               fmt::format("{}: ran inside another caller's transaction at {}", run.id,
-                           run.member));
-    if (!from.inTransaction)
+               fmt::format("{}: executed inside another caller's transaction at {}", execution.id,
+                           execution.member));
+    if (!sent.inTransaction)
         return;
-    transaction_place &place =
-            history.placeOf.try_emplace(from.unit, transaction_place{ run.transaction, run.id })
+    transaction_location &location =
+            history.locationByUnit
+                    .try_emplace(sent.unit,
+                                 transaction_location{ execution.transaction, execution.id })
                     .first->second;
-    if (place.transaction != run.transaction && place.first != run.id)
+    if (location.transaction != execution.transaction && location.firstStatement != execution.id)
         report(history, soak_promise::OneTransaction,
-               fmt::format("{} of session {}: ran in transaction {} at {}, its first statement {} "
-                           "in {}",
-                           run.id, from.session, run.transaction, run.member, place.first,
-                           place.transaction));
-    place.transaction = run.transaction;
+               fmt::format(
+                       "{} of session {}: executed in transaction {} at {}, its first statement {} "
+                       "in {}",
+                       execution.id, sent.session, execution.transaction, execution.member,
+                       location.firstStatement, location.transaction));
+    location.transaction = execution.transaction;
 }
 
-void checkRate(soak_history &history, const member_execution &run, const sent_statement &from)
+void checkRate(soak_history &history, const member_execution &execution, const sent_statement &sent)
 {
-    const auto allowance = history.rateLimits.find(from.workspace);
-    if (allowance == history.rateLimits.end() || allowance->second.ratePerSecond == 0
-        || !history.countedUnits.insert(from.unit).second)
+    const auto limit = history.rateLimits.find(sent.workspace);
+    if (limit == history.rateLimits.end() || limit->second.ratePerSecond == 0
+        || !history.rateCountedUnits.insert(sent.unit).second)
         return;
-    auto &started = history.startedUnits[from.workspace];
-    started.push_back(run.now);
-    while (started.front() < run.now - rateWindow)
-        started.pop_front();
-    const double allowed =
-            (allowance->second.ratePerSecond * rateWindow.count() + allowance->second.burst)
-                    * rateOverage
-            + rateTolerance;
-    if (static_cast<double>(started.size()) > allowed)
+    auto &starts = history.unitStarts[sent.workspace];
+    starts.push_back(execution.now);
+    while (starts.front() < execution.now - rateWindow)
+        starts.pop_front();
+    const double allowed = (limit->second.ratePerSecond * rateWindow.count() + limit->second.burst)
+                                   * rateLimitFactor
+                           + rateToleranceOperations;
+    if (static_cast<double>(starts.size()) > allowed)
         report(history, soak_promise::RateLimit,
-               fmt::format("{}: {} operations in {} s, {} are allowed", from.workspace,
-                           started.size(), rateWindow.count(), allowed));
+               fmt::format("{}: {} operations in {} s, the limit is {}", sent.workspace,
+                           starts.size(), rateWindow.count(), allowed));
 }
 
 } // namespace
 
 void report(soak_history &history, soak_promise promise, std::string text)
 {
-    if (history.findings.size() < mostFindings)
+    if (history.findings.size() < maxFindings)
         history.findings.push_back({ promise, std::move(text) });
 }
 
 void onStatementSent(soak_history &history, const std::string &id, sent_statement statement)
 {
     if (statement.writes)
-        history.writesOf[statement.unit].insert(id);
+        history.writesByUnit[statement.unit].insert(id);
     history.asked.emplace(id, std::move(statement));
 }
 
-void onStatementExecuted(soak_history &history, const member_execution &run)
+void onStatementExecuted(soak_history &history, const member_execution &execution)
 {
-    const auto found = history.asked.find(run.id);
+    const auto found = history.asked.find(execution.id);
     if (found == history.asked.end()) {
         report(history, soak_promise::OnlyAsked,
-               fmt::format("{}: member {} ran '{}', nobody asked", run.id, run.member, run.text));
+               fmt::format("{}: member {} executed '{}', which no caller sent", execution.id,
+                           execution.member, execution.text));
         return;
     }
-    const sent_statement &from = found->second;
-    checkText(history, run, from);
-    checkPlace(history, run, from);
-    checkRate(history, run, from);
-    history.answers[run.id].emplace_back(run.digest, run.row);
-    const core::log_index required = from.writes ? 0 : requiredIndex(history, from);
-    if (run.applied < required)
+    const sent_statement &sent = found->second;
+    checkText(history, execution, sent);
+    checkTransaction(history, execution, sent);
+    checkRate(history, execution, sent);
+    history.answers[execution.id].emplace_back(execution.digest, execution.row);
+    const core::log_index required = sent.writes ? 0 : requiredIndex(history, sent);
+    if (execution.applied < required)
         report(history, soak_promise::Fresh,
-               fmt::format("{}: {} read at {} up to entry {}, entry {} was acknowledged", run.id,
-                           toString(from.kind), run.member, run.applied, required));
+               fmt::format(
+                       "{}: {} read at {} saw entries up to {}, although entry {} was acknowledged",
+                       execution.id, toString(sent.kind), execution.member, execution.applied,
+                       required));
 }
 
 void onCommitted(soak_history &history, const std::vector<std::string> &writes)
 {
     for (const std::string &id : writes) {
         if (++history.effects[id] > 1)
-            report(history, soak_promise::OnceOnly, fmt::format("{}: took effect twice", id));
-        const auto from = history.asked.find(id);
-        if (from != history.asked.end() && history.refusedUnits.contains(from->second.unit))
+            report(history, soak_promise::OnceOnly, fmt::format("{}: committed twice", id));
+        const auto sent = history.asked.find(id);
+        if (sent != history.asked.end() && history.notAppliedUnits.contains(sent->second.unit))
             report(history, soak_promise::TrueRefusal,
-                   fmt::format("{}: kept after its caller was told that it is not", id));
+                   fmt::format("{}: committed after its caller was told that it is not applied",
+                               id));
     }
 }
 
@@ -174,37 +185,40 @@
 {
     if (digest == "-")
         return;
-    const auto &list = history.answers[id];
-    if (std::find(list.begin(), list.end(), std::pair(digest, row)) == list.end())
+    const auto &answers = history.answers[id];
+    if (std::find(answers.begin(), answers.end(), std::pair(digest, row)) == answers.end())
         report(history, soak_promise::OwnAnswer,
-               fmt::format("{}: answered with digest {} and row '{}' of no member", id, digest,
-                           row));
+               fmt::format("{}: answered with digest {} and row '{}', which no member returned", id,
+                           digest, row));
     if (commit)
         history.acknowledged[history.asked.at(id).service].push_back({ now, *commit });
 }
 
 void onReportedNotApplied(soak_history &history, std::uint64_t unit)
 {
-    history.refusedUnits.insert(unit);
-    for (const std::string &id : history.writesOf[unit]) {
+    history.notAppliedUnits.insert(unit);
+    for (const std::string &id : history.writesByUnit[unit]) {
         if (history.effects[id] > 0)
             report(history, soak_promise::TrueRefusal,
-                   fmt::format("{}: was kept, its caller is told that it is not", id));
+                   fmt::format("{}: was committed, but its caller is told that it is not applied",
+                               id));
     }
 }
 
 void onPromoted(soak_history &history, const std::string &service, const std::string &holder,
-                std::uint64_t token, const std::function<bool(core::log_position)> &holds)
+                std::uint64_t token,
+                const std::function<bool(core::log_position)> &containsPosition)
 {
-    const auto first = history.holders.emplace(std::pair(service, token), holder).first;
+    const auto first = history.tokenHolders.emplace(std::pair(service, token), holder).first;
     if (first->second != holder)
         report(history, soak_promise::OnePromoter,
-               fmt::format("{}: token {} of {} and {}", service, token, first->second, holder));
-    auto &list = history.acknowledged[service];
-    for (const acknowledged_commit &each : list) {
-        if (!holds(each.position))
+               fmt::format("{}: fencing token {} is used by {} and {}", service, token,
+                           first->second, holder));
+    auto &commits = history.acknowledged[service];
+    for (const acknowledged_commit &each : commits) {
+        if (!containsPosition(each.position))
             report(history, soak_promise::NothingLost,
-                   fmt::format("{}: commit {}.{} was acknowledged and is not in the promoted log",
+                   fmt::format("{}: acknowledged commit {}.{} is missing from the promoted log",
                                service, each.position.term, each.position.index));
     }
 }
--- a/testing/standin_json.cpp
+++ b/testing/standin_json.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Fields of the messages of the fault ports.
+/// @brief JSON fields of the messages of the fault ports.
 
 #include <fuchsiagw/testing/standin_json.hpp>
 
--- a/testing/standin_member.cpp
+++ b/testing/standin_member.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Requests, slots and faults of one member of the stand-in.
+/// @brief Requests, execution slots and faults of one member of the stand-in.
 
 #include <utility>
 
@@ -55,18 +55,18 @@
         break;
     case member_fault::IsolateCallers:
         if (!on) {
-            for (const auto &deliver : std::exchange(held_, {}))
+            for (const auto &deliver : std::exchange(delayedDeliveries_, {}))
                 deliver();
         }
         break;
     case member_fault::Silent:
-        // The connections stay silent when the fault is switched off.
+        // Connections that are open now stay silent after the fault is switched off.
         for (auto &[connection, state] : connections_)
             state.isSilent = state.isSilent || on;
         break;
     case member_fault::Cross:
-        if (!on && crossed_.has_value()) {
-            const auto [connection, response] = *std::exchange(crossed_, std::nullopt);
+        if (!on && swappedResponse_.has_value()) {
+            const auto [connection, response] = *std::exchange(swappedResponse_, std::nullopt);
             answer(connection, response);
         }
         break;
@@ -84,7 +84,7 @@
     return !fault(member_fault::Stop).on && !fault(member_fault::Isolate).on;
 }
 
-std::optional<core::duration> standin_member::lagFault() const
+std::optional<core::duration> standin_member::lagOverride() const
 {
     if (!fault(member_fault::Lag).on)
         return std::nullopt;
@@ -107,7 +107,7 @@
 {
     connections_.try_emplace(connection);
     if (fault(member_fault::IsolateCallers).on) {
-        held_.emplace_back([this, request = std::move(request), connection]() mutable {
+        delayedDeliveries_.emplace_back([this, request = std::move(request), connection]() mutable {
             onRequest(std::move(request), connection);
         });
         return;
@@ -118,19 +118,19 @@
 
 void standin_member::onClosed(connection_number connection)
 {
-    // A caller that gives up during a partition is noticed after its delayed requests have come.
+    // During a partition the close arrives after the delayed requests of the same connection.
     if (fault(member_fault::IsolateCallers).on)
-        held_.emplace_back([this, connection] { forget(connection); });
+        delayedDeliveries_.emplace_back([this, connection] { dropConnection(connection); });
     else
-        forget(connection);
+        dropConnection(connection);
 }
 
-void standin_member::forget(connection_number connection)
+void standin_member::dropConnection(connection_number connection)
 {
     const auto found = connections_.find(connection);
     if (found == connections_.end())
         return;
-    if (found->second.isData)
+    if (found->second.isDataConnection)
         hooks_.releaseConnection();
     connections_.erase(found);
     std::erase_if(queue_, [connection](const job &each) { return each.connection == connection; });
@@ -171,14 +171,15 @@
     const std::pair key(parsed.until, ++newestWait_);
     const auto timer = std::make_shared<boost::asio::steady_timer>(context_, parsed.wait);
     waits_[key] = { connection, timer };
-    timer->async_wait([this, key, run = runs_](const boost::system::error_code &error) {
-        const auto found = waits_.find(key);
-        if (error || run != runs_ || found == waits_.end())
-            return;
-        const connection_number waiting = found->second.connection;
-        waits_.erase(found);
-        answerStatus(waiting);
-    });
+    timer->async_wait(
+            [this, key, generation = generation_](const boost::system::error_code &error) {
+                const auto found = waits_.find(key);
+                if (error || generation != generation_ || found == waits_.end())
+                    return;
+                const connection_number waiting = found->second.connection;
+                waits_.erase(found);
+                answerStatus(waiting);
+            });
     answerWaits();
 }
 
@@ -229,24 +230,24 @@
     next.headers = request.headers;
     hooks_.statementReceived();
     connection_state &state = connections_.at(connection);
-    if (state.isData) {
+    if (state.isDataConnection) {
         enqueue(std::move(next));
         return;
     }
-    if (!hooks_.takeConnection()) {
+    if (!hooks_.acquireConnection()) {
         execution refused;
         refused.answer.id = next.request.id;
         refused.answer.status = core::execute_status::Refused;
-        refused.answer.problem = "the group's connections are in use";
+        refused.answer.problem = "the group's connection limit is reached";
         refused.answer.applied = statusOf(model).applied;
         refused.answer.term = model.term;
         record(next, refused);
         answer(connection, jsonResponse(503, wire::toJson(refused.answer)));
         return;
     }
-    state.isData = true;
-    after(settings_.connect,
-          [this, next = std::move(next)]() mutable { enqueue(std::move(next)); });
+    state.isDataConnection = true;
+    runAfter(settings_.connect,
+             [this, next = std::move(next)]() mutable { enqueue(std::move(next)); });
 }
 
 void standin_member::enqueue(job &&next)
@@ -262,21 +263,22 @@
     while (running_ < settings_.slots && !queue_.empty()) {
         job next = std::move(queue_.front());
         queue_.pop_front();
-        next.hadTransaction = model.transactions.contains(next.connection);
+        next.wasInTransaction = model.transactions.contains(next.connection);
         ++running_;
-        after(settings_.execute + delayOf(fault(member_fault::Slow)),
-              [this, next = std::move(next)] { finish(next); });
+        runAfter(settings_.execute + delayOf(fault(member_fault::Slow)),
+                 [this, next = std::move(next)] { finish(next); });
     }
 }
 
 void standin_member::finish(const job &done)
 {
     --running_;
-    // A write by itself may still run after its connection was closed. The statement of a
-    // transaction that was rolled back must not run outside it.
+    // A single write may run even though its connection was closed. A statement of a transaction
+    // must not: the close rolled the transaction back, and the statement would commit by itself.
     const bool isOpen = connections_.contains(done.connection);
-    const bool runsAlone = done.request.kind == core::statement_kind::Write && !done.hadTransaction;
-    if (isOpen || runsAlone) {
+    const bool isAutocommit =
+            done.request.kind == core::statement_kind::Write && !done.wasInTransaction;
+    if (isOpen || isAutocommit) {
         const core::log_position before = statusOf(model).last;
         const execution result = execute(model, done.connection, done.request, net::currentTime());
         record(done, result);
@@ -310,13 +312,13 @@
 
 void standin_member::stop()
 {
-    ++runs_;
+    ++generation_;
     server_.stop();
-    held_.clear();
+    delayedDeliveries_.clear();
     while (!connections_.empty())
-        forget(connections_.begin()->first);
+        dropConnection(connections_.begin()->first);
     waits_.clear();
-    crossed_.reset();
+    swappedResponse_.reset();
     running_ = 0;
 }
 
@@ -326,7 +328,8 @@
     if (found == connections_.end() || found->second.isSilent)
         return;
     if (fault(member_fault::IsolateCallers).on)
-        held_.emplace_back([this, connection, response] { answer(connection, response); });
+        delayedDeliveries_.emplace_back(
+                [this, connection, response] { answer(connection, response); });
     else
         server_.answer(connection, response);
 }
@@ -345,14 +348,14 @@
     if (consume(fault(member_fault::LoseAnswer))) {
         found->second.isSilent = true;
     } else if (fault(member_fault::Late).on) {
-        after(delayOf(fault(member_fault::Late)),
-              [this, connection, response] { answer(connection, response); });
+        runAfter(delayOf(fault(member_fault::Late)),
+                 [this, connection, response] { answer(connection, response); });
     } else if (!fault(member_fault::Cross).on) {
         answer(connection, response);
-    } else if (!crossed_.has_value() || !connections_.contains(crossed_->first)) {
-        crossed_.emplace(connection, response);
+    } else if (!swappedResponse_.has_value() || !connections_.contains(swappedResponse_->first)) {
+        swappedResponse_.emplace(connection, response);
     } else {
-        const auto [other, otherResponse] = *std::exchange(crossed_, std::nullopt);
+        const auto [other, otherResponse] = *std::exchange(swappedResponse_, std::nullopt);
         answer(other, response);
         answer(connection, otherResponse);
         static_cast<void>(consume(fault(member_fault::Cross)));
@@ -360,16 +363,16 @@
     }
 }
 
-void standin_member::after(core::duration delay, std::function<void()> action)
+void standin_member::runAfter(core::duration delay, std::function<void()> action)
 {
     if (delay <= core::duration::zero()) {
         action();
         return;
     }
     const auto timer = std::make_shared<boost::asio::steady_timer>(context_, delay);
-    timer->async_wait([this, timer, run = runs_,
+    timer->async_wait([this, timer, generation = generation_,
                        action = std::move(action)](const boost::system::error_code &error) {
-        if (!error && run == runs_)
+        if (!error && generation == generation_)
             action();
     });
 }
--- a/testing/upstream-standin-main.cpp
+++ b/testing/upstream-standin-main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Program that stands in for one database group on loopback ports.
+/// @brief upstream-standin: runs the stand-in for one database group on loopback ports.
 
 #include <utility>
 
@@ -18,17 +18,17 @@
 ABSL_FLAG(std::string, group, "group",
           "name of the group; its members are <group>-1, <group>-2...");
 ABSL_FLAG(std::uint32_t, members, 3, "number of members");
-ABSL_FLAG(std::vector<std::string>, ports, {}, "port of each member; missing or 0: any free one");
-ABSL_FLAG(std::uint16_t, fault_port, 0, "port for faults, history and counters; 0: any free one");
+ABSL_FLAG(std::vector<std::string>, ports, {}, "port of each member; missing or 0: any free port");
+ABSL_FLAG(std::uint16_t, fault_port, 0, "port for faults, history and counters; 0: any free port");
 ABSL_FLAG(std::vector<std::string>, zones, {}, "availability zone of each member");
-ABSL_FLAG(std::uint32_t, slots, 2, "statements that a member executes at once");
-ABSL_FLAG(std::uint32_t, connections, 16, "data connections to all members together");
-ABSL_FLAG(double, execute_ms, 1, "time of one statement");
+ABSL_FLAG(std::uint32_t, slots, 2, "statements that a member executes concurrently");
+ABSL_FLAG(std::uint32_t, connections, 16, "limit on the data connections to all members together");
+ABSL_FLAG(double, execute_ms, 1, "execution time of a statement");
 ABSL_FLAG(double, lag_ms, 5, "mean replication lag");
-ABSL_FLAG(double, apply_ms, 0, "further time until reads of a replica see what it has copied");
+ABSL_FLAG(double, apply_ms, 0, "additional time until reads of a replica see copied entries");
 ABSL_FLAG(double, connect_ms, 0, "delay of the first statement of a connection");
-ABSL_FLAG(std::uint64_t, seed, 1, "seed of the replication lag's variation");
-ABSL_FLAG(std::uint32_t, history, 100'000, "statements that the history keeps");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of the random replication lag");
+ABSL_FLAG(std::uint32_t, history, 100'000, "limit on the statements in the history");
 
 namespace {
 
@@ -40,7 +40,7 @@
             std::chrono::duration<double, std::milli>(value));
 }
 
-/// @return false if a flag is wrong
+/// @return false if a flag is invalid
 bool readSettings(testing::group_standin_settings &settings)
 {
     settings.group = { absl::GetFlag(FLAGS_group) };
@@ -73,17 +73,18 @@
 
 int main(int argc, char **argv)
 {
-    absl::SetProgramUsageMessage("Stands in for one database group on loopback ports.");
+    absl::SetProgramUsageMessage("Runs a stand-in for one database group on loopback ports.");
     absl::ParseCommandLine(argc, argv);
     testing::group_standin_settings settings;
     if (!readSettings(settings)) {
-        std::fputs("upstream-standin: a flag is wrong; --ports and --zones need one value for each "
+        std::fputs("upstream-standin: invalid flag; --ports and --zones need one value for each "
                    "member\n",
                    stderr);
         return 2;
     }
     boost::asio::io_context context(1);
-    // It outlives the stand-in, so that a second signal does not end the process abnormally.
+    // Declared before the stand-in, so that a second signal during its destruction is ignored and
+    // does not kill the process.
     boost::asio::signal_set signals(context, SIGTERM, SIGINT);
     testing::group_standin group(context, settings);
     if (const auto error = group.start()) {
--- a/tests/unit-processes.cpp
+++ b/tests/unit-processes.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests with real daemons, members and platform stand-ins on loopback.
+/// @brief Tests with daemon processes and with stand-ins for members and platform on loopback.
 
 #include <utility>
 
@@ -17,19 +17,20 @@
 
 namespace {
 
-const std::vector<std::string> valleCentral{ "alajuela", "heredia", "cartago", "san-jose" };
+const std::vector<std::string> zoneNames{ "alajuela", "heredia", "cartago", "san-jose" };
 
-deployment_plan smallPlan()
+deployment_plan smallDeploymentPlan()
 {
     deployment_plan plan;
-    plan.zones = valleCentral;
+    plan.zones = zoneNames;
     plan.daemons = 4;
     plan.groups = 1;
     return plan;
 }
 
-/// Writes until one succeeds; tells how long that took.
-std::chrono::milliseconds timeToWrite(const deployment &cluster, std::size_t daemon)
+/// @brief Repeats a write until it succeeds.
+/// @return the time until then
+std::chrono::milliseconds timeUntilWriteSucceeds(const deployment &cluster, std::size_t daemon)
 {
     const auto start = std::chrono::steady_clock::now();
     const bool done = deployment::waitFor(
@@ -43,12 +44,12 @@
 
 TEST_GROUP(processes){};
 
-// Guards against a session that misses its own write after it has moved to another instance (M1), a
-// workspace key that reaches a member (M5), and reads that only the primary serves.
-TEST(processes, sessionsReadTheirWritesOnAnyInstance)
+// Guards against a session that misses its own write after it has moved to another instance, a
+// workspace key or session token that reaches a member, and replicas that serve no reads.
+TEST(processes, sessionsReadTheirWritesOnEveryInstance)
 {
     deployment_plan plan;
-    plan.zones = valleCentral;
+    plan.zones = zoneNames;
     deployment cluster(plan);
     std::string session;
     int fromReplicas = 0;
@@ -74,11 +75,11 @@
     }
 }
 
-// Guards against lost acknowledged writes and a gap beyond the bound of 5 s when a primary is lost,
-// and against an old primary that comes back.
+// Guards against lost acknowledged writes and an interruption of writes of 5 s or more when a
+// primary stops, and against an old primary that remains primary after its restart.
 TEST(processes, acknowledgedWritesSurviveTheLossOfThePrimary)
 {
-    const deployment cluster(smallPlan());
+    const deployment cluster(smallDeploymentPlan());
     std::vector<std::string> acknowledged;
     for (int i = 0; i < 20; ++i) {
         if (cluster.write(static_cast<std::size_t>(i) % 4, "g1",
@@ -90,8 +91,8 @@
     CHECK_TRUE(acknowledged.size() >= 19);
     const std::string old = cluster.primaryOf("g1");
     cluster.fault("g1", R"({"member":")" + old + R"(","kind":"stop","on":true})");
-    const auto gap = timeToWrite(cluster, 1);
-    CHECK_TRUE(gap < 5s);
+    const auto unavailability = timeUntilWriteSucceeds(cluster, 1);
+    CHECK_TRUE(unavailability < 5s);
     for (const std::string &each : acknowledged)
         CHECK_EQUAL(std::string("v"), cluster.read(2, "g1", "get " + each, false).value);
     cluster.fault("g1", R"({"member":")" + old + R"(","kind":"stop","on":false})");
@@ -100,11 +101,11 @@
         CHECK_EQUAL(std::string("v"), cluster.read(3, "g1", "get " + each, false).value);
 }
 
-// Guards against a daemon's death that ends the others' service, and against a transaction of the
-// dead one whose statements are kept or reported as committed (M3).
-TEST(processes, deathOfADaemonRollsItsTransactionsBack)
+// Guards against a daemon crash that interrupts the service of the other daemons, and against a
+// transaction of the crashed daemon whose statements are committed or reported as committed.
+TEST(processes, daemonCrashRollsBackItsTransactions)
 {
-    deployment cluster(smallPlan());
+    deployment cluster(smallDeploymentPlan());
     const auto begun = cluster.call(0, "/v1/transactions", R"({"group":"g1"})");
     CHECK_EQUAL(200, begun.status);
     const std::string path = "/v1/transactions/" + begun.transaction;
@@ -113,8 +114,8 @@
                         .status);
     cluster.daemons[0].signal(SIGKILL);
     cluster.daemons[0].wait(5s);
-    // Until the death is noticed the answer may be that the owner can't be reached; it must never
-    // be a success.
+    // Until the crash is detected, the answer may be that the transaction's owner can't be reached;
+    // it must never be a success.
     call_result commit;
     const bool isLost = deployment::waitFor(
             [&] {
@@ -128,14 +129,14 @@
     CHECK_TRUE(deployment::waitFor(
             [&] { return cluster.read(2, "g1", "get t", false).status == 200; }, 15s));
     CHECK_EQUAL(std::string(), cluster.read(2, "g1", "get t", false).value);
-    CHECK_TRUE(timeToWrite(cluster, 1) < 15s);
+    CHECK_TRUE(timeUntilWriteSucceeds(cluster, 1) < 15s);
 }
 
-// Guards against requests that a planned stop interrupts (M12).
+// Guards against a planned stop that interrupts accepted requests.
 TEST(processes, plannedStopAnswersEveryAcceptedRequest)
 {
-    deployment cluster(smallPlan());
-    CHECK_TRUE(timeToWrite(cluster, 0) < 15s);
+    deployment cluster(smallDeploymentPlan());
+    CHECK_TRUE(timeUntilWriteSucceeds(cluster, 0) < 15s);
     std::atomic<int> answered{ 0 };
     std::atomic<int> interrupted{ 0 };
     std::vector<std::thread> callers;
@@ -145,8 +146,8 @@
             (result.status == 200 ? answered : interrupted) += 1;
         });
     }
-    // Accepted means that the daemon has read the request; the stop comes while they wait for their
-    // confirmation.
+    // A request is accepted once the daemon has read it. After this pause the requests are accepted
+    // and wait for their confirmation.
     std::this_thread::sleep_for(5ms);
     cluster.daemons[0].signal(SIGTERM);
     for (std::thread &each : callers)
@@ -157,30 +158,32 @@
     CHECK_EQUAL(200, cluster.write(1, "g1", "set after $1", "v").status);
 }
 
-// Guards against a resumed daemon that goes on with what it knew before it was stopped.
-TEST(processes, frozenDaemonServesAgainAfterItWasResumed)
+// Guards against a daemon that uses outdated state after it was suspended and resumed.
+TEST(processes, suspendedDaemonServesAgainAfterItIsResumed)
 {
-    deployment cluster(smallPlan());
-    CHECK_TRUE(timeToWrite(cluster, 0) < 15s);
+    deployment cluster(smallDeploymentPlan());
+    CHECK_TRUE(timeUntilWriteSucceeds(cluster, 0) < 15s);
     cluster.daemons[0].signal(SIGSTOP);
     CHECK_EQUAL(200, cluster.write(1, "g1", "set f $1", "other").status);
-    std::this_thread::sleep_for(2s); // longer than a peer's silence, so that the others take over
+    std::this_thread::sleep_for(
+            2s); // longer than the failure detection timeout, so that the other daemons take over
     cluster.daemons[0].signal(SIGCONT);
     CHECK_TRUE(deployment::waitFor(
             [&] { return cluster.read(0, "g1", "get f", false).value == "other"; }, 20s));
-    CHECK_TRUE(timeToWrite(cluster, 0) < 15s);
+    CHECK_TRUE(timeUntilWriteSucceeds(cluster, 0) < 15s);
 }
 
-// Guards against refusals that come from an outage of the platform.
+// Guards against statements that are refused because of a platform outage.
 TEST(processes, platformOutageStopsNoStatement)
 {
-    const deployment cluster(smallPlan());
-    CHECK_TRUE(timeToWrite(cluster, 0) < 15s);
-    std::this_thread::sleep_for(3s); // home shares and witnesses are recorded
+    const deployment cluster(smallDeploymentPlan());
+    CHECK_TRUE(timeUntilWriteSucceeds(cluster, 0) < 15s);
+    std::this_thread::sleep_for(3s); // until home shares and witnesses are recorded
     cluster.platformFault(R"({"kind":"down","on":true})");
     int refused = 0;
-    const auto end = std::chrono::steady_clock::now() + 12s; // beyond every proof and promise
-    for (int i = 0; std::chrono::steady_clock::now() < end; ++i) {
+    const auto outageEnd = std::chrono::steady_clock::now()
+                           + 12s; // longer than any freshness proof or lease remains valid
+    for (int i = 0; std::chrono::steady_clock::now() < outageEnd; ++i) {
         const auto result =
                 cluster.write(static_cast<std::size_t>(i) % 4, "g1", "set p $1", std::to_string(i));
         refused += result.status == 200 ? 0 : 1;
@@ -191,15 +194,16 @@
     cluster.platformFault(R"({"kind":"down","on":false})");
 }
 
-// Guards against waiting for ever on connections that went silent while new ones work.
+// Guards against waiting forever on connections that no longer answer although new connections
+// work.
 TEST(processes, silentConnectionsAreReplaced)
 {
-    const deployment cluster(smallPlan());
-    CHECK_TRUE(timeToWrite(cluster, 0) < 15s);
+    const deployment cluster(smallDeploymentPlan());
+    CHECK_TRUE(timeUntilWriteSucceeds(cluster, 0) < 15s);
     const std::string primary = cluster.primaryOf("g1");
     cluster.fault("g1", R"({"member":")" + primary + R"(","kind":"silent","on":true})");
     const auto read = cluster.read(0, "g1", "get gap", false);
     CHECK_EQUAL(200, read.status);
     CHECK_EQUAL(std::string("x"), read.value);
-    CHECK_TRUE(timeToWrite(cluster, 0) < 15s);
+    CHECK_TRUE(timeUntilWriteSucceeds(cluster, 0) < 15s);
 }
--- a/tests/unit-soak-history.cpp
+++ b/tests/unit-soak-history.cpp
@@ -1,5 +1,8 @@
 /// @file
-/// @brief Each check of the fault soak notices the error that it is there for.
+/// @brief Tests that each check of the fault soak reports the violation that it looks for.
+///
+/// Guards against a soak that passes because a check no longer reports anything: each test records
+/// one violation and expects exactly one finding of its guarantee.
 
 #include <fuchsiagw/testing/soak_history.hpp>
 
@@ -19,33 +22,33 @@
 {
     soak_history history;
 
-    void ask(const std::string &id, std::uint64_t unit, bool writes,
-             proxy::consistency kind = proxy::consistency::Primary)
+    void send(const std::string &id, std::uint64_t unit, bool writes,
+              proxy::consistency kind = proxy::consistency::Primary)
     {
-        sent_statement from;
-        from.text = "text " + id;
-        from.workspace = "house";
-        from.service = "books";
-        from.unit = unit;
-        from.writes = writes;
-        from.kind = kind;
-        from.maxStaleness = seconds(2);
-        from.sentAt = from.unitSentAt = start + seconds(10);
-        onStatementSent(history, id, from);
+        sent_statement statement;
+        statement.text = "text " + id;
+        statement.workspace = "house";
+        statement.service = "books";
+        statement.unit = unit;
+        statement.writes = writes;
+        statement.kind = kind;
+        statement.maxStaleness = seconds(2);
+        statement.sentAt = statement.unitSentAt = start + seconds(10);
+        onStatementSent(history, id, statement);
     }
 
-    member_execution runOf(const std::string &id, core::log_index applied = 0)
+    member_execution executionOf(const std::string &id, core::log_index applied = 0)
     {
-        member_execution run;
-        run.id = id;
-        run.text = "text " + id;
-        run.workspace = "house";
-        run.service = "books";
-        run.member = "m1";
-        run.applied = applied;
-        run.digest = "digest " + id;
-        run.now = start + seconds(10);
-        return run;
+        member_execution execution;
+        execution.id = id;
+        execution.text = "text " + id;
+        execution.workspace = "house";
+        execution.service = "books";
+        execution.member = "m1";
+        execution.applied = applied;
+        execution.digest = "digest " + id;
+        execution.now = start + seconds(10);
+        return execution;
     }
 
     void acknowledge(core::log_index index, core::time_point at)
@@ -53,7 +56,7 @@
         history.acknowledged["books"].push_back({ at, { 1, index } });
     }
 
-    void expect(soak_promise promise)
+    void expectOnly(soak_promise promise)
     {
         CHECK_EQUAL(1U, history.findings.size());
         CHECK(history.findings.front().promise == promise);
@@ -64,160 +67,164 @@
 
 TEST_GROUP(soak_history)
 {
-    history_fixture world;
+    history_fixture fixture;
 };
 
-TEST(soak_history, faultlessStatementsLeaveNoFinding)
+// Guards against findings for correct statements.
+TEST(soak_history, correctStatementsLeaveNoFinding)
 {
-    world.ask("a", 1, true);
-    onStatementExecuted(world.history, world.runOf("a"));
-    onCommitted(world.history, { "a" });
-    onSuccess(world.history, "a", "digest a", {}, core::log_position{ 1, 1 }, start + seconds(11));
-    world.ask("b", 2, false);
-    onStatementExecuted(world.history, world.runOf("b", 1));
-    onSuccess(world.history, "b", "digest b", {}, std::nullopt, start + seconds(12));
-    CHECK(world.history.findings.empty());
+    fixture.send("a", 1, true);
+    onStatementExecuted(fixture.history, fixture.executionOf("a"));
+    onCommitted(fixture.history, { "a" });
+    onSuccess(fixture.history, "a", "digest a", {}, core::log_position{ 1, 1 },
+              start + seconds(11));
+    fixture.send("b", 2, false);
+    onStatementExecuted(fixture.history, fixture.executionOf("b", 1));
+    onSuccess(fixture.history, "b", "digest b", {}, std::nullopt, start + seconds(12));
+    CHECK(fixture.history.findings.empty());
 }
 
-TEST(soak_history, answerOfNoMemberIsNoticed)
+TEST(soak_history, answerThatNoMemberGaveIsReported)
 {
-    world.ask("a", 1, false);
-    onStatementExecuted(world.history, world.runOf("a"));
-    onSuccess(world.history, "a", "digest of another", {}, std::nullopt, start);
-    world.expect(soak_promise::OwnAnswer);
+    fixture.send("a", 1, false);
+    onStatementExecuted(fixture.history, fixture.executionOf("a"));
+    onSuccess(fixture.history, "a", "digest of another", {}, std::nullopt, start);
+    fixture.expectOnly(soak_promise::OwnAnswer);
 }
 
-TEST(soak_history, statementThatNobodyAskedIsNoticed)
+TEST(soak_history, statementThatNoCallerSentIsReported)
 {
-    onStatementExecuted(world.history, world.runOf("a"));
-    world.expect(soak_promise::OnlyAsked);
+    onStatementExecuted(fixture.history, fixture.executionOf("a"));
+    fixture.expectOnly(soak_promise::OnlyAsked);
 }
 
-TEST(soak_history, otherWorkspaceIsNoticed)
+TEST(soak_history, executionInAnotherWorkspaceIsReported)
 {
-    world.ask("a", 1, false);
-    member_execution run = world.runOf("a");
-    run.workspace = "rival";
-    onStatementExecuted(world.history, run);
-    world.expect(soak_promise::OnlyAsked);
+    fixture.send("a", 1, false);
+    member_execution execution = fixture.executionOf("a");
+    execution.workspace = "rival";
+    onStatementExecuted(fixture.history, execution);
+    fixture.expectOnly(soak_promise::OnlyAsked);
 }
 
-TEST(soak_history, otherSessionsValuesAreNoticed)
+TEST(soak_history, sessionValuesOfAnotherSessionAreReported)
 {
-    world.ask("a", 1, false);
-    member_execution run = world.runOf("a");
-    run.values["tz"] = "3";
-    onStatementExecuted(world.history, run);
-    world.expect(soak_promise::OneTransaction);
+    fixture.send("a", 1, false);
+    member_execution execution = fixture.executionOf("a");
+    execution.values["tz"] = "3";
+    onStatementExecuted(fixture.history, execution);
+    fixture.expectOnly(soak_promise::OneTransaction);
 }
 
-TEST(soak_history, twoCallersInOneTransactionAreNoticed)
+TEST(soak_history, twoCallersInOneTransactionAreReported)
 {
     for (const auto &[id, unit] : { std::pair("a", 1), std::pair("b", 2) }) {
-        world.ask(id, static_cast<std::uint64_t>(unit), true);
-        world.history.asked.at(id).inTransaction = true;
-        member_execution run = world.runOf(id);
-        run.transaction = 7;
-        onStatementExecuted(world.history, run);
+        fixture.send(id, static_cast<std::uint64_t>(unit), true);
+        fixture.history.asked.at(id).inTransaction = true;
+        member_execution execution = fixture.executionOf(id);
+        execution.transaction = 7;
+        onStatementExecuted(fixture.history, execution);
     }
-    world.expect(soak_promise::OneTransaction);
+    fixture.expectOnly(soak_promise::OneTransaction);
 }
 
-TEST(soak_history, statementOutsideItsTransactionIsNoticed)
+TEST(soak_history, statementOutsideItsTransactionIsReported)
 {
-    world.ask("a", 1, true);
-    world.history.asked.at("a").inTransaction = true;
-    onStatementExecuted(world.history, world.runOf("a"));
-    world.expect(soak_promise::OneTransaction);
+    fixture.send("a", 1, true);
+    fixture.history.asked.at("a").inTransaction = true;
+    onStatementExecuted(fixture.history, fixture.executionOf("a"));
+    fixture.expectOnly(soak_promise::OneTransaction);
 }
 
-TEST(soak_history, secondEffectIsNoticed)
+TEST(soak_history, duplicateCommitIsReported)
 {
-    world.ask("a", 1, true);
-    onCommitted(world.history, { "a" });
-    onCommitted(world.history, { "a" });
-    world.expect(soak_promise::OnceOnly);
+    fixture.send("a", 1, true);
+    onCommitted(fixture.history, { "a" });
+    onCommitted(fixture.history, { "a" });
+    fixture.expectOnly(soak_promise::OnceOnly);
 }
 
-TEST(soak_history, effectThatWasRolledBackDoesNotCount)
+// Guards against findings for a write that a promotion truncated before its caller was told that it
+// is not applied.
+TEST(soak_history, rolledBackCommitDoesNotCount)
 {
-    world.ask("a", 1, true);
-    onCommitted(world.history, { "a" });
-    onRolledBack(world.history, { "a" });
-    onReportedNotApplied(world.history, 1);
-    CHECK(world.history.findings.empty());
+    fixture.send("a", 1, true);
+    onCommitted(fixture.history, { "a" });
+    onRolledBack(fixture.history, { "a" });
+    onReportedNotApplied(fixture.history, 1);
+    CHECK(fixture.history.findings.empty());
 }
 
-TEST(soak_history, untrueRefusalIsNoticedInEitherOrder)
+TEST(soak_history, committedWriteReportedAsNotAppliedIsReportedInEitherOrder)
 {
-    world.ask("a", 1, true);
-    onCommitted(world.history, { "a" });
-    onReportedNotApplied(world.history, 1);
-    world.expect(soak_promise::TrueRefusal);
-    world.history.findings.clear();
-    world.ask("b", 2, true);
-    onReportedNotApplied(world.history, 2);
-    onCommitted(world.history, { "b" });
-    world.expect(soak_promise::TrueRefusal);
+    fixture.send("a", 1, true);
+    onCommitted(fixture.history, { "a" });
+    onReportedNotApplied(fixture.history, 1);
+    fixture.expectOnly(soak_promise::TrueRefusal);
+    fixture.history.findings.clear();
+    fixture.send("b", 2, true);
+    onReportedNotApplied(fixture.history, 2);
+    onCommitted(fixture.history, { "b" });
+    fixture.expectOnly(soak_promise::TrueRefusal);
 }
 
-TEST(soak_history, staleReadIsNoticedByTheKindOfItsRoute)
+TEST(soak_history, staleReadIsReportedPerConsistencyLevel)
 {
-    world.acknowledge(3, start + seconds(9));
-    world.ask("bounded", 1, false, proxy::consistency::BoundedStaleness);
-    onStatementExecuted(world.history, world.runOf("bounded", 2));
-    CHECK(world.history.findings.empty());
-    world.ask("current", 2, false);
-    onStatementExecuted(world.history, world.runOf("current", 2));
-    world.expect(soak_promise::Fresh);
-    world.history.findings.clear();
-    world.acknowledge(4, start + seconds(7));
-    world.ask("late", 3, false, proxy::consistency::BoundedStaleness);
-    onStatementExecuted(world.history, world.runOf("late", 3));
-    world.expect(soak_promise::Fresh);
+    fixture.acknowledge(3, start + seconds(9));
+    fixture.send("bounded", 1, false, proxy::consistency::BoundedStaleness);
+    onStatementExecuted(fixture.history, fixture.executionOf("bounded", 2));
+    CHECK(fixture.history.findings.empty());
+    fixture.send("current", 2, false);
+    onStatementExecuted(fixture.history, fixture.executionOf("current", 2));
+    fixture.expectOnly(soak_promise::Fresh);
+    fixture.history.findings.clear();
+    fixture.acknowledge(4, start + seconds(7));
+    fixture.send("late", 3, false, proxy::consistency::BoundedStaleness);
+    onStatementExecuted(fixture.history, fixture.executionOf("late", 3));
+    fixture.expectOnly(soak_promise::Fresh);
 }
 
-TEST(soak_history, ownCommitIsDemanded)
+TEST(soak_history, readThatMissesTheSessionsOwnCommitIsReported)
 {
-    world.ask("own", 1, false, proxy::consistency::ReadYourWrites);
-    world.history.asked.at("own").ownCommit = 5;
-    onStatementExecuted(world.history, world.runOf("own", 4));
-    world.expect(soak_promise::Fresh);
+    fixture.send("own", 1, false, proxy::consistency::ReadYourWrites);
+    fixture.history.asked.at("own").ownCommit = 5;
+    onStatementExecuted(fixture.history, fixture.executionOf("own", 4));
+    fixture.expectOnly(soak_promise::Fresh);
 }
 
-TEST(soak_history, lostCommitIsNoticed)
+TEST(soak_history, acknowledgedCommitMissingAfterPromotionIsReported)
 {
-    world.acknowledge(3, start);
-    onPromoted(world.history, "books", "node", 1,
+    fixture.acknowledge(3, start);
+    onPromoted(fixture.history, "books", "node", 1,
                [](core::log_position position) { return position.index < 3; });
-    world.expect(soak_promise::NothingLost);
+    fixture.expectOnly(soak_promise::NothingLost);
 }
 
-TEST(soak_history, sharedTokenIsNoticed)
+TEST(soak_history, fencingTokenUsedByTwoDaemonsIsReported)
 {
-    const auto holdsAll = [](core::log_position) { return true; };
-    onPromoted(world.history, "books", "node-1", 7, holdsAll);
-    onPromoted(world.history, "books", "node-2", 7, holdsAll);
-    world.expect(soak_promise::OnePromoter);
+    const auto containsAll = [](core::log_position) { return true; };
+    onPromoted(fixture.history, "books", "node-1", 7, containsAll);
+    onPromoted(fixture.history, "books", "node-2", 7, containsAll);
+    fixture.expectOnly(soak_promise::OnePromoter);
 }
 
-TEST(soak_history, withdrawnKeyIsNoticed)
+TEST(soak_history, statementWithAWithdrawnKeyIsReported)
 {
-    world.ask("a", 1, false);
-    world.history.asked.at("a").keyEndsAt = start + seconds(9);
-    onStatementExecuted(world.history, world.runOf("a"));
-    world.expect(soak_promise::KeysEnd);
+    fixture.send("a", 1, false);
+    fixture.history.asked.at("a").keyEndsAt = start + seconds(9);
+    onStatementExecuted(fixture.history, fixture.executionOf("a"));
+    fixture.expectOnly(soak_promise::KeysEnd);
 }
 
-TEST(soak_history, exceededRateIsNoticed)
+TEST(soak_history, exceededRateLimitIsReported)
 {
-    world.history.rateLimits["house"] = { 2, 5 };
-    for (std::uint64_t i = 0; i < 60 && world.history.findings.empty(); ++i) {
+    fixture.history.rateLimits["house"] = { 2, 5 };
+    for (std::uint64_t i = 0; i < 60 && fixture.history.findings.empty(); ++i) {
         const std::string id = "s" + std::to_string(i);
-        world.ask(id, i, false);
-        onStatementExecuted(world.history, world.runOf(id));
+        fixture.send(id, i, false);
+        onStatementExecuted(fixture.history, fixture.executionOf(id));
     }
-    // (2 x 5 + 5) x 1.1 + 20 operations are allowed in a window.
-    CHECK_EQUAL(37U, world.history.asked.size());
-    world.expect(soak_promise::RateLimit);
+    // The limit of a 5 s window is (2 x 5 + 5) x 1.1 + 20 operations.
+    CHECK_EQUAL(37U, fixture.history.asked.size());
+    fixture.expectOnly(soak_promise::RateLimit);
 }
--- a/tests/unit-standin-member.cpp
+++ b/tests/unit-standin-member.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the modelled group member.
+/// @brief Tests of the model of a group member.
 
 #include <fuchsiagw/testing/member_model.hpp>
 
@@ -30,7 +30,7 @@
 
 } // namespace
 
-/// A primary `a` and two replicas in term 1; nothing is replicated until copyLog().
+/// Primary `a` with replicas `b` and `c` in term 1; only copyLog() replicates.
 TEST_GROUP(member_model)
 {
     member_model a = makeMember("a");
@@ -78,7 +78,8 @@
     }
 };
 
-// Guards against a stand-in that computes something else than the tests compare with.
+// Guards against commands whose results differ from those that other tests expect, and against
+// invalid commands that change data.
 TEST(member_model, runsEveryCommand)
 {
     STRCMP_EQUAL("2", write(a, "add n 2").rows[0][0].c_str());
@@ -100,8 +101,9 @@
     STRCMP_EQUAL("v w", get(a, "k").c_str());
 }
 
-// Guards against one workspace that reads or repeats the data of another.
-TEST(member_model, workspacesShareNeitherDataNorKeys)
+// Guards against a workspace that reads another one's data, or gets its answer because both use the
+// same idempotency key.
+TEST(member_model, workspacesShareNeitherDataNorIdempotencyKeys)
 {
     CHECK_TRUE(write(a, "set k mine", 1, "key").status == execute_status::Ok);
     auto foreign = request(a, statement_kind::Write, "get k");
@@ -112,7 +114,7 @@
     CHECK_TRUE(result.answer.rows.empty());
 }
 
-// Guards against a write that an old primary accepts after its replacement (M2).
+// Guards against a write that a primary accepts after it has accepted a higher term.
 TEST(member_model, refusesOtherTermsAndWritesAtReplicas)
 {
     auto old = request(a, statement_kind::Write, "set k 1");
@@ -133,8 +135,8 @@
     CHECK_EQUAL(1, statusOf(a).last.index);
 }
 
-// Guards against a replica that takes entries from a primary of a lower term, or from one that it
-// was not told to follow.
+// Guards against a replica that copies entries from a primary of a lower term, or from a member
+// that it does not follow.
 TEST(member_model, copiesOnlyFromThePrimaryOfItsTerm)
 {
     CHECK_TRUE(acceptTerm(b, 2).accepted);
@@ -146,8 +148,8 @@
     CHECK_FALSE(copyLog(c, a, at(100)));
 }
 
-// Guards against two primaries of one term.
-TEST(member_model, aTermHasOnePrimary)
+// Guards against two primaries in one term.
+TEST(member_model, termHasOnePrimary)
 {
     CHECK_FALSE(lead(b, 1, at(1)).accepted);
     CHECK_FALSE(follow(a, 1, { "b" }).accepted);
@@ -158,8 +160,8 @@
     CHECK_TRUE(statusOf(a).last == before);
 }
 
-// Guards against a returned primary that keeps writes which the group has lost.
-TEST(member_model, truncatesADivergingLog)
+// Guards against a former primary that keeps entries which the new primary's log does not contain.
+TEST(member_model, truncatesDivergingLog)
 {
     CHECK_TRUE(write(a, "set k common").status == execute_status::Ok);
     CHECK_TRUE(copyLog(b, a, at(100)));
@@ -172,7 +174,7 @@
     STRCMP_EQUAL("common", get(b, "k").c_str());
     CHECK_TRUE(acceptTerm(a, 2).accepted);
     CHECK_TRUE(follow(a, 2, { "b" }).accepted);
-    // The diverging entries go at once, the new ones come with the lag.
+    // Diverging entries are truncated at once; new ones are copied after the lag.
     CHECK_TRUE(copyLog(a, b, at(199)));
     CHECK_TRUE((statusOf(a).last == core::log_position{ 1, 2 }));
     CHECK_FALSE(holds(a, { 2, 2 }));
@@ -190,8 +192,8 @@
     STRCMP_EQUAL("common+", get(a, "k").c_str());
 }
 
-// Guards against a retried write that runs twice, also after a promotion (M10).
-TEST(member_model, repeatOfAKeyGetsTheFirstAnswer)
+// Guards against a retried write that is executed twice, also after a promotion.
+TEST(member_model, repeatedIdempotencyKeyGetsTheFirstAnswer)
 {
     const auto first = write(a, "add n 1", 1, "key");
     CHECK_TRUE(write(a, "add n 1").status == execute_status::Ok);
@@ -210,7 +212,7 @@
     CHECK_TRUE(lead(b, 2, at(200)).accepted);
     const auto promoted = write(b, "add n 1", 1, "key");
     CHECK_TRUE(promoted.rows == first.rows);
-    // Waiting for a majority at this position confirms the older entry too.
+    // A majority that holds this position also holds the older entry.
     CHECK_TRUE((promoted.position == core::log_position{ 2, 4 }));
     STRCMP_EQUAL("2", get(b, "n").c_str());
     // A failed write has no entry and may succeed later.
@@ -218,8 +220,8 @@
     CHECK_TRUE(write(b, "add n 1", 1, "again").status == execute_status::Ok);
 }
 
-// Guards against a read whose answer hides how old it is.
-TEST(member_model, replicaReadShowsItsLag)
+// Guards against a read whose answer does not report how far the replica has applied the log.
+TEST(member_model, replicaReadReportsItsAppliedPosition)
 {
     CHECK_TRUE(write(a, "set k 1", 1, "", at(10)).status == execute_status::Ok);
     CHECK_TRUE(write(a, "set k 2", 1, "", at(20)).status == execute_status::Ok);
@@ -235,8 +237,8 @@
     CHECK_TRUE((answer.position == core::log_position{}));
 }
 
-// Guards against statements of two transactions that see or carry each other's writes (M3).
-TEST(member_model, transactionsOfTwoConnectionsNeverMix)
+// Guards against transactions that read or commit each other's writes.
+TEST(member_model, transactionsOfTwoConnectionsAreIsolated)
 {
     for (const connection_number connection : { 1, 2 })
         CHECK_TRUE(run(a, statement_kind::Begin, connection) == execute_status::Ok);
@@ -254,8 +256,8 @@
     CHECK_TRUE(run(a, statement_kind::Commit, 1) == execute_status::Refused);
 }
 
-// Guards against a lost update between two transactions.
-TEST(member_model, commitFailsIfAnotherTransactionChangedWhatItSaw)
+// Guards against a lost update between two concurrent transactions.
+TEST(member_model, commitFailsIfAnotherTransactionChangedItsKeys)
 {
     for (const connection_number connection : { 1, 2 }) {
         CHECK_TRUE(run(a, statement_kind::Begin, connection) == execute_status::Ok);
@@ -266,7 +268,8 @@
     STRCMP_EQUAL("1", get(a, "n").c_str());
 }
 
-// Guards against a transaction that outlives its connection or its term, or serves two workspaces.
+// Guards against a transaction that remains open after its connection or its term has ended, or
+// that accepts statements of another workspace.
 TEST(member_model, transactionEndsWithItsConnectionAndItsTerm)
 {
     CHECK_TRUE(run(a, statement_kind::Begin, 1) == execute_status::Ok);
--- a/tests/unit-standin-platform.cpp
+++ b/tests/unit-standin-platform.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of the modelled platform and of its stand-in.
+/// @brief Tests of the platform model and of the platform stand-in.
 
 #include <utility>
 
@@ -52,7 +52,7 @@
     }
 };
 
-// Guards against a transaction of which a part is applied.
+// Guards against a transaction that is applied in part.
 TEST(platform_model, transactionIsAllOrNothing)
 {
     CHECK_TRUE(apply({ "1", { { "a", 0 } }, { { "a", "x" }, { "b", "y" } }, {} }).committed);
@@ -67,28 +67,30 @@
     CHECK_EQUAL(0, versionOf("b"));
 }
 
-// Guards against two writers that both win a compare-and-set.
-TEST(platform_model, oneOfTwoWritersWins)
+// Guards against two concurrent writers whose compare-and-set both succeed.
+TEST(platform_model, onlyOneOfTwoConcurrentWritersCommits)
 {
     CHECK_TRUE(apply({ "1", { { "a", 0 } }, { { "a", "one" } }, {} }).committed);
     CHECK_FALSE(apply({ "2", { { "a", 0 } }, { { "a", "two" } }, {} }).committed);
     STRCMP_EQUAL("one", findRow(model, "a")->value.c_str());
 }
 
-// Guards against a retry that is applied twice, or that is refused although the first try won.
-TEST(platform_model, repeatOfAnIdGetsTheFirstAnswer)
+// Guards against a retry that is applied twice, or that is refused because of the changes of its
+// own first attempt.
+TEST(platform_model, repeatedTransactionIdGetsTheFirstAnswer)
 {
     const core::transact_request request{ "1", { { "a", 0 } }, { { "a", "x" } }, {} };
     CHECK_TRUE(apply(request).committed);
     CHECK_TRUE(apply(request, at(60min)).committed);
     CHECK_EQUAL(1, versionOf("a"));
-    const core::transact_request lost{ "2", { { "a", 0 } }, { { "a", "y" } }, {} };
-    CHECK_FALSE(apply(lost).committed);
+    const core::transact_request conflicting{ "2", { { "a", 0 } }, { { "a", "y" } }, {} };
+    CHECK_FALSE(apply(conflicting).committed);
     CHECK_TRUE(apply({ "3", {}, {}, { "a" } }).committed);
-    CHECK_FALSE(apply(lost).committed);
+    CHECK_FALSE(apply(conflicting).committed);
 }
 
-// Guards against a request whose effect depends on the order of its parts.
+// Guards against accepting invalid names, and requests whose effect depends on the order of their
+// parts.
 TEST(platform_model, refusesInvalidTransactions)
 {
     const core::transact_request wrong[] = { { "", {}, { { "a", "" } }, {} },
@@ -101,7 +103,8 @@
     CHECK_TRUE(apply({ "1", {}, { { "a", "" } }, {} }).committed);
 }
 
-TEST(platform_model, scanFindsExactlyThePrefix)
+// Guards against a scan that omits keys with the prefix or returns others.
+TEST(platform_model, scanFindsOnlyKeysWithThePrefix)
 {
     CHECK_TRUE(apply({ "1", {}, { { "a/2", "" }, { "a/1", "" }, { "a", "" }, { "b", "" } }, {} })
                        .committed);
@@ -111,8 +114,9 @@
     CHECK_EQUAL(4, scan(model, "").rows.size());
 }
 
-// Guards against a list that goes back to an older state.
-TEST(platform_model, instanceListLagsButNeverGoesBack)
+// Guards against an instance list that shows an older state after a newer one because two changes
+// have different lags.
+TEST(platform_model, instanceListLagsButNeverShowsAnOlderState)
 {
     setInstance(model, { "i" }, entryOf("i"), at(0ms), 100ms);
     CHECK_TRUE(listInstances(model, at(99ms)).instances.empty());
@@ -137,16 +141,16 @@
     }
 
     net::http_exchange call(const char *method, const std::string &target,
-                            const std::string &body = "", std::chrono::milliseconds limit = 5s)
+                            const std::string &body = "", std::chrono::milliseconds timeout = 5s)
     {
         net::http_exchange outcome;
-        bool finished = false;
-        client.call(platform.address(), { method, target, {}, body }, net::currentTime() + limit,
+        bool isFinished = false;
+        client.call(platform.address(), { method, target, {}, body }, net::currentTime() + timeout,
                     [&](net::http_exchange &&result) {
                         outcome = std::move(result);
-                        finished = true;
+                        isFinished = true;
                     });
-        while (!finished)
+        while (!isFinished)
             context.run_one();
         return outcome;
     }
@@ -162,7 +166,7 @@
     }
 };
 
-// Guards against an outage test in which the store forgets or stays reachable.
+// Guards against an outage fault that loses rows or leaves the platform reachable.
 TEST(platform_standin, keepsItsRowsWhileItIsDown)
 {
     CHECK_EQUAL(404, call("GET", "/table/a").response.status);
@@ -177,8 +181,8 @@
     CHECK_EQUAL(2, platform.counters().reads);
 }
 
-// Guards against a lost-answer test in which the write was not applied or a read is lost too.
-TEST(platform_standin, losesTheAnswerOfAWriteThatTookEffect)
+// Guards against a lost-answer fault that does not apply the write, or that affects reads as well.
+TEST(platform_standin, losesTheAnswerOfAnAppliedWrite)
 {
     setFault(platform_fault::LoseAnswer, true, 1);
     CHECK_EQUAL(404, call("GET", "/table/a").response.status);
@@ -190,7 +194,7 @@
     CHECK_EQUAL(1, platform.model().rows.at("a").version);
 }
 
-// Guards against an object that changes under its name.
+// Guards against an object whose content changes.
 TEST(platform_standin, neverOverwritesAnObject)
 {
     const std::string content("\0\xFF{", 3);
@@ -201,7 +205,7 @@
     CHECK_EQUAL(404, call("GET", wire::objectTarget("o/2")).response.status);
 }
 
-// Guards against a slow platform that is not slow.
+// Guards against a fault Slow without effect.
 TEST(platform_standin, slowDelaysEveryAnswer)
 {
     setFault(platform_fault::Slow, true, 40);
@@ -210,6 +214,8 @@
     CHECK_TRUE(net::currentTime() - start >= 40ms);
 }
 
+// Guards against an instance list that misses registrations, state changes or removals, and against
+// an entry that is registered under another instance's name.
 TEST(platform_standin, showsRegisteredInstances)
 {
     const auto body = wire::toJson(entryOf("i"));
