--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -25,7 +25,7 @@
 namespace fuchsiagw::testing {
 
 /// The guarantees that the soak checks.
-enum class soak_promise : std::uint8_t {
+enum class soak_guarantee : std::uint8_t {
     OwnAnswer, ///< a successful answer is the member's answer to the same statement
     OnlyAsked, ///< members execute only statements that a caller sent, unchanged, in the key's
                ///< workspace
@@ -43,20 +43,20 @@
     NoCrash, ///< no daemon process ends unless the soak ends it
 };
 
-inline constexpr std::array<std::string_view, 13> soakPromiseNames{
+inline constexpr std::array<std::string_view, 13> soakGuaranteeNames{
     "own_answer",   "only_asked",   "one_transaction", "once_only",  "true_refusal",
     "fresh",        "nothing_lost", "one_promoter",    "rate_limit", "keys_end",
     "planned_stop", "recovery",     "no_crash",
 };
 
-[[nodiscard]] constexpr std::string_view toString(soak_promise value)
+[[nodiscard]] constexpr std::string_view toString(soak_guarantee value)
 {
-    return soakPromiseNames.at(static_cast<std::size_t>(value));
+    return soakGuaranteeNames.at(static_cast<std::size_t>(value));
 }
 
 struct soak_finding
 {
-    soak_promise promise;
+    soak_guarantee promise;
     std::string text;
 };
 
@@ -148,7 +148,7 @@
 };
 
 /// @brief Adds a finding, unless the limit on findings is reached.
-void report(soak_history &history, soak_promise promise, std::string text);
+void report(soak_history &history, soak_guarantee promise, std::string text);
 
 /// @brief Records a statement that a caller is about to send.
 void onStatementSent(soak_history &history, const std::string &id, sent_statement statement);
--- a/testing/soak_history.cpp
+++ b/testing/soak_history.cpp
@@ -47,22 +47,22 @@
 void checkText(soak_history &history, const member_execution &execution, const sent_statement &sent)
 {
     if (execution.text != sent.text || execution.shape != sent.shape)
-        report(history, soak_promise::OnlyAsked,
+        report(history, soak_guarantee::OnlyAsked,
                fmt::format("{}: member {} executed '{}' [{}], the caller sent '{}' [{}]",
                            execution.id, execution.member, execution.text, execution.shape,
                            sent.text, sent.shape));
     if (execution.workspace != sent.workspace || execution.service != sent.service)
-        report(history, soak_promise::OnlyAsked,
+        report(history, soak_guarantee::OnlyAsked,
                fmt::format("{}: executed for workspace {} at {}, sent for workspace {} at {}",
                            execution.id, execution.workspace, execution.service, sent.workspace,
                            sent.service));
     if (execution.values != sent.values)
-        report(history, soak_promise::OneTransaction,
+        report(history, soak_guarantee::OneTransaction,
                fmt::format("{} of session {}: executed with session values{} at {}, expected{}",
                            execution.id, sent.session, textOf(execution.values), execution.member,
                            textOf(sent.values)));
     if (sent.sentAt > sent.keyEndsAt)
-        report(history, soak_promise::KeysEnd,
+        report(history, soak_guarantee::KeysEnd,
                fmt::format("{}: executed at {} although its key is withdrawn", execution.id,
                            execution.member));
 }
@@ -73,7 +73,7 @@
     // The proxy may run a single read inside a transaction that it opens itself.
     if ((execution.transaction == 0) == sent.inTransaction
         && (sent.inTransaction || sent.writes || execution.transaction == 0)) {
-        report(history, soak_promise::OneTransaction,
+        report(history, soak_guarantee::OneTransaction,
                fmt::format("{}: sent {} a transaction, executed {} one at {}", execution.id,
                            sent.inTransaction ? "in" : "outside",
                            execution.transaction == 0 ? "outside" : "in", execution.member));
@@ -83,7 +83,7 @@
         return;
     const auto firstUse = history.unitByTransaction.emplace(execution.transaction, sent.unit).first;
     if (firstUse->second != sent.unit)
-        report(history, soak_promise::OneTransaction,
+        report(history, soak_guarantee::OneTransaction,
                fmt::format("{}: executed inside another caller's transaction at {}", execution.id,
                            execution.member));
     if (!sent.inTransaction)
@@ -94,7 +94,7 @@
                                  transaction_location{ execution.transaction, execution.id })
                     .first->second;
     if (location.transaction != execution.transaction && location.firstStatement != execution.id)
-        report(history, soak_promise::OneTransaction,
+        report(history, soak_guarantee::OneTransaction,
                fmt::format(
                        "{} of session {}: executed in transaction {} at {}, its first statement {} "
                        "in {}",
@@ -117,14 +117,14 @@
                                    * rateLimitFactor
                            + rateToleranceOperations;
     if (static_cast<double>(starts.size()) > allowed)
-        report(history, soak_promise::RateLimit,
+        report(history, soak_guarantee::RateLimit,
                fmt::format("{}: {} operations in {} s, the limit is {}", sent.workspace,
                            starts.size(), rateWindow.count(), allowed));
 }
 
 } // namespace
 
-void report(soak_history &history, soak_promise promise, std::string text)
+void report(soak_history &history, soak_guarantee promise, std::string text)
 {
     if (history.findings.size() < maxFindings)
         history.findings.push_back({ promise, std::move(text) });
@@ -141,7 +141,7 @@
 {
     const auto found = history.asked.find(execution.id);
     if (found == history.asked.end()) {
-        report(history, soak_promise::OnlyAsked,
+        report(history, soak_guarantee::OnlyAsked,
                fmt::format("{}: member {} executed '{}', which no caller sent", execution.id,
                            execution.member, execution.text));
         return;
@@ -153,7 +153,7 @@
     history.answers[execution.id].emplace_back(execution.digest, execution.row);
     const core::log_index required = sent.writes ? 0 : requiredIndex(history, sent);
     if (execution.applied < required)
-        report(history, soak_promise::Fresh,
+        report(history, soak_guarantee::Fresh,
                fmt::format(
                        "{}: {} read at {} saw entries up to {}, although entry {} was acknowledged",
                        execution.id, toString(sent.kind), execution.member, execution.applied,
@@ -164,10 +164,10 @@
 {
     for (const std::string &id : writes) {
         if (++history.effects[id] > 1)
-            report(history, soak_promise::OnceOnly, fmt::format("{}: committed twice", id));
+            report(history, soak_guarantee::OnceOnly, fmt::format("{}: committed twice", id));
         const auto sent = history.asked.find(id);
         if (sent != history.asked.end() && history.notAppliedUnits.contains(sent->second.unit))
-            report(history, soak_promise::TrueRefusal,
+            report(history, soak_guarantee::TrueRefusal,
                    fmt::format("{}: committed after its caller was told that it is not applied",
                                id));
     }
@@ -187,7 +187,7 @@
         return;
     const auto &answers = history.answers[id];
     if (std::find(answers.begin(), answers.end(), std::pair(digest, row)) == answers.end())
-        report(history, soak_promise::OwnAnswer,
+        report(history, soak_guarantee::OwnAnswer,
                fmt::format("{}: answered with digest {} and row '{}', which no member returned", id,
                            digest, row));
     if (commit)
@@ -199,7 +199,7 @@
     history.notAppliedUnits.insert(unit);
     for (const std::string &id : history.writesByUnit[unit]) {
         if (history.effects[id] > 0)
-            report(history, soak_promise::TrueRefusal,
+            report(history, soak_guarantee::TrueRefusal,
                    fmt::format("{}: was committed, but its caller is told that it is not applied",
                                id));
     }
@@ -211,13 +211,13 @@
 {
     const auto first = history.tokenHolders.emplace(std::pair(service, token), holder).first;
     if (first->second != holder)
-        report(history, soak_promise::OnePromoter,
+        report(history, soak_guarantee::OnePromoter,
                fmt::format("{}: fencing token {} is used by {} and {}", service, token,
                            first->second, holder));
     auto &commits = history.acknowledged[service];
     for (const acknowledged_commit &each : commits) {
         if (!containsPosition(each.position))
-            report(history, soak_promise::NothingLost,
+            report(history, soak_guarantee::NothingLost,
                    fmt::format("{}: acknowledged commit {}.{} is missing from the promoted log",
                                service, each.position.term, each.position.index));
     }
--- a/tests/unit-soak-history.cpp
+++ b/tests/unit-soak-history.cpp
@@ -56,7 +56,7 @@
         history.acknowledged["books"].push_back({ at, { 1, index } });
     }
 
-    void expectOnly(soak_promise promise)
+    void expectOnly(soak_guarantee promise)
     {
         CHECK_EQUAL(1U, history.findings.size());
         CHECK(history.findings.front().promise == promise);
@@ -89,13 +89,13 @@
     fixture.send("a", 1, false);
     onStatementExecuted(fixture.history, fixture.executionOf("a"));
     onSuccess(fixture.history, "a", "digest of another", {}, std::nullopt, start);
-    fixture.expectOnly(soak_promise::OwnAnswer);
+    fixture.expectOnly(soak_guarantee::OwnAnswer);
 }
 
 TEST(soak_history, statementThatNoCallerSentIsReported)
 {
     onStatementExecuted(fixture.history, fixture.executionOf("a"));
-    fixture.expectOnly(soak_promise::OnlyAsked);
+    fixture.expectOnly(soak_guarantee::OnlyAsked);
 }
 
 TEST(soak_history, executionInAnotherWorkspaceIsReported)
@@ -104,7 +104,7 @@
     member_execution execution = fixture.executionOf("a");
     execution.workspace = "rival";
     onStatementExecuted(fixture.history, execution);
-    fixture.expectOnly(soak_promise::OnlyAsked);
+    fixture.expectOnly(soak_guarantee::OnlyAsked);
 }
 
 TEST(soak_history, sessionValuesOfAnotherSessionAreReported)
@@ -113,7 +113,7 @@
     member_execution execution = fixture.executionOf("a");
     execution.values["tz"] = "3";
     onStatementExecuted(fixture.history, execution);
-    fixture.expectOnly(soak_promise::OneTransaction);
+    fixture.expectOnly(soak_guarantee::OneTransaction);
 }
 
 TEST(soak_history, twoCallersInOneTransactionAreReported)
@@ -125,7 +125,7 @@
         execution.transaction = 7;
         onStatementExecuted(fixture.history, execution);
     }
-    fixture.expectOnly(soak_promise::OneTransaction);
+    fixture.expectOnly(soak_guarantee::OneTransaction);
 }
 
 TEST(soak_history, statementOutsideItsTransactionIsReported)
@@ -133,7 +133,7 @@
     fixture.send("a", 1, true);
     fixture.history.asked.at("a").inTransaction = true;
     onStatementExecuted(fixture.history, fixture.executionOf("a"));
-    fixture.expectOnly(soak_promise::OneTransaction);
+    fixture.expectOnly(soak_guarantee::OneTransaction);
 }
 
 TEST(soak_history, duplicateCommitIsReported)
@@ -141,7 +141,7 @@
     fixture.send("a", 1, true);
     onCommitted(fixture.history, { "a" });
     onCommitted(fixture.history, { "a" });
-    fixture.expectOnly(soak_promise::OnceOnly);
+    fixture.expectOnly(soak_guarantee::OnceOnly);
 }
 
 // Guards against findings for a write that a promotion truncated before its caller was told that it
@@ -160,12 +160,12 @@
     fixture.send("a", 1, true);
     onCommitted(fixture.history, { "a" });
     onReportedNotApplied(fixture.history, 1);
-    fixture.expectOnly(soak_promise::TrueRefusal);
+    fixture.expectOnly(soak_guarantee::TrueRefusal);
     fixture.history.findings.clear();
     fixture.send("b", 2, true);
     onReportedNotApplied(fixture.history, 2);
     onCommitted(fixture.history, { "b" });
-    fixture.expectOnly(soak_promise::TrueRefusal);
+    fixture.expectOnly(soak_guarantee::TrueRefusal);
 }
 
 TEST(soak_history, staleReadIsReportedPerConsistencyLevel)
@@ -176,12 +176,12 @@
     CHECK(fixture.history.findings.empty());
     fixture.send("current", 2, false);
     onStatementExecuted(fixture.history, fixture.executionOf("current", 2));
-    fixture.expectOnly(soak_promise::Fresh);
+    fixture.expectOnly(soak_guarantee::Fresh);
     fixture.history.findings.clear();
     fixture.acknowledge(4, start + seconds(7));
     fixture.send("late", 3, false, proxy::consistency::BoundedStaleness);
     onStatementExecuted(fixture.history, fixture.executionOf("late", 3));
-    fixture.expectOnly(soak_promise::Fresh);
+    fixture.expectOnly(soak_guarantee::Fresh);
 }
 
 TEST(soak_history, readThatMissesTheSessionsOwnCommitIsReported)
@@ -189,7 +189,7 @@
     fixture.send("own", 1, false, proxy::consistency::ReadYourWrites);
     fixture.history.asked.at("own").ownCommit = 5;
     onStatementExecuted(fixture.history, fixture.executionOf("own", 4));
-    fixture.expectOnly(soak_promise::Fresh);
+    fixture.expectOnly(soak_guarantee::Fresh);
 }
 
 TEST(soak_history, acknowledgedCommitMissingAfterPromotionIsReported)
@@ -197,7 +197,7 @@
     fixture.acknowledge(3, start);
     onPromoted(fixture.history, "books", "node", 1,
                [](core::log_position position) { return position.index < 3; });
-    fixture.expectOnly(soak_promise::NothingLost);
+    fixture.expectOnly(soak_guarantee::NothingLost);
 }
 
 TEST(soak_history, fencingTokenUsedByTwoDaemonsIsReported)
@@ -205,7 +205,7 @@
     const auto containsAll = [](core::log_position) { return true; };
     onPromoted(fixture.history, "books", "node-1", 7, containsAll);
     onPromoted(fixture.history, "books", "node-2", 7, containsAll);
-    fixture.expectOnly(soak_promise::OnePromoter);
+    fixture.expectOnly(soak_guarantee::OnePromoter);
 }
 
 TEST(soak_history, statementWithAWithdrawnKeyIsReported)
@@ -213,7 +213,7 @@
     fixture.send("a", 1, false);
     fixture.history.asked.at("a").keyEndsAt = start + seconds(9);
     onStatementExecuted(fixture.history, fixture.executionOf("a"));
-    fixture.expectOnly(soak_promise::KeysEnd);
+    fixture.expectOnly(soak_guarantee::KeysEnd);
 }
 
 TEST(soak_history, exceededRateLimitIsReported)
@@ -226,5 +226,5 @@
     }
     // The limit of a 5 s window is (2 x 5 + 5) x 1.1 + 20 operations.
     CHECK_EQUAL(37U, fixture.history.asked.size());
-    fixture.expectOnly(soak_promise::RateLimit);
+    fixture.expectOnly(soak_guarantee::RateLimit);
 }
