--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -148,7 +148,7 @@
 };
 
 /// @brief Adds a finding, unless the limit on findings is reached.
-void report(soak_history &history, soak_guarantee promise, std::string text);
+void report(soak_history &history, soak_guarantee guarantee, std::string text);
 
 /// @brief Records a statement that a caller is about to send.
 void onStatementSent(soak_history &history, const std::string &id, sent_statement statement);
--- a/testing/loopback_proxy.cpp
+++ b/testing/loopback_proxy.cpp
@@ -83,7 +83,8 @@
                 });
     }
 
-    /// @return whether the sender has reset its connection; its delayed bytes are then discarded
+    /// @return whether the sender has reset its connection; bytes that are still held back must
+    /// then not be forwarded
     static bool isReset(tcp::socket &from)
     {
         char next = 0;
--- a/testing/soak_history.cpp
+++ b/testing/soak_history.cpp
@@ -124,10 +124,10 @@
 
 } // namespace
 
-void report(soak_history &history, soak_guarantee promise, std::string text)
+void report(soak_history &history, soak_guarantee guarantee, std::string text)
 {
     if (history.findings.size() < maxFindings)
-        history.findings.push_back({ promise, std::move(text) });
+        history.findings.push_back({ guarantee, std::move(text) });
 }
 
 void onStatementSent(soak_history &history, const std::string &id, sent_statement statement)
--- a/tests/unit-soak-history.cpp
+++ b/tests/unit-soak-history.cpp
@@ -56,10 +56,10 @@
         history.acknowledged["books"].push_back({ at, { 1, index } });
     }
 
-    void expectOnly(soak_guarantee promise)
+    void expectOnly(soak_guarantee guarantee)
     {
         CHECK_EQUAL(1U, history.findings.size());
-        CHECK(history.findings.front().promise == promise);
+        CHECK(history.findings.front().promise == guarantee);
     }
 };
 
