--- a/include/fuchsiagw/daemon/cluster.hpp
+++ b/include/fuchsiagw/daemon/cluster.hpp
@@ -79,7 +79,7 @@
     void applyInstanceList(core::instance_list &&newList, core::time_point now);
     void sendProbes(core::time_point now);
     void perform(std::vector<core::spread_action> &actions, core::time_point now);
-    void readConfigurationRow(std::uint64_t root, std::uint64_t wave);
+    void readConfigurationRow(std::uint64_t root, std::uint64_t roundNumber);
     void fetch(const core::fetch_source &source);
     void apply(const std::vector<core::membership_change> &changes, core::time_point now);
     void updatePeers();
--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -224,7 +224,7 @@
     for (const core::spread_action &each : actions) {
         const core::known_instance *peer = core::findInstance(members, each.peer);
         if (each.what == kind::ReadPlatform) {
-            readConfigurationRow(each.root, each.wave);
+            readConfigurationRow(each.root, each.roundNumber);
         } else if (peer != nullptr && each.what == kind::Send) {
             outputs_.toPeers(send_datagram{ peer->address, peer->incarnation,
                                             digest{ senderInfo(), each.message } });
@@ -236,11 +236,11 @@
     }
 }
 
-void cluster::readConfigurationRow(std::uint64_t root, std::uint64_t wave)
+void cluster::readConfigurationRow(std::uint64_t root, std::uint64_t roundNumber)
 {
     outputs_.toPlatform(
             platform::read_row{ std::string(core::configurationRowKey) },
-            [this, root, wave](platform::platform_result &&result, core::time_point sentAt) {
+            [this, root, roundNumber](platform::platform_result &&result, core::time_point sentAt) {
                 core::configuration_row row;
                 // A missing row means that no configuration was accepted yet: version 0 is the
                 // newest.
@@ -249,8 +249,8 @@
                     return;
                 const core::time_point now = sentAt;
                 std::vector<core::spread_action> actions;
-                core::onPlatformVersion(spread, gateway_.proof, root, wave, row.version, sentAt,
-                                        now, actions);
+                core::onPlatformVersion(spread, gateway_.proof, root, roundNumber, row.version,
+                                        sentAt, now, actions);
                 perform(actions, now);
                 if (const auto next =
                             core::addFetchSource(store, { {}, row.version, row.objectName }, now))
@@ -303,7 +303,7 @@
                    field::number(log_key::Base, before) });
         core::onFetchFailed(store, source);
     }
-    if (result != core::install_result::Taken)
+    if (result != core::install_result::Installed)
         return;
     logEvent(log_, log_event::ConfigurationApplied,
              { field::number(log_key::Version, store.current->version),
