--- a/bench/bench-limits.cpp
+++ b/bench/bench-limits.cpp
@@ -32,10 +32,10 @@
 enum class balancer { Even, Hotspot, SingleInstance };
 
 /// Eight workspaces with unequal rates, as in production deployments.
-world_settings settingsOf(std::uint64_t seed, balancer kind)
+limits_world_settings settingsOf(std::uint64_t seed, balancer kind)
 {
     constexpr double rates[] = { 400, 400, 100, 100, 40, 20, 10, 5 };
-    world_settings settings;
+    limits_world_settings settings;
     settings.seed = seed;
     settings.areSharesChecked = false;
     for (std::size_t i = 0; i < std::size(rates); ++i) {
@@ -100,7 +100,7 @@
         double bytes = 0;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed)
             for (const bool isFixed : { false, true }) {
-                world_settings settings = settingsOf(seed, each.kind);
+                limits_world_settings settings = settingsOf(seed, each.kind);
                 settings.isFixedDivision = isFixed;
                 settings.areLoansOn = !isFixed;
                 const auto world = makeWorld(settings);
@@ -152,7 +152,7 @@
                 sum.wrongful += result.wrongful;
             }
         }
-    const world_settings settings = settingsOf(1, balancer::Even);
+    const limits_world_settings settings = settingsOf(1, balancer::Even);
     for (const world_workspace &each : settings.workspaces) {
         const core::resource_id resource{ core::resource_kind::Workspace, each.name };
         std::printf("| %s | %.0f |", each.name.c_str(), each.rate);
@@ -173,7 +173,7 @@
         double worstShare = 1;
         double overloadedShare = 1;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            world_settings settings = settingsOf(seed, kind);
+            limits_world_settings settings = settingsOf(seed, kind);
             settings.workspaces[0].offered = 5 * settings.workspaces[0].rate;
             const auto world = makeWorld(settings);
             runFor(*world, seconds(warmUpSeconds));
@@ -285,7 +285,7 @@
             "| refused wrongly |\n|-|-|-|-|-|-|\n");
     constexpr std::int64_t length = 10;
     for (const std::size_t instances : { 50, 100, 200, 400, 800 }) {
-        world_settings settings;
+        limits_world_settings settings;
         settings.instances = instances;
         settings.zones = 17;
         settings.areSharesChecked = false;
--- a/include/fuchsiagw/core/config_spread.hpp
+++ b/include/fuchsiagw/core/config_spread.hpp
@@ -90,7 +90,7 @@
 
 struct spread_child
 {
-    time_point heardAt = time_point::min();
+    time_point lastHeardAt = time_point::min();
     std::uint64_t acknowledgedRound = 0;
     spread_message report; ///< the child's newest acknowledgement
     /// Bit i: this instance's acknowledgement of round roundNumber-1-i included the child's.
--- a/include/fuchsiagw/core/config_store.hpp
+++ b/include/fuchsiagw/core/config_store.hpp
@@ -167,7 +167,7 @@
     std::string currentObjectName; ///< object name of `current`
     std::string currentBody; ///< canonical text of `current`, sent to peers that request it
     /// Previous versions, for the difference that is reported with a NoteConflict.
-    std::deque<std::shared_ptr<const configuration>> earlier;
+    std::deque<std::shared_ptr<const configuration>> earlierVersions;
     std::vector<fetch_source> sources; ///< greatest version first; a failed source moves to the end
     time_point fetchDeadline = time_point::min(); ///< deadline of the running fetch
     bool isFetching = false;
--- a/include/fuchsiagw/core/demand_estimate.hpp
+++ b/include/fuchsiagw/core/demand_estimate.hpp
@@ -10,8 +10,8 @@
 /// Arrivals per second, averaged with exponential decay over a short and a long window.
 struct demand_estimate
 {
-    double fast = 0; ///< time constant 0.2 s
-    double slow = 0; ///< time constant 2 s
+    double shortWindowRate = 0; ///< time constant 0.2 s
+    double longWindowRate = 0; ///< time constant 2 s
     time_point updatedAt{};
 };
 
--- a/include/fuchsiagw/core/failover.hpp
+++ b/include/fuchsiagw/core/failover.hpp
@@ -192,8 +192,9 @@
 struct failover_state
 {
     std::uint8_t rank = 0; ///< unique among the owners where possible; the lowest starts first
-    bool promotes = true; ///< setting `promotion`
-    bool probes = true; ///< setting `probing`: whether failed replicas are probed for recovery
+    bool isPromotionEnabled = true; ///< setting `promotion`
+    bool isReplicaProbingEnabled =
+            true; ///< setting `probing`: whether failed replicas are probed for recovery
     acknowledgement_policy policy = acknowledgement_policy::Majority;
 
     std::optional<promotion_attempt> attempt;
--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -72,7 +72,7 @@
 
     std::map<instance_id, peer_instance> peers; ///< all instances except this one
     std::map<group_id, group_owner> owners;
-    limit_manager keeper; ///< enforces rates, bursts and connection limits across instances
+    limit_manager limitManager; ///< enforces rates, bursts and connection limits across instances
     std::set<incarnation_id> ownIncarnations; ///< the current and all earlier ones of this process
     std::map<std::uint64_t, entry_statement> entries; ///< by handle
     std::set<std::pair<time_point, std::uint64_t>> deadlines;
@@ -98,12 +98,12 @@
 /// @brief Handles a change of the set of live instances.
 void onLivePeers(gateway_turn &turn, std::vector<peer_ref> live);
 
-/// @brief Calls @p step with the limit keeper and applies the actions that it returns.
+/// @brief Calls @p step with the limit manager and applies the actions that it returns.
 /// @param step calls one of the functions of limit_manager.hpp
 template <typename function>
-void withKeeper(gateway_turn &turn, function &&step);
+void withLimitManager(gateway_turn &turn, function &&step);
 
-/// @brief Applies the limit keeper's actions to the gateway or adds them to the gateway's actions.
+/// @brief Applies the limit manager's actions to the gateway or adds them to the gateway's actions.
 void applyActions(gateway_turn &turn, limit_manager_actions &&actions);
 
 /// @brief Applies a configuration. An equal or older version is ignored.
@@ -162,10 +162,10 @@
 void applyActions(gateway_turn &turn, const group_id &group, owner_actions &&actions);
 
 template <typename function>
-void withKeeper(gateway_turn &turn, function &&step)
+void withLimitManager(gateway_turn &turn, function &&step)
 {
     limit_manager_actions actions;
-    step(turn.state.keeper, actions);
+    step(turn.state.limitManager, actions);
     applyActions(turn, std::move(actions));
 }
 
--- a/include/fuchsiagw/core/group_owner.hpp
+++ b/include/fuchsiagw/core/group_owner.hpp
@@ -86,7 +86,7 @@
     /// handle, with the time of the next status requests. Invariant: each is Confirming.
     std::map<std::uint64_t, time_point> readsAwaitingMajority;
     fair_queue queue;
-    service_time_average meter;
+    service_time_average serviceTimes;
     connection_pool pool;
     std::map<std::uint64_t, owned_statement> statements; ///< by handle
     std::set<std::pair<time_point, std::uint64_t>> deadlines; ///< of statements, earliest first
--- a/include/fuchsiagw/core/group_view.hpp
+++ b/include/fuchsiagw/core/group_view.hpp
@@ -46,7 +46,7 @@
     term_number acceptedTerm = 0; ///< highest term that the member is known to have accepted
     log_position last;
     log_position applied;
-    time_point lastHeard = time_point::min(); ///< time of the last answer of any kind; min: never
+    time_point lastHeardAt = time_point::min(); ///< time of the last answer of any kind; min: never
     time_point lastAdvancedAt = time_point::min(); ///< when `last` was last seen to increase
     time_point termQueriedAt = time_point::min(); ///< send time of the newest request that was
                                                   ///< answered under acceptedTerm
@@ -57,9 +57,9 @@
     std::uint32_t openConnections = 0; ///< data connections of this owner; maintained by the caller
     std::uint32_t inFlight =
             0; ///< statements of this owner at the member; maintained by the caller
-    backoff pause;
+    backoff backoffState;
     /// A member that lagged too far behind remains backed off until it has applied this position.
-    std::optional<log_position> catchUp;
+    std::optional<log_position> catchUpPosition;
 };
 
 /// Invariants: highestTerm is not below any member's acceptedTerm and never decreases; `primary`
@@ -77,7 +77,7 @@
     /// Greatest known position that was acknowledged to a caller; only for known_position.
     log_position highestAcknowledgedPosition;
     /// End of the lease during which writes may be acknowledged at once; only for the lease policy.
-    time_point leaseUntil = time_point::min();
+    time_point leaseExpiresAt = time_point::min();
 };
 
 /// View of a group that owners in different zones exchange.
@@ -113,7 +113,7 @@
 /// @param askedAt when the request was sent
 /// @return false if the status is ignored because it comes from an unknown member or another group,
 /// or carries a term below the one that the member has already accepted. In the last case the
-/// fields that do not depend on the term (lastHeard, leaving, unverifiedSince) are still updated.
+/// fields that do not depend on the term (lastHeardAt, leaving, unverifiedSince) are still updated.
 /// @complexity O(m log m) for m members
 bool observeStatus(group_view &view, const member_status &status, time_point askedAt,
                    time_point now);
--- a/include/fuchsiagw/core/limit_manager.hpp
+++ b/include/fuchsiagw/core/limit_manager.hpp
@@ -105,7 +105,7 @@
     token_amount burst = 0;
     share_count total = workspaceShares; ///< according to the configuration
     std::vector<incarnation_id> holders; ///< incarnations that are entitled to a fair part
-    share_count fair = 0; ///< fair part of this incarnation
+    share_count fairShares = 0; ///< fair part of this incarnation
     bool isPoolTotalUnverified = true; ///< the pool row may record another total
     bool mayExceedFairPart = false; ///< may take free shares somewhat beyond the fair part
     time_point nextPoolReadAt = noDeadline;
--- a/include/fuchsiagw/core/loan_message.hpp
+++ b/include/fuchsiagw/core/loan_message.hpp
@@ -29,12 +29,12 @@
     incarnation_id borrower = 0;
     std::uint64_t number = 0; ///< increases with each request of the borrower
     std::int64_t sentAt = 0; ///< by the borrower's clock; the lender only echoes it
-    std::vector<loan_request_item> asks;
+    std::vector<loan_request_item> items;
 
     template <typename archive>
     void serialize(archive &ar)
     {
-        ar(borrower, number, sentAt, asks);
+        ar(borrower, number, sentAt, items);
     }
 };
 
--- a/include/fuchsiagw/core/loan_policy.hpp
+++ b/include/fuchsiagw/core/loan_policy.hpp
@@ -83,18 +83,18 @@
     Refused, ///< error_kind::RateLimited
 };
 
-/// @brief Creates a loan manager without limits; openLimit() adds them.
+/// @brief Creates a loan manager without limits; addOrUpdateLimit() adds them.
 [[nodiscard]] loan_manager makeLoanManager(const peer_ref &self, const loan_settings &settings,
                                            time_point now);
 
 /// @brief Adds a limit or changes its rate and burst.
 /// @complexity logarithmic in the limits
-limit_entry &openLimit(loan_manager &manager, const resource_id &resource, std::int64_t rate,
-                       token_amount burst, share_count total, time_point now);
+limit_entry &addOrUpdateLimit(loan_manager &manager, const resource_id &resource, std::int64_t rate,
+                              token_amount burst, share_count total, time_point now);
 
 /// @brief Removes a withdrawn limit. Its loans expire at the end of their terms.
 /// @complexity logarithmic in the limits
-void closeLimit(loan_manager &manager, const resource_id &resource);
+void removeLimit(loan_manager &manager, const resource_id &resource);
 
 /// @brief Sets the peers that loans of @p resource may be requested from, usually its
 /// shareHolders().
--- a/include/fuchsiagw/core/share_pool.hpp
+++ b/include/fuchsiagw/core/share_pool.hpp
@@ -180,6 +180,7 @@
 /// @brief Determines the outcome of a transaction whose response was lost.
 /// @param view rows read after the transaction was sent
 /// @complexity logarithmic in the rows for each row of the transaction
-[[nodiscard]] transaction_state judge(const table_transaction &transaction, const table_view &view);
+[[nodiscard]] transaction_state determineOutcome(const table_transaction &transaction,
+                                                 const table_view &view);
 
 } // namespace fuchsiagw::core
--- a/include/fuchsiagw/core/token_bucket.hpp
+++ b/include/fuchsiagw/core/token_bucket.hpp
@@ -35,7 +35,7 @@
 /// @brief Changes rate and capacity. Time before @p now is refilled at the old rate; tokens above
 /// the new capacity are discarded.
 /// @complexity constant
-void reshape(token_bucket &bucket, std::int64_t rate, token_amount capacity, time_point now);
+void reconfigure(token_bucket &bucket, std::int64_t rate, token_amount capacity, time_point now);
 
 /// @brief Takes @p amount if the bucket holds at least that much, else nothing.
 /// @return whether the amount was taken
--- a/include/fuchsiagw/detail/engine_steps.hpp
+++ b/include/fuchsiagw/detail/engine_steps.hpp
@@ -125,7 +125,7 @@
 void sendControlCommand(engine &state, const std::string &member, command_kind kind,
                         core::term_number term, core::time_point now);
 /// @return the cached rank of this daemon for a service; it changes only with the set of daemons
-[[nodiscard]] std::size_t rankOf(const engine &state, service_state &service);
+[[nodiscard]] std::size_t serviceRank(const engine &state, service_state &service);
 /// @brief Detects members that do not answer and probes them.
 void detectSilentMembers(engine &state, core::time_point now);
 /// @return the members of a service that may be promoted
--- a/include/fuchsiagw/net/http_server.hpp
+++ b/include/fuchsiagw/net/http_server.hpp
@@ -47,7 +47,7 @@
 struct http_server_options
 {
     endpoint listenAddress; ///< port 0: the kernel chooses
-    std::size_t maxBody = 0; ///< bytes; a larger body closes the connection
+    std::size_t maxBodyBytes = 0; ///< bytes; a larger body closes the connection
     std::chrono::seconds idleTimeout{ 60 }; ///< for reading a request and for writing a response
     std::chrono::seconds handlerTimeout{ 75 }; ///< for the handler of a request
     std::size_t maxConnections = 0;
--- a/include/fuchsiagw/proxy/member_state.hpp
+++ b/include/fuchsiagw/proxy/member_state.hpp
@@ -34,7 +34,7 @@
     int connectionLimitRefusals = 0; ///< consecutive refusals of connections
     int busyRefusals = 0; ///< consecutive refusals of statements
     core::time_point busyUntil{}; ///< recently refused a statement because its queue was full
-    core::time_point silentSince = core::noDeadline; ///< unresponsive since then
+    core::time_point unresponsiveSince = core::noDeadline; ///< unresponsive since then
     core::time_point nextProbeAt{}; ///< next probe while it is unresponsive
     core::time_point lastAnswerAt{}; ///< when its latest answer arrived
     int consecutiveFailures = 0; ///< attempts to connect
--- a/include/fuchsiagw/proxy/quota.hpp
+++ b/include/fuchsiagw/proxy/quota.hpp
@@ -102,9 +102,9 @@
 /// @param self must be one of @p nodes
 /// @param ownPartUsableFrom when the own part of a newly added workspace may be used
 /// @complexity workspaces times nodes
-void reshape(quota_table &table, const manifest &from, const std::vector<quota_node> &nodes,
-             const quota_node &self, limit_part ownPart, core::time_point ownPartUsableFrom,
-             core::time_point now);
+void applyLimits(quota_table &table, const manifest &from, const std::vector<quota_node> &nodes,
+                 const quota_node &self, limit_part ownPart, core::time_point ownPartUsableFrom,
+                 core::time_point now);
 
 /// @return the quota of a workspace that has a limit, else nullptr
 [[nodiscard]] workspace_quota *findLimitedQuota(quota_table &table, const std::string &workspace);
@@ -135,7 +135,7 @@
 void countDemand(workspace_quota &quota, double operations, core::time_point now);
 
 /// @brief Refunds the token of an operation that did not run.
-void giveBack(quota_table &table, const std::string &workspace, core::time_point now);
+void refundToken(quota_table &table, const std::string &workspace, core::time_point now);
 
 /// @return when refilling alone yields the next whole token; noDeadline if it never does
 [[nodiscard]] core::time_point nextTokenAt(const workspace_quota &quota);
--- a/include/fuchsiagw/proxy/relay_pool.hpp
+++ b/include/fuchsiagw/proxy/relay_pool.hpp
@@ -71,6 +71,6 @@
 [[nodiscard]] relay_step advance(relay_pool &pool, core::time_point now);
 
 /// @return idle connections whose idle timeout has passed
-[[nodiscard]] std::vector<pooled_id> surplus(const relay_pool &pool, core::time_point now);
+[[nodiscard]] std::vector<pooled_id> findExpired(const relay_pool &pool, core::time_point now);
 
 } // namespace fuchsiagw::proxy
--- a/include/fuchsiagw/testing/config_world.hpp
+++ b/include/fuchsiagw/testing/config_world.hpp
@@ -35,7 +35,7 @@
 };
 
 /// Injected defects that the checkers must detect.
-enum class sabotage : std::uint8_t {
+enum class config_defect : std::uint8_t {
     None,
     Revert, ///< an instance reverts to an earlier version
     ExtraChange, ///< a version contains a change that its note does not list
@@ -47,7 +47,7 @@
     WrongAnswer, ///< every answer says that the note was applied
 };
 
-struct world_settings
+struct config_world_settings
 {
     std::size_t instances = 12;
     std::size_t zones = 3;
@@ -55,7 +55,7 @@
     core::duration inZoneDelay = std::chrono::microseconds(300); ///< one way
     core::duration crossZoneDelay = std::chrono::milliseconds(4); ///< one way, between zones
     core::duration platformDelay = std::chrono::milliseconds(5); ///< round trip
-    sabotage error = sabotage::None;
+    config_defect error = config_defect::None;
 };
 
 /// Answers that an operator received for a note.
@@ -78,7 +78,7 @@
 class config_world
 {
 public:
-    explicit config_world(const world_settings &settings);
+    explicit config_world(const config_world_settings &settings);
 
     /// Runs all events until @p end in chronological order.
     void runUntil(core::time_point end);
@@ -144,7 +144,7 @@
     void scheduleForIncarnation(std::size_t index, core::time_point time,
                                 std::function<void()> event);
 
-    world_settings settings_;
+    config_world_settings settings_;
     core::random_engine random_;
     core::time_point now_{ std::chrono::seconds(100) };
     std::multimap<core::time_point, std::function<void()>> events_;
--- a/include/fuchsiagw/testing/fake_group.hpp
+++ b/include/fuchsiagw/testing/fake_group.hpp
@@ -24,7 +24,7 @@
 namespace fuchsiagw::testing {
 
 /// Injected defects in the decisions of the owners, which the checkers must detect.
-enum class sabotage : std::uint8_t {
+enum class failover_defect : std::uint8_t {
     None,
     AcknowledgeAtOnce, ///< writes are acknowledged without a majority, which promotions rely on
     PromoteShortestLog,
@@ -48,7 +48,7 @@
             std::chrono::seconds(2); ///< lease duration; used only by the lease policy
     bool writesHaveKeys = false;
     core::acknowledgement_policy policy = core::acknowledgement_policy::Majority;
-    sabotage fault = sabotage::None;
+    failover_defect fault = failover_defect::None;
 };
 
 struct fake_entry
--- a/include/fuchsiagw/testing/limits_world.hpp
+++ b/include/fuchsiagw/testing/limits_world.hpp
@@ -51,7 +51,7 @@
     "reclaim_without_wait",
 };
 
-struct world_settings
+struct limits_world_settings
 {
     std::uint64_t seed = 1;
     std::size_t instances = 9;
@@ -113,7 +113,7 @@
     core::duration clockOffset{ 0 };
     core::lease_holder lease;
     core::lease_witness witness;
-    core::loan_manager desk;
+    core::loan_manager loanManager;
     core::time_point homeUntil{};
     std::vector<core::peer_ref> knownPeers;
     std::shared_ptr<platform_call> call; ///< transaction in progress; at most one
@@ -148,7 +148,7 @@
 /// Invariant: time never decreases; events at the same time run in the order of their creation.
 struct limits_world
 {
-    world_settings settings;
+    limits_world_settings settings;
     core::random_engine random;
     core::time_point now{};
     std::uint64_t nextEvent = 0;
@@ -184,7 +184,7 @@
 };
 
 /// @brief Creates the simulation and starts all instances.
-[[nodiscard]] std::unique_ptr<limits_world> makeWorld(const world_settings &settings);
+[[nodiscard]] std::unique_ptr<limits_world> makeWorld(const limits_world_settings &settings);
 
 /// @brief Advances virtual time by @p length and runs the events that become due.
 void runFor(limits_world &world, core::duration length);
--- a/src/core/acknowledgement.cpp
+++ b/src/core/acknowledgement.cpp
@@ -62,7 +62,7 @@
     case acknowledgement_policy::Majority:
         return isHeldByMajority(view, term, position);
     case acknowledgement_policy::Lease:
-        return view.highestTerm == term && now < view.leaseUntil;
+        return view.highestTerm == term && now < view.leaseExpiresAt;
     case acknowledgement_policy::KnownPosition:
         return view.highestTerm == term;
     }
--- a/src/core/config_spread.cpp
+++ b/src/core/config_spread.cpp
@@ -27,8 +27,8 @@
 
 bool isResponsive(const spread_state &state, const spread_child &child, time_point now)
 {
-    return child.heardAt != time_point::min()
-           && now - child.heardAt < maxMissedPeriods * state.settings.period;
+    return child.lastHeardAt != time_point::min()
+           && now - child.lastHeardAt < maxMissedPeriods * state.settings.period;
 }
 
 void send(std::vector<action> &actions, const instance_id &peer, const spread_message &message)
@@ -311,7 +311,7 @@
     const bool isNew = !state.children.contains(from);
     spread_child &child = state.children[from];
     child.isAdopted = child.isAdopted || isNew;
-    child.heardAt = now;
+    child.lastHeardAt = now;
     fetchIfNewer(proofs, from, message.held, actions);
     if (message.roundNumber == 0 && state.roundNumber > 0)
         sendDigest(state, proofs, from, child, now, actions);
--- a/src/core/config_store.cpp
+++ b/src/core/config_store.cpp
@@ -341,9 +341,9 @@
         return install_result::Damaged;
     assert(read->version > store.current->version);
     if (store.current->version > 0)
-        store.earlier.push_back(store.current);
-    if (store.earlier.size() > maxEarlierVersions)
-        store.earlier.pop_front();
+        store.earlierVersions.push_back(store.current);
+    if (store.earlierVersions.size() > maxEarlierVersions)
+        store.earlierVersions.pop_front();
     store.current = std::move(read);
     store.currentObjectName = name;
     store.currentBody = body;
@@ -380,7 +380,7 @@
 {
     if (version == store.current->version)
         return section_changes{};
-    for (const auto &each : store.earlier) {
+    for (const auto &each : store.earlierVersions) {
         if (each->version == version)
             return diffConfigurations(*each, *store.current);
     }
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -109,7 +109,7 @@
     const bool isOwnTerm =
             state.highestAttemptedTerm != 0 && state.highestAttemptedTerm == view.highestTerm;
     if (const member_view *primary = findPrimary(view); primary != nullptr) {
-        if (!state.promotes)
+        if (!state.isPromotionEnabled)
             return std::nullopt;
         if (primary->leaving && canReplaceLeaving(view, now))
             return failover_cause::Leaving;
@@ -125,7 +125,8 @@
         return failover_cause::NoPrimary;
     const bool isOverdue = now >= view.primarySince + noPrimaryTimeout
                            && now >= state.resumedAt + startupGracePeriod;
-    return state.promotes && isOverdue ? std::optional(failover_cause::NoPrimary) : std::nullopt;
+    return state.isPromotionEnabled && isOverdue ? std::optional(failover_cause::NoPrimary)
+                                                 : std::nullopt;
 }
 
 // ---- follow requests ----
@@ -280,7 +281,7 @@
                         const std::optional<member_id> &except, time_point now)
 {
     if (state.policy == acknowledgement_policy::Lease)
-        return now < view.leaseUntil;
+        return now < view.leaseExpiresAt;
     if (state.policy == acknowledgement_policy::Majority)
         return false;
     return std::none_of(view.members.begin(), view.members.end(), [&](const auto &each) {
--- a/src/core/failover_probe.cpp
+++ b/src/core/failover_probe.cpp
@@ -32,20 +32,20 @@
                  failover_actions &actions)
 {
     probe_schedule &schedule = state.probeSchedules[id];
-    if (member.lastHeard >= schedule.lastSentAt)
+    if (member.lastHeardAt >= schedule.lastSentAt)
         schedule.unanswered = 0;
-    const bool needsProbe = !isHeardWithin(member, silence, now) || member.pause.failures > 0
+    const bool needsProbe = !isHeardWithin(member, silence, now) || member.backoffState.failures > 0
                             || member.unverifiedSince != time_point::min();
     const bool isIntervalElapsed =
             schedule.lastSentAt == time_point::min()
             || schedule.lastSentAt + probeInterval(schedule, isUrgent, silence) <= now;
     if (!needsProbe || !isIntervalElapsed)
         return;
-    if (!isPrimary && !isUrgent && member.pause.failures > 0) {
-        if (isBackedOff(member.pause, now))
+    if (!isPrimary && !isUrgent && member.backoffState.failures > 0) {
+        if (isBackedOff(member.backoffState, now))
             return;
         // Postpones the next probe. An answer of the member clears the backoff.
-        recordFailure(member.pause, now, random);
+        recordFailure(member.backoffState, now, random);
     }
     schedule.lastSentAt = now;
     schedule.unanswered += 1;
@@ -58,7 +58,7 @@
 
 bool isHeardWithin(const member_view &member, duration window, time_point now)
 {
-    return member.lastHeard != time_point::min() && member.lastHeard + window >= now;
+    return member.lastHeardAt != time_point::min() && member.lastHeardAt + window >= now;
 }
 
 duration exponentialDelay(duration first, std::uint32_t times, duration longest)
@@ -93,13 +93,14 @@
 {
     const member_view *primary = findPrimary(view);
     if (primary != nullptr && state.silentSince != noDeadline
-        && primary->lastHeard >= state.silentSince)
+        && primary->lastHeardAt >= state.silentSince)
         clearSilence(state);
     const bool isPrimaryUncertain =
             state.suspicion || state.attempt || primary == nullptr || isProbeOverdue(state, now);
     for (auto &[id, member] : view.members) {
         const bool isPrimary = view.primary == id;
-        if (!isPrimary && !state.probes && !isPrimaryUncertain && member.pause.failures > 0)
+        if (!isPrimary && !state.isReplicaProbingEnabled && !isPrimaryUncertain
+            && member.backoffState.failures > 0)
             continue;
         duration silence = load.hasWork ? replicaProbeAfterSilence : idleProbeAfterSilence;
         if (isPrimary && load.hasWork)
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -277,11 +277,12 @@
         owner.isMonitoringMembers = isOwner;
         owner.failover.rank = ownerRank(state);
         owner.failover.policy = state.policy;
-        owner.failover.promotes = isAutomatic(state.config, automatic_action::Promotion);
-        owner.failover.probes = isAutomatic(state.config, automatic_action::Probing);
+        owner.failover.isPromotionEnabled = isAutomatic(state.config, automatic_action::Promotion);
+        owner.failover.isReplicaProbingEnabled =
+                isAutomatic(state.config, automatic_action::Probing);
     }
-    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
-        onOwnedGroups(keeper, owned, turn.now, turn.random, actions);
+    withLimitManager(turn, [&](limit_manager &limitManager, limit_manager_actions &actions) {
+        onOwnedGroups(limitManager, owned, turn.now, turn.random, actions);
     });
 }
 
@@ -305,7 +306,8 @@
     entry_statement &entry = turn.state.entries.at(handle);
     admission result = admission::Refused;
     limit_manager_actions actions;
-    result = admitStatement(turn.state.keeper, entry.request.workspace, handle, turn.now, actions);
+    result = admitStatement(turn.state.limitManager, entry.request.workspace, handle, turn.now,
+                            actions);
     entry.isWaiting = result == admission::Wait;
     applyActions(turn, std::move(actions));
     if (result == admission::Granted)
@@ -340,7 +342,7 @@
         return each.second.state == connection_state::Idle;
     });
     const std::size_t waiting = owner.queue.length + owner.readyCount;
-    setGroupDemand(state.keeper, owner.group, static_cast<std::uint32_t>(connections.size()),
+    setGroupDemand(state.limitManager, owner.group, static_cast<std::uint32_t>(connections.size()),
                    static_cast<std::uint32_t>(waiting), now, static_cast<std::uint32_t>(idle));
 }
 
@@ -352,10 +354,10 @@
     state.incarnation = turn.random();
     state.ownIncarnations.insert(state.incarnation);
     const peer_ref self{ state.incarnation, state.instance, state.zone };
-    state.keeper = makeLimitManager(self, state.keeper.settings, turn.now);
+    state.limitManager = makeLimitManager(self, state.limitManager.settings, turn.now);
     turn.actions.emplace_back(incarnation_changed{ state.incarnation });
-    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
-        onConfiguration(keeper, state.config, turn.now, turn.random, actions);
+    withLimitManager(turn, [&](limit_manager &limitManager, limit_manager_actions &actions) {
+        onConfiguration(limitManager, state.config, turn.now, turn.random, actions);
     });
     for (auto &[group, owner] : state.owners) {
         owner_actions actions;
@@ -389,8 +391,8 @@
         if (settings != config.groups.end())
             applySettings(owner.view, group, settings->second);
     }
-    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
-        onConfiguration(keeper, config, turn.now, turn.random, actions);
+    withLimitManager(turn, [&](limit_manager &limitManager, limit_manager_actions &actions) {
+        onConfiguration(limitManager, config, turn.now, turn.random, actions);
     });
     return true;
 }
@@ -488,10 +490,10 @@
         applyActions(turn, group, std::move(actions));
     }
     dispatchDueRetries(turn);
-    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
-        tickLimitManager(keeper, turn.now, turn.random, actions);
-        if (state.isDraining && state.entries.empty() && !keeper.isLeaving)
-            startLeaving(keeper, turn.now, turn.random, actions);
+    withLimitManager(turn, [&](limit_manager &limitManager, limit_manager_actions &actions) {
+        tickLimitManager(limitManager, turn.now, turn.random, actions);
+        if (state.isDraining && state.entries.empty() && !limitManager.isLeaving)
+            startLeaving(limitManager, turn.now, turn.random, actions);
     });
     // An owner answers its statements at the deadline. After the margin only entries remain that
     // were forwarded, wait for a token or wait to be dispatched again.
@@ -500,7 +502,7 @@
         const std::uint64_t handle = state.deadlines.begin()->second;
         const entry_statement &entry = state.entries.at(handle);
         if (entry.isWaiting)
-            abandonStatement(state.keeper, entry.request.workspace, handle);
+            abandonStatement(state.limitManager, entry.request.workspace, handle);
         const error_kind lost = entry.mayHaveRun || entry.forwardedTo
                                         ? lostForwardError(entry.request)
                                         : error_kind::DeadlineExceeded;
@@ -510,7 +512,7 @@
 
 time_point nextWakeup(const gateway &state)
 {
-    time_point next = nextLimitManagerTick(state.keeper);
+    time_point next = nextLimitManagerTick(state.limitManager);
     for (const auto &[group, owner] : state.owners)
         next = std::min(next, nextWakeup(owner));
     if (!state.deadlines.empty())
@@ -527,14 +529,14 @@
     state.zone = self.zone;
     state.incarnation = self.incarnation;
     state.ownIncarnations.insert(self.incarnation);
-    state.keeper = makeLimitManager(self, settings, now);
+    state.limitManager = makeLimitManager(self, settings, now);
     return state;
 }
 
 void onLivePeers(gateway_turn &turn, std::vector<peer_ref> live)
 {
-    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
-        onPeers(keeper, std::move(live), turn.now, turn.random, actions);
+    withLimitManager(turn, [&](limit_manager &limitManager, limit_manager_actions &actions) {
+        onPeers(limitManager, std::move(live), turn.now, turn.random, actions);
     });
     turn.state.nextOwnerCheckAt = turn.now;
 }
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -86,8 +86,8 @@
     group_owner &owner = context.owner;
     const owned_statement &statement = owner.statements.at(handle);
     const queued_statement waiting = makeQueuedStatement(handle, statement);
-    if (isDeadlineUnreachable(owner.meter, owner.queue, waiting, statement.weight, owner.pool.limit,
-                              countAvailable(owner.pool), context.now)) {
+    if (isDeadlineUnreachable(owner.serviceTimes, owner.queue, waiting, statement.weight,
+                              owner.pool.limit, countAvailable(owner.pool), context.now)) {
         failStatement(context, handle, error_kind::DeadlineUnreachable);
         return;
     }
--- a/src/core/group_view.cpp
+++ b/src/core/group_view.cpp
@@ -57,10 +57,10 @@
 void updateAppliedPosition(member_view &member, log_position applied)
 {
     member.applied = applied;
-    if (member.catchUp && applied < *member.catchUp)
+    if (member.catchUpPosition && applied < *member.catchUpPosition)
         return;
-    member.catchUp.reset();
-    recordSuccess(member.pause);
+    member.catchUpPosition.reset();
+    recordSuccess(member.backoffState);
 }
 
 } // namespace
@@ -87,7 +87,7 @@
     if (found == view.members.end() || status.group != view.group)
         return false;
     member_view &member = found->second;
-    member.lastHeard = std::max(member.lastHeard, now);
+    member.lastHeardAt = std::max(member.lastHeardAt, now);
     member.leaving = member.leaving || status.leaving;
     if (askedAt >= member.unverifiedSince)
         member.unverifiedSince = time_point::min();
@@ -112,11 +112,11 @@
     if (found == view.members.end())
         return;
     member_view &known = found->second;
-    known.lastHeard = std::max(known.lastHeard, now);
+    known.lastHeardAt = std::max(known.lastHeardAt, now);
     if (!updateTerm(view, known, answer.term, askedAt, now))
         return;
     if (answer.status == execute_status::Refused) {
-        recordSuccess(known.pause);
+        recordSuccess(known.backoffState);
         return;
     }
     // An executed statement is in the log, so the log ends at its position or later.
@@ -141,15 +141,15 @@
         return;
     member_view &known = found->second;
     // Concurrent failures of several statements count as one.
-    if (isBackedOff(known.pause, now))
+    if (isBackedOff(known.backoffState, now))
         return;
-    recordFailure(known.pause, now, random);
+    recordFailure(known.backoffState, now, random);
     if (failure != member_failure::FarBehind)
         return;
-    known.lastHeard = std::max(known.lastHeard, now);
+    known.lastHeardAt = std::max(known.lastHeardAt, now);
     const member_view *primary = findPrimary(view);
     if (primary != nullptr && primary != &known)
-        known.catchUp = primary->last;
+        known.catchUpPosition = primary->last;
 }
 
 void markMembersUnverified(group_view &view, time_point now)
@@ -204,9 +204,9 @@
     if (primary == nullptr)
         return result;
     result.primary = *view.primary;
-    result.hasHeard = primary->lastHeard != time_point::min();
+    result.hasHeard = primary->lastHeardAt != time_point::min();
     if (result.hasHeard)
-        result.heardAgoMicros = (now - primary->lastHeard).count();
+        result.heardAgoMicros = (now - primary->lastHeardAt).count();
     return result;
 }
 
--- a/src/core/limit_manager.cpp
+++ b/src/core/limit_manager.cpp
@@ -122,14 +122,14 @@
 void onRequest(limit_manager &manager, const loan_request &request, time_point now,
                limit_manager_actions &actions)
 {
-    if (manager.isLeaving || request.asks.empty())
+    if (manager.isLeaving || request.items.empty())
         return;
-    loan_manager &loanManager = loanManagerOf(manager, request.asks.front().resource);
+    loan_manager &loanManager = loanManagerOf(manager, request.items.front().resource);
     if (&loanManager == &manager.rates) {
         sendLoanMessages(onLoanRequest(loanManager, request, now), actions);
         return;
     }
-    for (const loan_request_item &item : request.asks)
+    for (const loan_request_item &item : request.items)
         if (loanManager.limits.contains(item.resource))
             returnSpareConnections(manager, item.resource, true, now, actions);
     // Shares that expire soon must not count as spare, or open connections would lose their shares.
@@ -161,7 +161,7 @@
                                         return sent != nullptr
                                                && std::holds_alternative<loan_grant>(sent->body);
                                     });
-    for (const loan_request_item &item : request.asks)
+    for (const loan_request_item &item : request.items)
         if (!isLent)
             releaseIdleConnections(manager, item, now);
         else if (const auto limit = manager.limits.find(item.resource);
--- a/src/core/limit_manager_limits.cpp
+++ b/src/core/limit_manager_limits.cpp
@@ -116,8 +116,8 @@
 {
     limit_state &limit = manager.limits.at(resource);
     const share_ledger &book = bookOf(manager, resource);
-    const share_count difference = limit.fair - book.home;
-    const bool isNear = isSmall(difference, limit.fair);
+    const share_count difference = limit.fairShares - book.home;
+    const bool isNear = isSmall(difference, limit.fairShares);
     limit.pendingReturn = 0;
     limit.mayExceedFairPart = false;
     const auto place =
@@ -158,7 +158,7 @@
             limit.holders = shareHolders(resource, limit.burst, manager.live);
         else
             limit.holders = zoneOwners(manager, group_id{ resource.name });
-        limit.fair = fairShare(limit.total, limit.holders, manager.self.incarnation);
+        limit.fairShares = fairShare(limit.total, limit.holders, manager.self.incarnation);
         if (limit.isUsed)
             setLoanCandidates(manager, resource, limit.holders, random);
         if (manager.hasJoined)
@@ -181,7 +181,7 @@
         }
         loan_manager &loanManager = loanManagerOf(manager, resource);
         limit_entry &entry =
-                openLimit(loanManager, resource, limit.rate, limit.burst, limit.total, now);
+                addOrUpdateLimit(loanManager, resource, limit.rate, limit.burst, limit.total, now);
         setHomeUntil(entry.book, manager.homeUntil, now);
     }
 }
--- a/src/core/limit_manager_tasks.cpp
+++ b/src/core/limit_manager_tasks.cpp
@@ -135,8 +135,8 @@
     const bool isReadable = std::none_of(keys.begin(), keys.end(), [&](const std::string &key) {
         return task.unreadableKeys.contains(key);
     });
-    const transaction_state state =
-            isReadable ? judge(task.move.transaction, task.view) : transaction_state::Undecided;
+    const transaction_state state = isReadable ? determineOutcome(task.move.transaction, task.view)
+                                               : transaction_state::Undecided;
     if (state == transaction_state::Undecided)
         submitTransaction(manager, now, random, actions);
     else
@@ -162,7 +162,7 @@
         return false;
     if (limit.isUsed && limit.isPoolTotalUnverified)
         return true;
-    const share_count difference = limit.fair - bookOf(manager, resource).home;
+    const share_count difference = limit.fairShares - bookOf(manager, resource).home;
     if (difference >= 0)
         return difference > 0 || limit.mayExceedFairPart;
     if (limit.isUsed && !manager.isRebalancingOn && limit.pendingReturn == 0)
--- a/src/core/limit_manager_transactions.cpp
+++ b/src/core/limit_manager_transactions.cpp
@@ -72,7 +72,7 @@
     std::map<resource_id, share_count> wanted;
     for (const auto &[resource, limit] : manager.limits) {
         resources.insert(resource);
-        wanted[resource] = limit.fair;
+        wanted[resource] = limit.fairShares;
     }
     if (createPools(manager, resources))
         return true;
@@ -113,16 +113,16 @@
 {
     limit_state &limit = manager.limits.at(resource);
     const share_count home = bookOf(manager, resource).home;
-    share_count move = rebalanceDelta(home, limit.fair, pool);
+    share_count move = rebalanceDelta(home, limit.fairShares, pool);
     if (move == 0 && limit.mayExceedFairPart && pool.free > 0)
-        move = std::clamp<share_count>(limit.fair + (limit.fair - 1) / absorptionDivisor - home, 0,
-                                       pool.free);
+        move = std::clamp<share_count>(
+                limit.fairShares + (limit.fairShares - 1) / absorptionDivisor - home, 0, pool.free);
     if (move < 0 && limit.isUsed && !manager.isRebalancingOn && pool.free >= 0)
         move = 0;
     limit.mayExceedFairPart = false;
     limit.nextPoolReadAt = noDeadline;
-    const share_count missing = limit.fair - home - std::max<share_count>(move, 0);
-    if (missing > 0 && (limit.fair - home) * absorptionDivisor >= limit.fair) {
+    const share_count missing = limit.fairShares - home - std::max<share_count>(move, 0);
+    if (missing > 0 && (limit.fairShares - home) * absorptionDivisor >= limit.fairShares) {
         limit.poolReadBackoff =
                 std::clamp(limit.poolReadBackoff * 2, minPoolReadBackoff, maxPoolReadBackoff);
         limit.nextPoolReadAt = now + drawJitteredDelay(random, limit.poolReadBackoff);
@@ -295,7 +295,7 @@
         const time_point known = limit.nextPoolReadAt;
         schedulePoolRead(manager, resource, now, random);
         // A pool with too few free shares is not read again before its backoff has passed.
-        if (known != noDeadline && limit.fair > bookOf(manager, resource).home)
+        if (known != noDeadline && limit.fairShares > bookOf(manager, resource).home)
             manager.limits.at(resource).nextPoolReadAt = known;
     }
 }
@@ -339,8 +339,9 @@
         addShares(manager, task.move.gained, now, random, actions);
         for (const auto &[resource, limit] : manager.limits) {
             schedulePoolRead(manager, resource, now, random);
-            manager.isPredecessorSearchWanted = manager.isPredecessorSearchWanted
-                                                || 2 * bookOf(manager, resource).home < limit.fair;
+            manager.isPredecessorSearchWanted =
+                    manager.isPredecessorSearchWanted
+                    || 2 * bookOf(manager, resource).home < limit.fairShares;
         }
         manager.nextPredecessorSearchAt =
                 now + drawJitteredDelay(random, searchDelayPerInstance * std::ssize(manager.live));
--- a/src/core/loan_manager.cpp
+++ b/src/core/loan_manager.cpp
@@ -13,21 +13,21 @@
     manager.self = self;
     manager.settings = settings;
     manager.nextScanAt = now;
-    reshape(manager.byteBudget, settings.bytesPerSecond * oneToken, settings.byteBurst * oneToken,
-            now);
+    reconfigure(manager.byteBudget, settings.bytesPerSecond * oneToken,
+                settings.byteBurst * oneToken, now);
     put(manager.byteBudget, settings.byteBurst * oneToken, now);
     return manager;
 }
 
-limit_entry &openLimit(loan_manager &manager, const resource_id &resource, std::int64_t rate,
-                       token_amount burst, share_count total, time_point now)
+limit_entry &addOrUpdateLimit(loan_manager &manager, const resource_id &resource, std::int64_t rate,
+                              token_amount burst, share_count total, time_point now)
 {
     limit_entry &entry = manager.limits[resource];
     core::setLimit(entry.book, rate, burst, total, now);
     return entry;
 }
 
-void closeLimit(loan_manager &manager, const resource_id &resource)
+void removeLimit(loan_manager &manager, const resource_id &resource)
 {
     manager.active.erase(resource);
     manager.urgent.erase(resource);
--- a/src/core/loan_message.cpp
+++ b/src/core/loan_message.cpp
@@ -25,7 +25,7 @@
             bytes += each + static_cast<std::int64_t>(entry.resource.name.size());
     };
     if (const auto *request = std::get_if<loan_request>(&message.body))
-        count(request->asks, requestItemBytes);
+        count(request->items, requestItemBytes);
     else if (const auto *grant = std::get_if<loan_grant>(&message.body))
         count(grant->loans, termsBytes);
     else if (const auto *returns = std::get_if<loan_returns>(&message.body))
--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -69,7 +69,7 @@
 {
     if (entry.book.rate == 0)
         return static_cast<share_count>(entry.inUse) + entry.waiting;
-    const double steady = demandHeadroom * decayed(entry.demand, now).slow;
+    const double steady = demandHeadroom * decayed(entry.demand, now).longWindowRate;
     return sharesForRate(entry.book, std::max(rateLowerBound(entry.demand, now),
                                               std::min(steady, rateUpperBound(entry.demand, now))));
 }
@@ -107,8 +107,8 @@
         return 0;
     const token_amount waiting = static_cast<token_amount>(entry.waiting) * oneToken;
     const token_amount lowLevel = std::min(2 * oneToken, book.bucket.capacity / 3);
-    const bool isLow =
-            book.bucket.level < lowLevel && decayed(entry.demand, now).slow > idleArrivalRate;
+    const bool isLow = book.bucket.level < lowLevel
+                       && decayed(entry.demand, now).longWindowRate > idleArrivalRate;
     const token_amount reserve = isLow ? book.bucket.capacity / 3 : 0;
     return std::max<token_amount>(waiting + reserve - book.bucket.level, 0);
 }
@@ -116,7 +116,7 @@
 bool isActive(const limit_entry &entry, time_point now)
 {
     return entry.waiting > 0 || !entry.book.in.empty()
-           || decayed(entry.demand, now).slow > idleArrivalRate;
+           || decayed(entry.demand, now).longWindowRate > idleArrivalRate;
 }
 
 bool tryTakeBudget(loan_manager &manager, std::int64_t bytes, time_point now)
@@ -322,17 +322,17 @@
         loan_request request{ manager.self.incarnation, 0, now.time_since_epoch().count(), {} };
         std::int64_t answerBytes = 0;
         const auto flush = [&] {
-            if (request.asks.empty())
+            if (request.items.empty())
                 return;
             request.number = manager.nextRequestNumber++;
             loan_message message{ entry.first, request };
             if (tryTakeBudget(manager, sizeOf(message), now))
                 messages.push_back(std::move(message));
-            request.asks.clear();
+            request.items.clear();
             answerBytes = 0;
         };
         for (const auto &[key, shares] : entry.second) {
-            request.asks.push_back({ key.first, key.second, shares });
+            request.items.push_back({ key.first, key.second, shares });
             answerBytes += sizeOfTerms(key.first);
             if (answerBytes > maxAnswerBytes)
                 flush();
@@ -361,7 +361,7 @@
     if (found == manager.limits.end())
         return admission::Refused;
     limit_entry &entry = found->second;
-    if (entry.demand.slow == 0 || !isActive(entry, now))
+    if (entry.demand.longWindowRate == 0 || !isActive(entry, now))
         manager.active.insert(resource);
     recordArrival(entry.demand, now);
     // Statements that are already waiting take precedence.
@@ -411,8 +411,9 @@
     if (entry.book.rate == 0)
         return std::min<share_count>(static_cast<share_count>(entry.inUse) + entry.waiting,
                                      entry.book.total);
-    return sharesForRate(entry.book, std::max(demandHeadroom * decayed(entry.demand, now).slow,
-                                              rateLowerBound(entry.demand, now)));
+    return sharesForRate(entry.book,
+                         std::max(demandHeadroom * decayed(entry.demand, now).longWindowRate,
+                                  rateLowerBound(entry.demand, now)));
 }
 
 std::vector<loan_message> poll(loan_manager &manager, time_point now)
@@ -472,7 +473,7 @@
     // Without byte budget nothing is lent, but loans that are not needed are still returned.
     const bool canLend =
             manager.areLoansOn && manager.byteBudget.level >= maxAnswerBytes * oneToken;
-    for (const loan_request_item &item : request.asks) {
+    for (const loan_request_item &item : request.items) {
         const auto found = manager.limits.find(item.resource);
         if (found == manager.limits.end())
             continue;
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -135,7 +135,7 @@
         observeAnswer(owner.view, statement.progress.member, answer, statement.progress.term,
                       statement.sentAt, context.now);
         reportPrimary(context);
-        recordServiceTime(owner.meter, context.now - statement.sentAt);
+        recordServiceTime(owner.serviceTimes, context.now - statement.sentAt);
     }
     if (verdict == answer_verdict::AskPrimaryAge)
         recordMemberFailure(context, statement.progress.member, member_failure::FarBehind);
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -43,9 +43,9 @@
         return rejection_reason::Leaving;
     if (member.unverifiedSince != time_point::min())
         return rejection_reason::NotConfirmed;
-    if (member.catchUp)
+    if (member.catchUpPosition)
         return rejection_reason::FarBehind;
-    if (isBackedOff(member.pause, now))
+    if (isBackedOff(member.backoffState, now))
         return rejection_reason::BackedOff;
     return rejection_reason::Chosen;
 }
@@ -56,7 +56,7 @@
     if (const rejection_reason reason = checkMember(member, now);
         reason != rejection_reason::Chosen)
         return reason;
-    if (member.lastHeard == time_point::min())
+    if (member.lastHeardAt == time_point::min())
         return rejection_reason::NeverHeard;
     if (member.acceptedTerm != view.highestTerm)
         return rejection_reason::OtherTerm;
--- a/src/core/share_ledger.cpp
+++ b/src/core/share_ledger.cpp
@@ -31,8 +31,8 @@
     assert(ledger.usable >= 0 && ledger.usable <= ledger.home - ledger.lent + borrowed);
     // After a decrease of the total, holders keep surplus shares until they have returned them.
     const share_count cappedShares = std::min(ledger.usable, ledger.total);
-    reshape(ledger.bucket, partOf(ledger.rate, cappedShares, ledger.total),
-            partOf(ledger.burst, cappedShares, ledger.total), now);
+    reconfigure(ledger.bucket, partOf(ledger.rate, cappedShares, ledger.total),
+                partOf(ledger.burst, cappedShares, ledger.total), now);
 }
 
 template <typename loans>
--- a/src/core/share_pool.cpp
+++ b/src/core/share_pool.cpp
@@ -304,7 +304,7 @@
     return builder.finish(id);
 }
 
-transaction_state judge(const table_transaction &transaction, const table_view &view)
+transaction_state determineOutcome(const table_transaction &transaction, const table_view &view)
 {
     for (const share_put &put : transaction.puts) {
         const auto entry = view.find(put.key);
--- a/src/core/token_bucket.cpp
+++ b/src/core/token_bucket.cpp
@@ -49,7 +49,7 @@
     checkInvariant(bucket);
 }
 
-void reshape(token_bucket &bucket, std::int64_t rate, token_amount capacity, time_point now)
+void reconfigure(token_bucket &bucket, std::int64_t rate, token_amount capacity, time_point now)
 {
     assert(rate >= 0 && rate <= maxTokenRate && capacity >= 0);
     refill(bucket, now);
--- a/src/daemon/admin_server.cpp
+++ b/src/daemon/admin_server.cpp
@@ -38,7 +38,7 @@
 {
     net::http_server_options options;
     options.listenAddress = values.adminAddress;
-    options.maxBody = maxRequestBodyBytes;
+    options.maxBodyBytes = maxRequestBodyBytes;
     options.maxConnections = maxConnections;
     return options;
 }
--- a/src/daemon/caller_server.cpp
+++ b/src/daemon/caller_server.cpp
@@ -136,7 +136,7 @@
                   options.listenAddress = values.callerAddress;
                   // Twice the limit, so that a slightly larger body gets an error answer and does
                   // not close the connection.
-                  options.maxBody = 2 * maxRequestBodyBytes;
+                  options.maxBodyBytes = 2 * maxRequestBodyBytes;
                   options.maxConnections = values.callerConnections;
                   return options;
               }(),
--- a/src/daemon/decision_meter.cpp
+++ b/src/daemon/decision_meter.cpp
@@ -117,7 +117,7 @@
             gap.primaryLostAt != core::noDeadline && gap.writeWaitingSince != core::noDeadline;
     if (!gap.primary.empty() && !isFurtherLoss) {
         const core::member_view *lostPrimary = core::findMember(owner.view, gap.primary);
-        const core::time_point heardAt = lostPrimary == nullptr ? now : lostPrimary->lastHeard;
+        const core::time_point heardAt = lostPrimary == nullptr ? now : lostPrimary->lastHeardAt;
         gap.primaryLostAt = std::clamp(heardAt, std::min(owner.failover.resumedAt, now), now);
         gap.successorSeenAt = core::noDeadline;
         gap.writeWaitingSince = hasWaitingWrite(owner) ? now : core::noDeadline;
--- a/src/daemon/gateway_driver.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -29,17 +29,20 @@
     return number;
 }
 
-/// Returns whether the keeper holds home shares of every workspace that assigns it a fair share.
-bool holdsHomeShares(const core::limit_manager &keeper)
+/// Returns whether the limit manager holds home shares of every workspace that assigns it a fair share.
+bool holdsHomeShares(const core::limit_manager &limitManager)
 {
-    if (!keeper.hasJoined)
+    if (!limitManager.hasJoined)
         return false;
-    return std::all_of(keeper.limits.begin(), keeper.limits.end(), [&keeper](const auto &each) {
-        const bool needsShares = each.second.isUsed && each.second.fair > 0
-                                 && each.first.kind == core::resource_kind::Workspace;
-        const auto entry = keeper.rates.limits.find(each.first);
-        return !needsShares || (entry != keeper.rates.limits.end() && entry->second.book.home > 0);
-    });
+    return std::all_of(
+            limitManager.limits.begin(), limitManager.limits.end(),
+            [&limitManager](const auto &each) {
+                const bool needsShares = each.second.isUsed && each.second.fairShares > 0
+                                         && each.first.kind == core::resource_kind::Workspace;
+                const auto entry = limitManager.rates.limits.find(each.first);
+                return !needsShares
+                       || (entry != limitManager.rates.limits.end() && entry->second.book.home > 0);
+            });
 }
 
 } // namespace
@@ -130,7 +133,7 @@
             std::all_of(gateway_.peers.begin(), gateway_.peers.end(),
                         [](const auto &each) { return each.second.incarnation != 0; });
     const bool hasTimedOut = now_ >= startedAt_ + readyTimeout;
-    isReady_ = (knowsAllPeers && holdsHomeShares(gateway_.keeper)) || hasTimedOut;
+    isReady_ = (knowsAllPeers && holdsHomeShares(gateway_.limitManager)) || hasTimedOut;
     if (!isReady_)
         return;
     logEvent(log_, log_event::ProcessReady,
@@ -144,7 +147,7 @@
     // The other instances reclaim shares that an incarnation could not return in time.
     if (shareReturnDeadline_ == core::noDeadline)
         shareReturnDeadline_ = now_ + shareReturnTimeout;
-    if (hasLeft(gateway_.keeper) || now_ >= shareReturnDeadline_)
+    if (hasLeft(gateway_.limitManager) || now_ >= shareReturnDeadline_)
         std::exchange(onDrained_, nullptr)();
 }
 
@@ -207,13 +210,13 @@
         sendPlatformRequest(platform::scan_rows{ std::move(*prefix) },
                             [this, number](platform::platform_result &&result, core::time_point) {
                                 core::gateway_turn step = turn();
-                                withKeeper(step, [&](core::limit_manager &keeper,
-                                                     core::limit_manager_actions &actions) {
+                                withLimitManager(step, [&](core::limit_manager &limitManager,
+                                                           core::limit_manager_actions &actions) {
                                     const auto rows =
                                             result.isAnswered
                                                     ? std::optional(std::move(result.scan))
                                                     : std::nullopt;
-                                    onScan(keeper, number, rows, now_, random_, actions);
+                                    onScan(limitManager, number, rows, now_, random_, actions);
                                 });
                             });
         return;
@@ -221,13 +224,13 @@
     sendPlatformRequest(std::get<core::transact_request>(std::move(call.order)),
                         [this, number](platform::platform_result &&result, core::time_point) {
                             core::gateway_turn step = turn();
-                            withKeeper(step, [&](core::limit_manager &keeper,
-                                                 core::limit_manager_actions &actions) {
+                            withLimitManager(step, [&](core::limit_manager &limitManager,
+                                                       core::limit_manager_actions &actions) {
                                 const auto answer =
                                         result.isAnswered
                                                 ? std::optional(std::move(result.transaction))
                                                 : std::nullopt;
-                                onTransact(keeper, number, answer, now_, random_, actions);
+                                onTransact(limitManager, number, answer, now_, random_, actions);
                             });
                         });
 }
@@ -270,10 +273,11 @@
     std::visit(
             [&](auto &body) {
                 if constexpr (std::is_constructible_v<core::limit_message_body, decltype(body)>) {
-                    withKeeper(step, [&](core::limit_manager &keeper,
-                                         core::limit_manager_actions &actions) {
-                        onMessage(keeper, event.from, core::limit_message_body(std::move(body)),
-                                  now_, random_, actions);
+                    withLimitManager(step, [&](core::limit_manager &limitManager,
+                                               core::limit_manager_actions &actions) {
+                        onMessage(limitManager, event.from,
+                                  core::limit_message_body(std::move(body)), now_, random_,
+                                  actions);
                     });
                 }
             },
--- a/src/daemon/operator_service.cpp
+++ b/src/daemon/operator_service.cpp
@@ -104,12 +104,12 @@
 {
     if (member.leaving)
         return "leaving";
-    const bool wasHeard = member.lastHeard != core::time_point::min();
-    if (!wasHeard || (!isMonitored && member.lastHeard + unmonitoredStateLifetime < now))
+    const bool wasHeard = member.lastHeardAt != core::time_point::min();
+    if (!wasHeard || (!isMonitored && member.lastHeardAt + unmonitoredStateLifetime < now))
         return "unknown";
-    if (member.catchUp)
+    if (member.catchUpPosition)
         return "behind";
-    return member.pause.failures > 0 ? "silent" : "live";
+    return member.backoffState.failures > 0 ? "silent" : "live";
 }
 
 /// Describes, for an error text, the instance of this zone that monitors a group.
--- a/src/daemon/peer_body.cpp
+++ b/src/daemon/peer_body.cpp
@@ -10,7 +10,7 @@
 
 bool isValid(const loan_request &value)
 {
-    return std::all_of(value.asks.begin(), value.asks.end(), [](const loan_request_item &each) {
+    return std::all_of(value.items.begin(), value.items.end(), [](const loan_request_item &each) {
         return isValid(each.resource) && each.shares >= 0;
     });
 }
--- a/src/daemon/relay_server.cpp
+++ b/src/daemon/relay_server.cpp
@@ -318,7 +318,7 @@
     pooled_.erase(found);
     pools_[member].connections.erase(id);
     if (isGraceful) {
-        connection->send(std::string(adapter::farewell()));
+        connection->send(std::string(adapter::terminateMessage()));
         connection->closeGracefully();
     } else {
         connection->close();
@@ -387,7 +387,7 @@
     for (const auto &[member, pool] : pools_) {
         if (!pool.waiting.empty())
             members.push_back(member);
-        const auto idle = proxy::surplus(pool, now);
+        const auto idle = proxy::findExpired(pool, now);
         toClose.insert(toClose.end(), idle.begin(), idle.end());
         // Another daemon is the member's relay now and needs the connections that this daemon
         // holds.
--- a/src/daemon/session_gateway.cpp
+++ b/src/daemon/session_gateway.cpp
@@ -406,7 +406,7 @@
         return;
     const auto connection = found->second->connection;
     if (action.graceful) {
-        connection->send(std::string(adapter::farewell()));
+        connection->send(std::string(adapter::terminateMessage()));
         connection->closeGracefully();
     } else {
         connection->close();
--- a/src/daemon/session_log.cpp
+++ b/src/daemon/session_log.cpp
@@ -57,8 +57,8 @@
     : sink_(sink)
 {
     for (limiter &each : limiters_) {
-        core::reshape(each.bucket, maxSampledLinesPerSecond * core::oneToken,
-                      sampledLineBurst * core::oneToken, {});
+        core::reconfigure(each.bucket, maxSampledLinesPerSecond * core::oneToken,
+                          sampledLineBurst * core::oneToken, {});
         core::put(each.bucket, sampledLineBurst * core::oneToken, {});
     }
 }
--- a/src/daemon/session_process.cpp
+++ b/src/daemon/session_process.cpp
@@ -31,7 +31,7 @@
 {
     net::http_server_options options;
     options.listenAddress = address;
-    options.maxBody = maxStatusBodyBytes;
+    options.maxBodyBytes = maxStatusBodyBytes;
     options.maxConnections = maxStatusConnections;
     return options;
 }
--- a/src/proxy/engine_answers.cpp
+++ b/src/proxy/engine_answers.cpp
@@ -51,7 +51,7 @@
 void recordAlive(member_state &member, core::time_point now)
 {
     member.lastAnswerAt = now;
-    member.silentSince = core::noDeadline;
+    member.unresponsiveSince = core::noDeadline;
     member.consecutiveFailures = 0;
 }
 
@@ -60,8 +60,8 @@
     const int doublings = std::min(member.consecutiveFailures, maxFailureDoublings);
     ++member.consecutiveFailures;
     member.avoidUntil = now + withJitter(state, failureBackoff * (1 << doublings));
-    if (member.silentSince == core::noDeadline)
-        member.silentSince = now;
+    if (member.unresponsiveSince == core::noDeadline)
+        member.unresponsiveSince = now;
     decision_note note;
     note.kind = note_kind::MemberAvoided;
     note.service = member.entry.service;
--- a/src/proxy/engine_callers.cpp
+++ b/src/proxy/engine_callers.cpp
@@ -279,7 +279,7 @@
     const bool neverSent =
             caller->current && caller->current->admitted && !caller->current->wasSent;
     if (neverSent && caller->state == transaction_state::Idle)
-        giveBack(state.quota, caller->workspace, now);
+        refundToken(state.quota, caller->workspace, now);
     decision_note note;
     note.kind = note_kind::SessionClosed;
     note.session = id;
@@ -328,7 +328,7 @@
     // A single statement that was never sent returns its token to the workspace's rate limit.
     if (caller.state == transaction_state::Idle && caller.current->admitted
         && !caller.current->wasSent)
-        giveBack(state.quota, caller.workspace, now);
+        refundToken(state.quota, caller.workspace, now);
     finishRequest(state, caller, refuse(reason, caller.state, retryAfter), now);
 }
 
--- a/src/proxy/engine_control.cpp
+++ b/src/proxy/engine_control.cpp
@@ -46,7 +46,7 @@
     closeIdleLinks(state, member, now);
     member.avoidUntil = {};
     member.consecutiveFailures = 0;
-    member.silentSince = core::noDeadline;
+    member.unresponsiveSince = core::noDeadline;
 }
 
 void applyMemberEntry(engine &state, const listed_member &from, core::time_point now)
@@ -159,7 +159,8 @@
     const bool free = state.recall.done && state.quota.workspaces.empty();
     const core::time_point ownPartUsableFrom =
             free ? now : now + partLeaseDuration + partLeaseMargin;
-    reshape(state.quota, *state.config, nodes, self, state.claim.granted, ownPartUsableFrom, now);
+    applyLimits(state.quota, *state.config, nodes, self, state.claim.granted, ownPartUsableFrom,
+                now);
     for (auto &[name, quota] : state.quota.workspaces)
         logPartChange(state, quota, name, "claim_or_manifest_changed", {}, now);
     state.waitingLoans = 0;
--- a/src/proxy/engine_peers.cpp
+++ b/src/proxy/engine_peers.cpp
@@ -126,7 +126,7 @@
     answer.member = message.member;
     answer.amount = -1;
     if (const member_state *member = findMember(state, message.member)) {
-        if (member->silentSince != core::noDeadline)
+        if (member->unresponsiveSince != core::noDeadline)
             answer.amount = 0;
         else if (now - member->lastAnswerAt < maxContactAge)
             answer.amount = 1;
--- a/src/proxy/engine_promotion.cpp
+++ b/src/proxy/engine_promotion.cpp
@@ -41,7 +41,7 @@
 
 core::duration startDelay(engine &state, service_state &service)
 {
-    const std::size_t rank = std::min(rankOf(state, service), maxStartRank);
+    const std::size_t rank = std::min(serviceRank(state, service), maxStartRank);
     return startStagger * static_cast<int>(rank) + randomBelow(state, startJitter);
 }
 
@@ -169,7 +169,7 @@
         for (const std::string &id : electable) {
             const member_state &member = state.members.at(id);
             const bool better = attempt.chosen.empty() || member.lastAnswerAt > newest;
-            if (member.silentSince == core::noDeadline && better) {
+            if (member.unresponsiveSince == core::noDeadline && better) {
                 attempt.chosen = id;
                 newest = member.lastAnswerAt;
             }
--- a/src/proxy/engine_watch.cpp
+++ b/src/proxy/engine_watch.cpp
@@ -57,7 +57,7 @@
     state.out.emplace_back(send_to_member{ link->id, { std::move(command) } });
 }
 
-std::size_t rankOf(const engine &state, service_state &service)
+std::size_t serviceRank(const engine &state, service_state &service)
 {
     if (service.rankVersion != state.peersVersion) {
         service.rank = instanceRank(state, service.name);
@@ -86,10 +86,10 @@
                 if (connecting && relay != state.peers.end())
                     relay->second.relayAvoidedUntil = now + unresponsiveRelayBackoff;
             } else {
-                member.silentSince = std::min(member.silentSince, link.lastSent);
+                member.unresponsiveSince = std::min(member.unresponsiveSince, link.lastSent);
             }
         }
-        if (member.silentSince == core::noDeadline) {
+        if (member.unresponsiveSince == core::noDeadline) {
             if (suspected.contains(&member) && member.listed && now >= member.nextProbeAt)
                 probed.push_back(&member);
             continue;
@@ -112,7 +112,7 @@
         if (now < service.nextReplicaCheckAt || service.leader.empty()
             || service.promotion.phase != promotion_phase::None)
             continue;
-        const std::size_t rank = rankOf(state, service);
+        const std::size_t rank = serviceRank(state, service);
         if (rank >= maxCheckingDaemons && service.nextReplicaCheckAt == core::time_point{})
             continue;
         service.nextReplicaCheckAt =
--- a/src/proxy/promotion_choice.cpp
+++ b/src/proxy/promotion_choice.cpp
@@ -105,8 +105,8 @@
     }
     if (!leader->listed)
         return promotion_cause::PrimaryGone;
-    if (leader->silentSince != core::noDeadline
-        && now - leader->silentSince >= primarySilenceTimeout)
+    if (leader->unresponsiveSince != core::noDeadline
+        && now - leader->unresponsiveSince >= primarySilenceTimeout)
         return promotion_cause::PrimarySilent;
     if (leader->entry.draining)
         return promotion_cause::PrimaryDraining;
--- a/src/proxy/quota.cpp
+++ b/src/proxy/quota.cpp
@@ -96,7 +96,7 @@
     // With a small burst, the home of a zone still needs room for one operation.
     if (quota.isFirstHome && quota.held > 0)
         capacity = std::max(oneToken, capacity);
-    core::reshape(quota.bucket, toTokenAmount(quota.ratePerSecond * share), capacity, when);
+    core::reconfigure(quota.bucket, toTokenAmount(quota.ratePerSecond * share), capacity, when);
 }
 
 token_amount overflowCapacity(const workspace_quota &quota)
@@ -120,9 +120,9 @@
 
 } // namespace
 
-void reshape(quota_table &table, const manifest &from, const std::vector<quota_node> &nodes,
-             const quota_node &self, limit_part ownPart, core::time_point ownPartUsableFrom,
-             core::time_point now)
+void applyLimits(quota_table &table, const manifest &from, const std::vector<quota_node> &nodes,
+                 const quota_node &self, limit_part ownPart, core::time_point ownPartUsableFrom,
+                 core::time_point now)
 {
     std::set<std::string> zones;
     for (const quota_node &each : nodes)
@@ -238,7 +238,7 @@
     return true;
 }
 
-void giveBack(quota_table &table, const std::string &workspace, core::time_point now)
+void refundToken(quota_table &table, const std::string &workspace, core::time_point now)
 {
     if (workspace_quota *quota = findLimitedQuota(table, workspace))
         addTokensWithOverflow(*quota, oneToken, now);
--- a/src/proxy/relay_pool.cpp
+++ b/src/proxy/relay_pool.cpp
@@ -93,7 +93,7 @@
     return step;
 }
 
-std::vector<pooled_id> surplus(const relay_pool &pool, core::time_point now)
+std::vector<pooled_id> findExpired(const relay_pool &pool, core::time_point now)
 {
     std::vector<pooled_id> result;
     for (const auto &[id, each] : pool.connections) {
--- a/testing/config_world.cpp
+++ b/testing/config_world.cpp
@@ -46,7 +46,7 @@
             reportResult; ///< called with null if no answer arrives
 };
 
-config_world::config_world(const world_settings &settings)
+config_world::config_world(const config_world_settings &settings)
     : settings_(settings)
     , random_(settings.seed)
 {
@@ -154,7 +154,7 @@
 
 bool config_world::isSpreadStopped() const
 {
-    return settings_.error == sabotage::NoSpread && commits_.size() > 1;
+    return settings_.error == config_defect::NoSpread && commits_.size() > 1;
 }
 
 void config_world::perform(std::size_t index, const std::vector<core::spread_action> &actions)
@@ -275,11 +275,11 @@
     std::vector<core::spread_action> actions;
     core::onVersionInstalled(own.spread, own.proofs, own.store.current->version, actions);
     perform(index, actions);
-    if (settings_.error == sabotage::Revert && own.store.current->version > 1 && index == 1) {
+    if (settings_.error == config_defect::Revert && own.store.current->version > 1 && index == 1) {
         at(now_ + 1s, [this, index] {
             core::config_store &store = instances_[index].store;
-            if (!store.earlier.empty())
-                store.current = store.earlier.front();
+            if (!store.earlierVersions.empty())
+                store.current = store.earlierVersions.front();
         });
     }
     if (onVersionInstalled)
@@ -306,7 +306,7 @@
         break;
     case submit_step::Commit: {
         const auto [known, isNew] = transactions_.emplace(action.transactionId, true);
-        const bool isRepeated = settings_.error == sabotage::RepeatedCommit;
+        const bool isRepeated = settings_.error == config_defect::RepeatedCommit;
         if (isNew && !isRepeated) {
             for (const auto &[key, version] : action.checks)
                 known->second =
@@ -381,7 +381,7 @@
         operator_record &operatorRecord = operators_.at(id);
         const auto kind = result == nullptr ? core::error_kind::NoteOutcomeUnknown
                                             : core::kindOf(result->error);
-        const bool isWrong = settings_.error == sabotage::WrongAnswer && result != nullptr;
+        const bool isWrong = settings_.error == config_defect::WrongAnswer && result != nullptr;
         if (isWrong || (result != nullptr && !result->error)) {
             if (!operatorRecord.acceptedAt)
                 operatorRecord.acceptedAt = now_;
@@ -420,7 +420,7 @@
     if (instances_[run->index].incarnation != run->incarnation)
         return;
     core::submit_action sent = action;
-    if (settings_.error == sabotage::ExtraChange && action.step == submit_step::Commit) {
+    if (settings_.error == config_defect::ExtraChange && action.step == submit_step::Commit) {
         core::configuration altered = *run->state.next;
         altered.switches[core::automatic_action::Probing] = false;
         const std::string body = codec().write(altered);
@@ -457,7 +457,7 @@
     if (run->isFinished)
         return; // the operator has timed out
     const core::spread_state &spread = instances_[run->index].spread;
-    if (settings_.error != sabotage::EarlyAnswer && !result.error
+    if (settings_.error != config_defect::EarlyAnswer && !result.error
         && !core::isHeldElsewhere(spread, result.newest->version)) {
         scheduleForIncarnation(run->index, now_ + confirmationPollInterval,
                                [this, run] { confirm(run); });
@@ -476,7 +476,7 @@
 {
     const instance &own = instances_[index];
     core::freshness proofs = own.proofs;
-    if (settings_.error == sabotage::NoProof)
+    if (settings_.error == config_defect::NoProof)
         core::addPlatformProof(proofs, proofs.held, now_);
     return core::checkKey(own.index, hash, proofs, now_);
 }
--- a/testing/fake_group.cpp
+++ b/testing/fake_group.cpp
@@ -45,7 +45,7 @@
         owner.random.seed(config.seed * 1000 + i);
         owner.failover.rank = static_cast<std::uint8_t>(i);
         owner.failover.policy = config.policy;
-        owner.failover.promotes = config.fault != sabotage::NeverPromote;
+        owner.failover.isPromotionEnabled = config.fault != failover_defect::NeverPromote;
         // Random offsets keep the ticks and writes of the owners from being aligned.
         schedule(duration(drawBelow(random, 25000)), [this, i] { tick(i); });
         const auto offset =
--- a/testing/fake_group_owner.cpp
+++ b/testing/fake_group_owner.cpp
@@ -44,10 +44,10 @@
     // The table of the platform answers without delay here, which favours the lease policy.
     group_view &view = owners[index].view;
     const member_view *known = findPrimary(view);
-    if (known != nullptr && known->lastHeard != time_point::min()
-        && known->lastHeard + suspectAfter >= clock)
+    if (known != nullptr && known->lastHeardAt != time_point::min()
+        && known->lastHeardAt + suspectAfter >= clock)
         leaseUntil = std::max(leaseUntil, clock + config.lease);
-    view.leaseUntil = leaseUntil;
+    view.leaseExpiresAt = leaseUntil;
 }
 
 void fake_group::perform(std::size_t owner, const failover_actions &actions)
@@ -92,7 +92,7 @@
 {
     std::size_t member = indexOf(action.member);
     const auto &attempt = owners[index].failover.attempt;
-    if (config.fault == sabotage::PromoteShortestLog && attempt) {
+    if (config.fault == failover_defect::PromoteShortestLog && attempt) {
         for (const auto &[id, status] : attempt->grants) {
             if (lastPosition(members[indexOf(id)]) < lastPosition(members[member]))
                 member = indexOf(id);
@@ -227,7 +227,7 @@
 void fake_group::settle(std::size_t index)
 {
     fake_owner &owner = owners[index];
-    const auto policy = config.fault == sabotage::AcknowledgeAtOnce
+    const auto policy = config.fault == failover_defect::AcknowledgeAtOnce
                                 ? acknowledgement_policy::KnownPosition
                                 : config.policy;
     for (const resolved_write &each : resolveWrites(owner.pending, owner.view, policy, clock)) {
@@ -287,7 +287,7 @@
     statement_request statement;
     statement.kind = statement_kind::Write;
     statement.deadline = clock + config.writeDeadline;
-    const bool canRetry = config.writesHaveKeys || config.fault == sabotage::RetryWithoutKey;
+    const bool canRetry = config.writesHaveKeys || config.fault == failover_defect::RetryWithoutKey;
     statement.idempotencyKey = canRetry ? std::to_string(write.number) : "";
     write.exchangeState = makeExchange(statement);
     const std::uint64_t number = write.number;
@@ -330,7 +330,7 @@
         if (!action.error)
             acknowledge(write);
         else if (answerOf(*action.error).outcome == request_outcome::NotRun
-                 || config.fault == sabotage::ReportNotRun)
+                 || config.fault == failover_defect::ReportNotRun)
             answeredNotRun.insert(number);
         owner.writes.erase(number);
         break;
--- a/testing/gateway_world.cpp
+++ b/testing/gateway_world.cpp
@@ -70,8 +70,9 @@
                 world, gateway,
                 [&world, rows = *prefix] { return std::optional(scan(world.platform, rows)); },
                 [number](gateway_turn &turn, const std::optional<scan_answer> &answer) {
-                    withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
-                        onScan(keeper, number, answer, turn.now, turn.random, actions);
+                    withLimitManager(turn, [&](limit_manager &limitManager,
+                                               limit_manager_actions &actions) {
+                        onScan(limitManager, number, answer, turn.now, turn.random, actions);
                     });
                 });
         return;
@@ -82,8 +83,9 @@
                 return transact(world.platform, order, world.now);
             },
             [number](gateway_turn &turn, const std::optional<transact_answer> &answer) {
-                withKeeper(turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
-                    onTransact(keeper, number, answer, turn.now, turn.random, actions);
+                withLimitManager(turn, [&](limit_manager &limitManager,
+                                           limit_manager_actions &actions) {
+                    onTransact(limitManager, number, answer, turn.now, turn.random, actions);
                 });
             });
 }
@@ -232,10 +234,10 @@
                      [from, target, body = std::move(message->body)](gateway_turn &turn) {
                          if (turn.state.incarnation != target)
                              return;
-                         withKeeper(
-                                 turn, [&](limit_manager &keeper, limit_manager_actions &actions) {
-                                     onMessage(keeper, from, body, turn.now, turn.random, actions);
-                                 });
+                         withLimitManager(turn, [&](limit_manager &limitManager,
+                                                    limit_manager_actions &actions) {
+                             onMessage(limitManager, from, body, turn.now, turn.random, actions);
+                         });
                      });
     } else if (auto *call = std::get_if<limit_platform_call>(&action)) {
         performLimitCall(world, gateway, std::move(*call));
@@ -292,7 +294,7 @@
         for (auto &[group, owner] : node.state.owners)
             owner.policy = acknowledgement_policy::KnownPosition;
     } else if (world.settings.defect == gateway_defect::TokensRefilled) {
-        for (auto &[resource, entry] : node.state.keeper.rates.limits)
+        for (auto &[resource, entry] : node.state.limitManager.rates.limits)
             entry.book.bucket.level = entry.book.bucket.capacity;
     } else if (world.settings.defect == gateway_defect::ProofWithoutQuery) {
         addPlatformProof(node.state.proof, node.state.config.version, world.now);
@@ -421,7 +423,7 @@
         if (node.isStopping && isDrained(node.state)) {
             if (node.stopsAt == noDeadline)
                 node.stopsAt = world.now + shareReturnTimeout;
-            if (hasLeft(node.state.keeper) || world.now >= node.stopsAt) {
+            if (hasLeft(node.state.limitManager) || world.now >= node.stopsAt) {
                 killGateway(world, gateway);
                 after(world, refreshInterval, [&world, gateway] { startGateway(world, gateway); });
                 return;
--- a/testing/limits_world.cpp
+++ b/testing/limits_world.cpp
@@ -86,13 +86,13 @@
         last = &node;
         const time_point local = localTime(world, node);
         std::size_t position = 0;
-        for (auto &[resource, entry] : node.desk.limits)
+        for (auto &[resource, entry] : node.loanManager.limits)
             sums[position++] += usableShares(entry.book, local);
     }
     if (last == nullptr)
         return;
     std::size_t position = 0;
-    for (const auto &[resource, entry] : last->desk.limits)
+    for (const auto &[resource, entry] : last->loanManager.limits)
         if (sums[position++] > entry.book.total)
             ++world.shareViolations[resource];
 }
@@ -172,22 +172,22 @@
     world_node &node = world.nodes[index];
     const time_point local = localTime(world, node);
     auto &waiting = node.waiting[resource];
-    while (!waiting.empty() && admitWaiting(node.desk, resource, local)) {
+    while (!waiting.empty() && admitWaiting(node.loanManager, resource, local)) {
         countGrant(world, resource);
         waiting.pop_front();
     }
     while (!waiting.empty()
            && world.now >= waiting.front().arrivedAt + world.settings.loans.maxAdmissionWait) {
         world.results[resource].wrongful += waiting.front().isGrantedByExactBucket ? 1 : 0;
-        abandonWaiting(node.desk, resource);
+        abandonWaiting(node.loanManager, resource);
         waiting.pop_front();
     }
 }
 
 /// Recomputes the share books after an injected defect has changed them.
-static void recomputeBooks(loan_manager &desk, time_point now)
+static void recomputeBooks(loan_manager &loanManager, time_point now)
 {
-    for (auto &[resource, entry] : desk.limits)
+    for (auto &[resource, entry] : loanManager.limits)
         setHomeUntil(entry.book, entry.book.homeUntil, now);
 }
 
@@ -196,32 +196,32 @@
     world_node &node = world.nodes[index];
     const time_point local = localTime(world, node);
     if (const auto *request = std::get_if<loan_request>(&message.body)) {
-        const auto answers = onLoanRequest(node.desk, *request, local);
+        const auto answers = onLoanRequest(node.loanManager, *request, local);
         if (world.settings.fault == limits_defect::LenderKeepsShares)
-            for (auto &[resource, entry] : node.desk.limits)
+            for (auto &[resource, entry] : node.loanManager.limits)
                 for (auto &[id, loan] : entry.book.out) {
                     entry.book.home += loan.shares;
                     loan.shares = 0;
                 }
-        recomputeBooks(node.desk, local);
+        recomputeBooks(node.loanManager, local);
         sendLoans(world, index, answers);
     } else if (const auto *grant = std::get_if<loan_grant>(&message.body)) {
         if (world.settings.fault == limits_defect::DuplicateIsCounted)
             for (const loan_terms &terms : grant->loans)
-                for (auto &[id, loan] : node.desk.limits[terms.resource].book.in)
+                for (auto &[id, loan] : node.loanManager.limits[terms.resource].book.in)
                     if (id == terms.id)
                         loan.shares += terms.shares;
-        recomputeBooks(node.desk, local);
-        onLoanGrant(node.desk, *grant, local);
+        recomputeBooks(node.loanManager, local);
+        onLoanGrant(node.loanManager, *grant, local);
         if (world.settings.fault == limits_defect::BorrowerIgnoresEnd)
-            for (auto &[resource, entry] : node.desk.limits)
+            for (auto &[resource, entry] : node.loanManager.limits)
                 for (auto &[id, loan] : entry.book.in)
                     loan.endsAt += std::chrono::seconds(10);
-        recomputeBooks(node.desk, local);
+        recomputeBooks(node.loanManager, local);
         for (const loan_terms &terms : grant->loans)
             admitWaitingStatements(world, index, terms.resource);
     } else if (const auto *returns = std::get_if<loan_returns>(&message.body)) {
-        for (const resource_id &each : onLoanReturns(node.desk, *returns, local))
+        for (const resource_id &each : onLoanReturns(node.loanManager, *returns, local))
             admitWaitingStatements(world, index, each);
     }
 }
@@ -267,7 +267,7 @@
                     ++result.arrived;
                     result.exactGranted += exact ? 1 : 0;
                     const time_point local = localTime(world, node);
-                    const admission decision = admit(node.desk, resource, local);
+                    const admission decision = admit(node.loanManager, resource, local);
                     if (decision == admission::Granted)
                         countGrant(world, resource);
                     else if (decision == admission::Wait)
@@ -275,7 +275,7 @@
                     else
                         result.wrongful += exact ? 1 : 0;
                     if (decision != admission::Granted)
-                        sendLoans(world, to, poll(node.desk, local));
+                        sendLoans(world, to, poll(node.loanManager, local));
                 });
     });
 }
@@ -297,7 +297,7 @@
     world.now = end;
 }
 
-std::unique_ptr<limits_world> makeWorld(const world_settings &settings)
+std::unique_ptr<limits_world> makeWorld(const limits_world_settings &settings)
 {
     auto world = std::make_unique<limits_world>();
     world->settings = settings;
@@ -310,7 +310,7 @@
         const resource_id resource = workspaceOf(each);
         create(resource, workspaceShares, amountOf(each.burst));
         for (auto *exact : { &world->exactByArrival, &world->exactByGrant }) {
-            reshape((*exact)[resource], amountOf(each.rate), amountOf(each.burst), {});
+            reconfigure((*exact)[resource], amountOf(each.rate), amountOf(each.burst), {});
             put((*exact)[resource], amountOf(each.burst), {});
         }
     }
@@ -381,13 +381,13 @@
     node.lease.self = self.incarnation;
     node.witness.self = self.incarnation;
     node.witness.startedAt = local;
-    node.desk = makeLoanManager(self, world.settings.loans, local);
-    node.desk.areLoansOn = world.settings.areLoansOn;
+    node.loanManager = makeLoanManager(self, world.settings.loans, local);
+    node.loanManager.areLoansOn = world.settings.areLoansOn;
     for (const world_workspace &each : world.settings.workspaces)
-        openLimit(node.desk, workspaceOf(each), amountOf(each.rate), amountOf(each.burst),
-                  workspaceShares, local);
+        addOrUpdateLimit(node.loanManager, workspaceOf(each), amountOf(each.rate),
+                         amountOf(each.burst), workspaceShares, local);
     if (world.settings.connections > 0)
-        openLimit(node.desk, groupOf(), 0, 0, world.settings.connections, local);
+        addOrUpdateLimit(node.loanManager, groupOf(), 0, 0, world.settings.connections, local);
     world.list.push_back({ self, world.now + world.settings.listLag });
     // A random start offset spreads the ticks, and so the load of the platform.
     after(world, duration(static_cast<std::int64_t>(drawBelow(world.random, 10'000))),
--- a/testing/limits_world_node.cpp
+++ b/testing/limits_world_node.cpp
@@ -77,7 +77,7 @@
             || call->attempt != attempt)
             return;
         const transaction_state state = isPlatformReachable(world, world.nodes[node])
-                                                ? judge(call->transaction, world.table)
+                                                ? determineOutcome(call->transaction, world.table)
                                                 : transaction_state::Undecided;
         if (state == transaction_state::Undecided)
             submit(world, node);
@@ -105,7 +105,7 @@
         world_node &node = world.nodes[to];
         const time_point local = localTime(world, node);
         for (const auto &[resource, part] : isCommitted ? move.gained : move.given)
-            addHome(node.desk.limits.at(resource).book, part.shares, part.tokens, local);
+            addHome(node.loanManager.limits.at(resource).book, part.shares, part.tokens, local);
     });
 }
 
@@ -133,7 +133,7 @@
 share_count fairShareOf(limits_world &world, const resource_id &resource, const world_node &node,
                         const std::vector<peer_ref> &live)
 {
-    const share_ledger &book = node.desk.limits.at(resource).book;
+    const share_ledger &book = node.loanManager.limits.at(resource).book;
     return fairShare(book.total, holdersOf(world, resource, book.burst, live),
                      node.self.incarnation);
 }
@@ -159,7 +159,7 @@
     }
     const std::vector<incarnation_id> witnesses = node.lease.current;
     std::map<resource_id, share_count> wanted;
-    for (const auto &[resource, entry] : node.desk.limits)
+    for (const auto &[resource, entry] : node.loanManager.limits)
         wanted[resource] = fairShareOf(world, resource, node, live);
     share_transaction move = joinPool(
             nextTransactionId(world), world.table,
@@ -175,9 +175,9 @@
         joined.hasJoined = true;
         const time_point local = localTime(world, joined);
         joined.homeUntil = homeUntil(joined.lease);
-        setHomeUntil(joined.desk, joined.homeUntil, local);
+        setHomeUntil(joined.loanManager, joined.homeUntil, local);
         for (const auto &[resource, part] : move.gained)
-            addHome(joined.desk.limits.at(resource).book, part.shares, part.tokens, local);
+            addHome(joined.loanManager.limits.at(resource).book, part.shares, part.tokens, local);
     });
 }
 
@@ -185,11 +185,11 @@
 {
     world_node &node = world.nodes[index];
     const time_point local = localTime(world, node);
-    node.desk.areLoansOn = false;
+    node.loanManager.areLoansOn = false;
     std::map<incarnation_id, loan_returns> returns;
     std::map<resource_id, share_transfer> given;
     bool hasLent = false;
-    for (auto &[resource, entry] : node.desk.limits) {
+    for (auto &[resource, entry] : node.loanManager.limits) {
         std::vector<loan_id> loans;
         for (const auto &[id, loan] : entry.book.in)
             loans.push_back(id);
@@ -218,8 +218,8 @@
             killNode(world, to);
         else if (!isCommitted)
             for (const auto &[resource, part] : copy.given)
-                addHome(world.nodes[to].desk.limits.at(resource).book, part.shares, part.tokens,
-                        localTime(world, world.nodes[to]));
+                addHome(world.nodes[to].loanManager.limits.at(resource).book, part.shares,
+                        part.tokens, localTime(world, world.nodes[to]));
     });
 }
 
@@ -264,7 +264,7 @@
     node.knownPeers = live;
     std::map<resource_id, share_count> wanted;
     std::map<resource_id, share_transfer> given;
-    for (auto &[resource, entry] : node.desk.limits) {
+    for (auto &[resource, entry] : node.loanManager.limits) {
         const pool_row *pool = findPool(world.table, resource);
         if (pool == nullptr)
             continue;
@@ -277,8 +277,8 @@
         else if (difference < 0)
             given[resource] = removeHome(entry.book, -difference, local);
         if (hasListChanged)
-            setCandidates(node.desk, resource, holdersOf(world, resource, entry.book.burst, live),
-                          live, world.random);
+            setCandidates(node.loanManager, resource,
+                          holdersOf(world, resource, entry.book.burst, live), live, world.random);
     }
     if (auto move = moveShares(nextTransactionId(world), world.table, node.self.incarnation, wanted,
                                given))
@@ -351,10 +351,10 @@
     if (world.settings.connections == 0)
         return;
     const resource_id group = groupOf();
-    const share_count usable = usableShares(node.desk.limits.at(group).book, local);
+    const share_count usable = usableShares(node.loanManager.limits.at(group).book, local);
     const auto demand = static_cast<share_count>(drawBelow(world.random, 5));
     const share_count inUse = std::min(demand, usable);
-    setConnections(node.desk, group, static_cast<std::uint32_t>(inUse),
+    setConnections(node.loanManager, group, static_cast<std::uint32_t>(inUse),
                    static_cast<std::uint32_t>(demand - inUse));
 }
 
@@ -397,7 +397,7 @@
                         : 0;
         if (until != node.homeUntil) {
             node.homeUntil = until;
-            setHomeUntil(node.desk, until, local);
+            setHomeUntil(node.loanManager, until, local);
         }
     }
     askWitnesses(world, index);
@@ -433,7 +433,7 @@
         return;
     }
     useConnections(world, node, local);
-    sendLoans(world, index, poll(node.desk, local));
+    sendLoans(world, index, poll(node.loanManager, local));
     for (auto &[resource, waiting] : node.waiting)
         admitWaitingStatements(world, index, resource);
     checkShares(world);
--- a/tests/unit-acknowledgement.cpp
+++ b/tests/unit-acknowledgement.cpp
@@ -67,7 +67,7 @@
 // that do not wait for a majority.
 TEST(acknowledgement, otherPoliciesNeedTheNewestTerm)
 {
-    view.leaseUntil = now + 1s;
+    view.leaseExpiresAt = now + 1s;
     for (const auto policy :
          { acknowledgement_policy::Lease, acknowledgement_policy::KnownPosition }) {
         CHECK_TRUE(mayAcknowledge(policy, view, 2, { 2, 6 }, now));
--- a/tests/unit-config-matrix.cpp
+++ b/tests/unit-config-matrix.cpp
@@ -106,7 +106,8 @@
 class matrix_case
 {
 public:
-    explicit matrix_case(std::vector<planned_fault> planned, sabotage error = sabotage::None)
+    explicit matrix_case(std::vector<planned_fault> planned,
+                         config_defect error = config_defect::None)
         : world_({ instanceCount, 3, 7, 300us, 4ms, 5ms, error })
         , planned_(std::move(planned))
         , hasStarted_(planned_.size(), false)
@@ -364,24 +365,24 @@
         { fault_kind::RestartSubmitter, stage::Accepted },
     };
     STRCMP_EQUAL("", matrix_case(faults).run().c_str());
-    const std::string early = matrix_case(faults, sabotage::EarlyAnswer).run();
+    const std::string early = matrix_case(faults, config_defect::EarlyAnswer).run();
     STRCMP_CONTAINS("M6: the withdrawn key is accepted", early.c_str());
 }
 
 // Guards against checks that detect nothing: each one must detect its deliberate error.
 TEST(config_matrix, checkersFindDeliberateErrors)
 {
-    const std::vector<std::tuple<sabotage, planned_fault, std::string>> errors{
-        { sabotage::Revert, { fault_kind::AnswerLost, stage::Read }, "reverted" },
-        { sabotage::ExtraChange, { fault_kind::AnswerLost, stage::Read }, "the note's list" },
-        { sabotage::NoProof, { fault_kind::PeerCut, stage::Read }, "M6" },
-        { sabotage::RepeatedCommit,
+    const std::vector<std::tuple<config_defect, planned_fault, std::string>> errors{
+        { config_defect::Revert, { fault_kind::AnswerLost, stage::Read }, "reverted" },
+        { config_defect::ExtraChange, { fault_kind::AnswerLost, stage::Read }, "the note's list" },
+        { config_defect::NoProof, { fault_kind::PeerCut, stage::Read }, "M6" },
+        { config_defect::RepeatedCommit,
           { fault_kind::DuplicateSubmit, stage::Read },
           "a note was applied twice" },
-        { sabotage::NoSpread,
+        { config_defect::NoSpread,
           { fault_kind::AnswerLost, stage::Read },
           "M13: a version is not in force" },
-        { sabotage::WrongAnswer,
+        { config_defect::WrongAnswer,
           { fault_kind::OperatorsRace, stage::PutObject },
           "an operator was told a wrong outcome" },
     };
--- a/tests/unit-decision-meter.cpp
+++ b/tests/unit-decision-meter.cpp
@@ -22,8 +22,8 @@
         owner = &state.owners[{ "g" }];
         owner->group = { "g" };
         owner->isMonitoringMembers = true;
-        owner->view.members[{ "a" }].lastHeard = start;
-        owner->view.members[{ "b" }].lastHeard = start;
+        owner->view.members[{ "a" }].lastHeardAt = start;
+        owner->view.members[{ "b" }].lastHeardAt = start;
         notice("a", 256, start);
         write(256, start);
     }
@@ -85,7 +85,7 @@
 {
     addWaitingWrite();
     notice("b", 512, start + 400ms);
-    owner->view.members[{ "b" }].lastHeard = start + 400ms;
+    owner->view.members[{ "b" }].lastHeardAt = start + 400ms;
     notice("", 768, start + 700ms);
     notice("a", 768, start + 800ms);
     write(768, start + 900ms);
--- a/tests/unit-failover-matrix.cpp
+++ b/tests/unit-failover-matrix.cpp
@@ -16,10 +16,10 @@
 using namespace fuchsiagw;
 using namespace fuchsiagw::core;
 using namespace std::chrono_literals;
+using testing::failover_defect;
 using testing::fake_findings;
 using testing::fake_group;
 using testing::fake_settings;
-using testing::sabotage;
 
 namespace {
 
@@ -97,7 +97,7 @@
     owner.view = view;
     failover_state state;
     state.rank = owner.failover.rank;
-    state.promotes = owner.failover.promotes;
+    state.isPromotionEnabled = owner.failover.isPromotionEnabled;
     owner.failover = state;
     owner.pending = pending_writes{};
     owner.writes.clear();
@@ -369,7 +369,7 @@
 namespace {
 
 /// Runs cells with one deliberately wrong decision until a checker reports @p text.
-bool isCaught(sabotage deliberate, std::string_view text,
+bool isCaught(failover_defect deliberate, std::string_view text,
               const std::function<void(fake_group &)> &arrange)
 {
     for (std::uint64_t i = 0; i < 5; ++i) {
@@ -393,9 +393,9 @@
 // without a majority.
 TEST(failover_matrix, catchesAcknowledgementWithoutMajority)
 {
-    CHECK_TRUE(isCaught(sabotage::AcknowledgeAtOnce, "acknowledged writes missing at promotion",
-                        stopPrimaryOnce));
-    CHECK_FALSE(isCaught(sabotage::None, "", stopPrimaryOnce));
+    CHECK_TRUE(isCaught(failover_defect::AcknowledgeAtOnce,
+                        "acknowledged writes missing at promotion", stopPrimaryOnce));
+    CHECK_FALSE(isCaught(failover_defect::None, "", stopPrimaryOnce));
 }
 
 // Guards against a check for lost writes that does not detect the promotion of the shortest log.
@@ -405,9 +405,9 @@
         group.members[2].lag = 400ms;
         stopPrimaryOnce(group);
     };
-    CHECK_TRUE(isCaught(sabotage::PromoteShortestLog, "acknowledged writes missing at promotion",
-                        arrange));
-    CHECK_FALSE(isCaught(sabotage::None, "", arrange));
+    CHECK_TRUE(isCaught(failover_defect::PromoteShortestLog,
+                        "acknowledged writes missing at promotion", arrange));
+    CHECK_FALSE(isCaught(failover_defect::None, "", arrange));
 }
 
 // Guards against a check of requirement M2 that misses two primaries which both acknowledge writes:
@@ -426,8 +426,8 @@
                 group.cut(group.ownerNode(0), member, member != old);
         });
     };
-    CHECK_TRUE(isCaught(sabotage::AcknowledgeAtOnce, "two histories acknowledged", arrange));
-    CHECK_FALSE(isCaught(sabotage::None, "", arrange));
+    CHECK_TRUE(isCaught(failover_defect::AcknowledgeAtOnce, "two histories acknowledged", arrange));
+    CHECK_FALSE(isCaught(failover_defect::None, "", arrange));
 }
 
 // Guards against a check of the write gap that never fires, here when no owner promotes.
@@ -436,8 +436,8 @@
     const auto arrange = [](fake_group &group) {
         group.at(firstFaultAt, [&group] { group.stop(group.primary(), false); });
     };
-    CHECK_TRUE(isCaught(sabotage::NeverPromote, "no write acknowledged for", arrange));
-    CHECK_FALSE(isCaught(sabotage::None, "", arrange));
+    CHECK_TRUE(isCaught(failover_defect::NeverPromote, "no write acknowledged for", arrange));
+    CHECK_FALSE(isCaught(failover_defect::None, "", arrange));
 }
 
 // Guards against checks of requirements M9 and M10 that never fire, here when writes are reported
@@ -445,7 +445,7 @@
 TEST(failover_matrix, catchesWrongOutcomesAndRepeatedWrites)
 {
     const auto arrange = [](fake_group &group) { group.loss = 0.05; };
-    CHECK_TRUE(isCaught(sabotage::ReportNotRun, "ran but was answered not_run", arrange));
-    CHECK_TRUE(isCaught(sabotage::RetryWithoutKey, "times", arrange));
-    CHECK_FALSE(isCaught(sabotage::None, "", arrange));
+    CHECK_TRUE(isCaught(failover_defect::ReportNotRun, "ran but was answered not_run", arrange));
+    CHECK_TRUE(isCaught(failover_defect::RetryWithoutKey, "times", arrange));
+    CHECK_FALSE(isCaught(failover_defect::None, "", arrange));
 }
--- a/tests/unit-failover.cpp
+++ b/tests/unit-failover.cpp
@@ -155,7 +155,7 @@
 // command that is ignored in that state.
 TEST(failover, switchedOffPromotesOnlyManually)
 {
-    state.promotes = false;
+    state.isPromotionEnabled = false;
     tickFor(10s, { "b", "c" });
     CHECK_FALSE(state.attempt.has_value());
     CHECK_TRUE(count(promoteManually(state, view, now, random), failover_step::AcceptTerm) == 3);
--- a/tests/unit-fuzz.cpp
+++ b/tests/unit-fuzz.cpp
@@ -245,7 +245,8 @@
             if (read && row.kind == peer_kind::Probe)
                 CHECK_TRUE(std::get<probe_message>(*read).sender.state <= sender_state::Gone);
             if (read && row.kind == peer_kind::LoanRequest) {
-                for (const core::loan_request_item &each : std::get<core::loan_request>(*read).asks)
+                for (const core::loan_request_item &each :
+                     std::get<core::loan_request>(*read).items)
                     CHECK_TRUE(each.resource.kind <= core::resource_kind::Connections);
             }
         }
--- a/tests/unit-group-view.cpp
+++ b/tests/unit-group-view.cpp
@@ -81,7 +81,7 @@
 {
     for (int i = 0; i < 10; ++i)
         observeFailure(view, { "a" }, member_failure::Silence, now, random);
-    const backoff &pause = view.members[{ "a" }].pause;
+    const backoff &pause = view.members[{ "a" }].backoffState;
     UNSIGNED_LONGS_EQUAL(1, pause.failures);
     CHECK_TRUE(pause.until > now && pause.until <= now + initialBackoff);
     time_point last = pause.until;
@@ -100,8 +100,8 @@
     observeStatus(view, makeStatus("a", 1, { 1, 9 }, member_role::Primary), now, now);
     observeFailure(view, { "b" }, member_failure::FarBehind, now, random);
     observeStatus(view, makeStatus("b", 1, { 1, 8 }), now, now);
-    CHECK_TRUE(view.members[{ "b" }].catchUp.has_value());
+    CHECK_TRUE(view.members[{ "b" }].catchUpPosition.has_value());
     observeStatus(view, makeStatus("b", 1, { 1, 9 }), now, now);
-    CHECK_FALSE(view.members[{ "b" }].catchUp.has_value());
-    CHECK_FALSE(isBackedOff(view.members[{ "b" }].pause, now));
+    CHECK_FALSE(view.members[{ "b" }].catchUpPosition.has_value());
+    CHECK_FALSE(isBackedOff(view.members[{ "b" }].backoffState, now));
 }
--- a/tests/unit-http.cpp
+++ b/tests/unit-http.cpp
@@ -41,7 +41,7 @@
     {
         net::http_server_options result;
         result.listenAddress = loopback(0);
-        result.maxBody = 1024;
+        result.maxBodyBytes = 1024;
         result.maxConnections = 10;
         return result;
     }
--- a/tests/unit-limits-differential.cpp
+++ b/tests/unit-limits-differential.cpp
@@ -15,9 +15,9 @@
 constexpr std::uint64_t histories = 60;
 constexpr std::int64_t secondsPerHistory = 90;
 
-world_settings settingsOf(std::uint64_t seed)
+limits_world_settings settingsOf(std::uint64_t seed)
 {
-    world_settings settings;
+    limits_world_settings settings;
     settings.seed = seed;
     settings.workspaces = {
         { "even", 100, 100, 90, {} },
@@ -104,7 +104,7 @@
 TEST(limits_differential, driftingClocksNeverUseTheSameShare)
 {
     for (std::uint64_t seed = 101; seed <= 110; ++seed) {
-        world_settings settings = settingsOf(seed);
+        limits_world_settings settings = settingsOf(seed);
         settings.clockDrift = 0.0005;
         const auto world = makeWorld(settings);
         core::random_engine random(seed);
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -35,7 +35,7 @@
 template <typename predicate>
 bool anyGrantedLoan(const world_node &node, predicate isWanted)
 {
-    for (const auto &[resource, entry] : node.desk.limits)
+    for (const auto &[resource, entry] : node.loanManager.limits)
         for (const auto &[id, loan] : entry.book.out)
             if (isWanted(loan))
                 return true;
@@ -45,7 +45,7 @@
 template <typename predicate>
 bool anyReceivedLoan(const world_node &node, predicate isWanted)
 {
-    for (const auto &[resource, entry] : node.desk.limits)
+    for (const auto &[resource, entry] : node.loanManager.limits)
         for (const auto &[id, loan] : entry.book.in)
             if (isWanted(loan))
                 return true;
@@ -126,7 +126,7 @@
 };
 
 /// Sets a fault rate of all links for 5 s.
-void degradeLinks(limits_world &world, double world_settings::*quality, double value)
+void degradeLinks(limits_world &world, double limits_world_settings::*quality, double value)
 {
     world.settings.*quality = value;
     after(world, seconds(5), [&world, quality] { world.settings.*quality = 0; });
@@ -146,16 +146,22 @@
         { "platform_down", [](limits_world &w, std::size_t) { stopPlatform(w, seconds(10)); } },
         { "answers_lost", [](limits_world &w, std::size_t) { loseAnswers(w, seconds(5)); } },
         { "messages_lost",
-          [](limits_world &w, std::size_t) { degradeLinks(w, &world_settings::lost, 0.5); } },
+          [](limits_world &w, std::size_t) {
+              degradeLinks(w, &limits_world_settings::lost, 0.5);
+          } },
         { "messages_doubled",
-          [](limits_world &w, std::size_t) { degradeLinks(w, &world_settings::doubled, 1); } },
+          [](limits_world &w, std::size_t) {
+              degradeLinks(w, &limits_world_settings::doubled, 1);
+          } },
         { "messages_late",
-          [](limits_world &w, std::size_t) { degradeLinks(w, &world_settings::late, 0.5); } },
+          [](limits_world &w, std::size_t) {
+              degradeLinks(w, &limits_world_settings::late, 0.5);
+          } },
 } };
 
-world_settings settingsOf(std::uint64_t seed)
+limits_world_settings settingsOf(std::uint64_t seed)
 {
-    world_settings settings;
+    limits_world_settings settings;
     settings.seed = seed;
     settings.instances = 6;
     settings.zones = 2;
@@ -221,7 +227,7 @@
 /// @return the number of violations
 std::uint64_t violationsUnder(limits_defect mutated, std::uint64_t seed)
 {
-    world_settings settings = settingsOf(seed);
+    limits_world_settings settings = settingsOf(seed);
     settings.fault = mutated;
     settings.doubled = 0.2;
     // With short promises and long loans, the loans of a dead lender outlast its lease.
--- a/tests/unit-loan-policy.cpp
+++ b/tests/unit-loan-policy.cpp
@@ -39,9 +39,10 @@
         all.clear();
         for (const peer_ref &each : live) {
             loan_manager &manager = all.emplace_back(makeLoanManager(each, {}, at(0)));
-            share_ledger &book = openLimit(manager, resource, std::int64_t(rate * oneToken),
-                                           token_amount(burst * oneToken), workspaceShares, at(0))
-                                         .book;
+            share_ledger &book =
+                    addOrUpdateLimit(manager, resource, std::int64_t(rate * oneToken),
+                                     token_amount(burst * oneToken), workspaceShares, at(0))
+                            .book;
             addHome(book, workspaceShares / managerCount, 0, at(0));
             setCandidates(manager, resource, holders, live, random);
             setHomeUntil(manager, noDeadline, at(0));
@@ -157,7 +158,7 @@
 {
     open(100, 100);
     const resource_id group{ resource_kind::Connections, "g1" };
-    openLimit(all[0], group, 0, 0, 16, at(0));
+    addOrUpdateLimit(all[0], group, 0, 0, 16, at(0));
     addHome(all[0].limits[group].book, 10, 0, at(0));
     setHomeUntil(all[0], noDeadline, at(0));
     setConnections(all[0], group, 4, 0);
--- a/tests/unit-quota.cpp
+++ b/tests/unit-quota.cpp
@@ -46,8 +46,8 @@
                                   "z" + std::to_string(zone) });
         }
         for (const quota_node &each : nodes)
-            reshape(tables[each.node], limitedTo(rate, burst), nodes, each, partOfEach(), at(0),
-                    at(0));
+            applyLimits(tables[each.node], limitedTo(rate, burst), nodes, each, partOfEach(), at(0),
+                        at(0));
     }
 
     limit_part partOfEach() const { return wholeLimit / static_cast<limit_part>(nodes.size()); }
@@ -193,8 +193,8 @@
 {
     quota_simulation simulation(1, 1, 100, 100);
     CHECK_TRUE(admit(simulation.quotaOf("n0-0"), at(1000)));
-    reshape(simulation.tables.at("n0-0"), limitedTo(1, 2), simulation.nodes,
-            simulation.nodes.front(), wholeLimit, at(1000), at(1000));
+    applyLimits(simulation.tables.at("n0-0"), limitedTo(1, 2), simulation.nodes,
+                simulation.nodes.front(), wholeLimit, at(1000), at(1000));
     CHECK_TRUE(admit(simulation.quotaOf("n0-0"), at(1000)));
     CHECK_TRUE(admit(simulation.quotaOf("n0-0"), at(1000)));
     CHECK_FALSE(admit(simulation.quotaOf("n0-0"), at(1000)));
@@ -207,12 +207,12 @@
 {
     quota_table table;
     const quota_node self{ "new", "z0" };
-    reshape(table, limitedTo(100, 100), { self }, self, 0, at(0), at(0));
+    applyLimits(table, limitedTo(100, 100), { self }, self, 0, at(0), at(0));
     CHECK_FALSE(admit(table.workspaces.at("house"), at(5000)));
-    reshape(table, limitedTo(100, 100), { self }, self, wholeLimit, at(0), at(5000));
+    applyLimits(table, limitedTo(100, 100), { self }, self, wholeLimit, at(0), at(5000));
     CHECK_TRUE(admit(table.workspaces.at("house"), at(5100)));
     quota_table again;
-    reshape(again, limitedTo(100, 100), { self }, self, wholeLimit, at(850), at(0));
+    applyLimits(again, limitedTo(100, 100), { self }, self, wholeLimit, at(850), at(0));
     CHECK_FALSE(admit(again.workspaces.at("house"), at(850)));
     CHECK_TRUE(admit(again.workspaces.at("house"), at(870)));
 }
@@ -331,8 +331,8 @@
     constexpr double burst = 6;
     quota_simulation simulation(4, 5, rate, burst);
     core::token_bucket singleBucket;
-    core::reshape(singleBucket, static_cast<std::int64_t>(rate * core::oneToken),
-                  static_cast<core::token_amount>(burst * core::oneToken), at(0));
+    core::reconfigure(singleBucket, static_cast<std::int64_t>(rate * core::oneToken),
+                      static_cast<core::token_amount>(burst * core::oneToken), at(0));
     std::mt19937 random(11);
     std::exponential_distribution<double> pause(5); // operations a second
     int ideal = 0;
--- a/tests/unit-relay-pool.cpp
+++ b/tests/unit-relay-pool.cpp
@@ -122,9 +122,9 @@
 {
     const pooled_id idle = add("a", pooled_state::Idle);
     add("b", pooled_state::Lent);
-    CHECK_TRUE(surplus(pool, now).empty());
+    CHECK_TRUE(findExpired(pool, now).empty());
     now += std::chrono::seconds(10);
-    const auto found = surplus(pool, now);
+    const auto found = findExpired(pool, now);
     CHECK_EQUAL(1U, found.size());
     CHECK_EQUAL(idle, found[0]);
 }
--- a/tests/unit-routing.cpp
+++ b/tests/unit-routing.cpp
@@ -94,13 +94,13 @@
     };
     near.leaving = true;
     expectRejected(rejection_reason::Leaving);
-    near.pause.until = now + 1us;
+    near.backoffState.until = now + 1us;
     expectRejected(rejection_reason::BackedOff);
-    near.catchUp = log_position{ 2, 5 };
+    near.catchUpPosition = log_position{ 2, 5 };
     expectRejected(rejection_reason::FarBehind);
     near.acceptedTerm = 1;
     expectRejected(rejection_reason::OtherTerm);
-    near.lastHeard = time_point::min();
+    near.lastHeardAt = time_point::min();
     expectRejected(rejection_reason::NeverHeard);
     near.applied = { 2, 4 };
     expectRejected(rejection_reason::AgeUnknown);
--- a/tests/unit-session-engine.cpp
+++ b/tests/unit-session-engine.cpp
@@ -364,9 +364,9 @@
     fixture.acceptLinks();
     fixture.takeActions();
     fixture.advanceTime(milliseconds(790));
-    CHECK(fixture.state.members.at("m1").silentSince != fuchsiagw::core::noDeadline);
+    CHECK(fixture.state.members.at("m1").unresponsiveSince != fuchsiagw::core::noDeadline);
     fixture.acceptLinks();
-    CHECK(fixture.state.members.at("m1").silentSince == fuchsiagw::core::noDeadline);
+    CHECK(fixture.state.members.at("m1").unresponsiveSince == fuchsiagw::core::noDeadline);
 }
 
 // Guards against aborting open transactions before half of the grace period of a shutdown, and
--- a/tests/unit-share-pool.cpp
+++ b/tests/unit-share-pool.cpp
@@ -88,13 +88,13 @@
 {
     const share_transaction first = join(1, 600'000, 0);
     const share_transaction second = join(2, 600'000, 0);
-    CHECK_TRUE(judge(first.transaction, table) == transaction_state::Undecided);
+    CHECK_TRUE(determineOutcome(first.transaction, table) == transaction_state::Undecided);
     CHECK_TRUE(apply(first.transaction));
     CHECK_FALSE(apply(second.transaction));
-    CHECK_TRUE(judge(first.transaction, table) == transaction_state::Committed);
-    CHECK_TRUE(judge(second.transaction, table) == transaction_state::Impossible);
+    CHECK_TRUE(determineOutcome(first.transaction, table) == transaction_state::Committed);
+    CHECK_TRUE(determineOutcome(second.transaction, table) == transaction_state::Impossible);
     CHECK_TRUE(apply(join(3, 400'000, 0).transaction));
-    CHECK_TRUE(judge(first.transaction, table) == transaction_state::Committed);
+    CHECK_TRUE(determineOutcome(first.transaction, table) == transaction_state::Committed);
 }
 
 // Guards against connections that are handed out after a decrease of the total while holders still
--- a/tests/unit-token-bucket.cpp
+++ b/tests/unit-token-bucket.cpp
@@ -26,7 +26,7 @@
 TEST(token_bucket, slowRefillIsExactToTheMicrosecond)
 {
     token_bucket bucket;
-    reshape(bucket, 3, oneToken, at(0)); // one token per 333,333.33 s
+    reconfigure(bucket, 3, oneToken, at(0)); // one token per 333,333.33 s
     const time_point due = availableAt(bucket, oneToken);
     for (std::int64_t i = 1; i < 1000; ++i)
         refill(bucket, at(i * 333'000'000));
@@ -38,10 +38,10 @@
 TEST(token_bucket, changedRateDoesNotApplyToEarlierTime)
 {
     token_bucket bucket;
-    reshape(bucket, oneToken, 100 * oneToken, at(0));
-    reshape(bucket, 50 * oneToken, 100 * oneToken, at(2'000'000));
+    reconfigure(bucket, oneToken, 100 * oneToken, at(0));
+    reconfigure(bucket, 50 * oneToken, 100 * oneToken, at(2'000'000));
     LONGS_EQUAL(2 * oneToken, bucket.level);
-    reshape(bucket, 50 * oneToken, oneToken, at(2'000'000));
+    reconfigure(bucket, 50 * oneToken, oneToken, at(2'000'000));
     LONGS_EQUAL(oneToken, bucket.level);
 }
 
@@ -50,7 +50,7 @@
 TEST(token_bucket, survivesExtremeTimes)
 {
     token_bucket bucket;
-    reshape(bucket, maxTokenRate, maxTokenRate, at(0));
+    reconfigure(bucket, maxTokenRate, maxTokenRate, at(0));
     refill(bucket, at(999'999));
     CHECK_TRUE(bucket.level < maxTokenRate);
     refill(bucket, at(std::numeric_limits<std::int64_t>::max()));
@@ -73,8 +73,8 @@
         earned += static_cast<double>(step) * static_cast<double>(bucket.rate) / 1e6;
         now += step;
         if (drawBelow(random, 4) == 0)
-            reshape(bucket, static_cast<std::int64_t>(drawBelow(random, 900) * oneToken),
-                    static_cast<token_amount>(drawBelow(random, 20) * oneToken), at(now));
+            reconfigure(bucket, static_cast<std::int64_t>(drawBelow(random, 900) * oneToken),
+                        static_cast<token_amount>(drawBelow(random, 20) * oneToken), at(now));
         granted += static_cast<double>(takeUpTo(
                 bucket, static_cast<token_amount>(drawBelow(random, 3) * oneToken), at(now)));
         CHECK_TRUE(granted <= earned + 1);
