--- a/include/fuchsiagw/core/error_kind.hpp
+++ b/include/fuchsiagw/core/error_kind.hpp
@@ -80,7 +80,7 @@
     int httpStatus;
     request_outcome outcome;
     retry_advice advice;
-    std::string_view sentence; ///< default description, which says what to change
+    std::string_view defaultProblem; ///< default description, which says what to change
 };
 
 /// @brief Looks up the answer for an error.
--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -27,7 +27,7 @@
 {
     std::uint64_t ticket = 0; ///< unique number of the caller's connection and request
     key_hash key;
-    std::optional<session> known; ///< decoded from a session token whose MAC is valid
+    std::optional<session> sessionState; ///< decoded from a session token whose MAC is valid
     bool hasSessionToken = false; ///< the request carried a session token, valid or not
     statement_request statement; ///< its workspace is set after authentication
 };
@@ -48,7 +48,7 @@
     std::uint64_t ticket = 0; ///< request number of the sender, a caller or instance `from`
     std::optional<instance_id> from; ///< the forwarding instance; empty: received from a caller
     statement_request request;
-    session known; ///< encoded in the session token of the answer
+    session sessionState; ///< encoded in the session token of the answer
     std::optional<instance_id> forwardedTo;
     bool isWaiting = false; ///< for a rate limit token of its workspace
     bool mayHaveRun = false; ///< a forward was written but not answered
--- a/include/fuchsiagw/core/gateway_action.hpp
+++ b/include/fuchsiagw/core/gateway_action.hpp
@@ -31,7 +31,7 @@
     group_id group; ///< empty if the request was refused before its group was known
     statement_kind kind = statement_kind::Read;
     statement_answer answer;
-    std::optional<session> known; ///< returned to the caller as session token
+    std::optional<session> sessionState; ///< returned to the caller as session token
 };
 
 /// Send a statement to the instance that owns the group's connections.
--- a/include/fuchsiagw/core/incarnation_lease.hpp
+++ b/include/fuchsiagw/core/incarnation_lease.hpp
@@ -26,7 +26,7 @@
 /// Durations of the lease protocol.
 struct lease_times
 {
-    duration promise = std::chrono::seconds(6); ///< duration of each promise of a witness
+    duration promiseDuration = std::chrono::seconds(6); ///< duration of each promise of a witness
     duration promiseRenewInterval = std::chrono::seconds(2);
     /// Between requests to a witness that does not answer.
     duration promiseRetryInterval = std::chrono::milliseconds(400);
--- a/include/fuchsiagw/core/share_ledger.hpp
+++ b/include/fuchsiagw/core/share_ledger.hpp
@@ -165,7 +165,7 @@
 /// Durations of loans, and the margin for clocks that run at different speeds.
 struct loan_times
 {
-    duration length = std::chrono::seconds(4); ///< of loan_kind::Rate, the longest loans
+    duration rateLoanDuration = std::chrono::seconds(4); ///< of loan_kind::Rate, the longest loans
     /// Of loan_kind::Tokens; covers several round trips between zones.
     duration tokenLoanDuration = std::chrono::milliseconds(50);
     /// 0.5 % of the length; crystal clocks differ by less than 0.05 %.
--- a/include/fuchsiagw/core/token_bucket.hpp
+++ b/include/fuchsiagw/core/token_bucket.hpp
@@ -49,7 +49,7 @@
 
 /// @brief Adds tokens transferred from another bucket; tokens above the capacity are discarded.
 /// @complexity constant
-void put(token_bucket &bucket, token_amount amount, time_point now);
+void deposit(token_bucket &bucket, token_amount amount, time_point now);
 
 /// @brief Computes when the bucket will hold @p amount if no tokens are taken and rate and capacity
 /// stay the same.
--- a/include/fuchsiagw/proxy/action.hpp
+++ b/include/fuchsiagw/proxy/action.hpp
@@ -33,7 +33,7 @@
 {
     link_id link = 0;
     std::string address;
-    std::string via; ///< relay that lends the connection; empty: connect directly
+    std::string relay; ///< relay that lends the connection; empty: connect directly
 };
 
 /// Sends commands in order, in one write. They are buffered until the link is open.
--- a/include/fuchsiagw/proxy/upstream_link.hpp
+++ b/include/fuchsiagw/proxy/upstream_link.hpp
@@ -45,7 +45,7 @@
     link_id id = 0;
     std::string member;
     std::string workspace; ///< workspace for which the connection was opened
-    std::string via; ///< relay that lends the connection; empty: direct connection
+    std::string relay; ///< relay that lends the connection; empty: direct connection
     bool control = false; ///< carries only commands of the proxy itself
     link_state state = link_state::Connecting;
     std::deque<expected_answer> expected;
--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -56,7 +56,7 @@
 
 struct soak_finding
 {
-    soak_guarantee promise;
+    soak_guarantee guarantee;
     std::string text;
 };
 
@@ -132,7 +132,7 @@
     std::map<std::string, workspace_rate_limit> rateLimits; ///< by workspace
     std::map<std::string, std::deque<core::time_point>> unitStarts; ///< by workspace
     std::set<std::uint64_t> rateCountedUnits;
-    std::map<std::string, sent_statement> asked; ///< by statement id
+    std::map<std::string, sent_statement> sentStatements; ///< by statement id
     std::map<std::string, std::vector<std::pair<std::string, std::string>>>
             answers; ///< digest and row of each execution, by statement id
     std::map<std::string, int> effects; ///< number of commits of each write, by statement id
--- a/include/fuchsiagw/wire/caller_json.hpp
+++ b/include/fuchsiagw/wire/caller_json.hpp
@@ -94,10 +94,10 @@
 /// @return nullopt unless the scheme is Bearer and the key has 1 to maxKeyBytes token68 characters
 [[nodiscard]] std::optional<std::string> keyFromAuthorization(std::string_view value);
 
-/// Session token of a request. Invariant: `token` is empty unless `named`.
+/// Session token of a request. Invariant: `token` is empty unless `isPresent`.
 struct requested_session
 {
-    bool named = false; ///< the request has a session header or cookie
+    bool isPresent = false; ///< the request has a session header or cookie
     std::string token; ///< also empty if the token that was sent is malformed or ambiguous
 };
 
--- a/src/core/error_kind.cpp
+++ b/src/core/error_kind.cpp
@@ -118,7 +118,7 @@
     [[nodiscard]] const char *name() const noexcept override { return "fuchsiagw"; }
     [[nodiscard]] std::string message(int value) const override
     {
-        return std::string(answerOf(static_cast<error_kind>(value)).sentence);
+        return std::string(answerOf(static_cast<error_kind>(value)).defaultProblem);
     }
 };
 
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -59,16 +59,16 @@
         return;
     }
     if (!answer.error && answer.position != log_position{})
-        recordWrite(entry.known, entry.request.group, answer.position);
+        recordWrite(entry.sessionState, entry.request.group, answer.position);
     // Without a usable session only the primary serves the read. Its position covers every write
     // that was acknowledged before, so it becomes the session's position.
     const bool isReadWithoutSession =
             entry.request.isSessionUnusable && entry.request.kind == statement_kind::Read;
     if (!answer.error && isReadWithoutSession && !answer.fromReplica)
-        recordWrite(entry.known, entry.request.group, answer.applied);
+        recordWrite(entry.sessionState, entry.request.group, answer.applied);
     turn.actions.emplace_back(caller_reply{ entry.ticket, entry.request.workspace,
                                             entry.request.group, entry.request.kind,
-                                            std::move(answer), std::move(entry.known) });
+                                            std::move(answer), std::move(entry.sessionState) });
 }
 
 void fail(gateway_turn &turn, std::uint64_t handle, error_kind error)
@@ -145,9 +145,9 @@
 void setReadRequirement(statement_request &statement, const caller_request &request)
 {
     std::optional<log_position> position = log_position{};
-    if (request.known)
-        position = minPosition(*request.known, statement.group);
-    const bool isUsable = position && (request.known || !request.hasSessionToken);
+    if (request.sessionState)
+        position = minPosition(*request.sessionState, statement.group);
+    const bool isUsable = position && (request.sessionState || !request.hasSessionToken);
     statement.isSessionUnusable = !isUsable;
     statement.minPosition = position.value_or(log_position{});
 }
@@ -409,7 +409,7 @@
         refuse(turn, request, {}, *key.error);
         return;
     }
-    if (request.known && request.known->workspace != key.workspace) {
+    if (request.sessionState && request.sessionState->workspace != key.workspace) {
         refuse(turn, request, key.workspace, error_kind::SessionForeign);
         return;
     }
@@ -423,7 +423,8 @@
     entry.ticket = request.ticket;
     entry.request = request.statement;
     setReadRequirement(entry.request, request);
-    entry.known = request.known.value_or(session{ key.workspace, {}, request.hasSessionToken });
+    entry.sessionState =
+            request.sessionState.value_or(session{ key.workspace, {}, request.hasSessionToken });
     const bool isLimited = consumesToken(entry.request.kind);
     const std::uint64_t handle = insertEntry(state, std::move(entry));
     if (isLimited)
--- a/src/core/incarnation_lease.cpp
+++ b/src/core/incarnation_lease.cpp
@@ -46,7 +46,7 @@
                    const lease_times &times, time_point now)
 {
     return now >= lease.promisedUntil + times.driftMargin
-           && now >= witness.startedAt + times.promise + times.driftMargin;
+           && now >= witness.startedAt + times.promiseDuration + times.driftMargin;
 }
 
 } // namespace
@@ -177,8 +177,8 @@
     std::set<incarnation_id> lost;
     for (const incarnation_id each : holder.current) {
         const witness_state &state = holder.witnesses.at(each);
-        const bool isSilent =
-                state.silentSince != noDeadline && now >= state.silentSince + times.promise / 2;
+        const bool isSilent = state.silentSince != noDeadline
+                              && now >= state.silentSince + times.promiseDuration / 2;
         if (state.hasVoted || isSilent)
             lost.insert(each);
     }
@@ -202,8 +202,8 @@
     if (lease.hasVoted)
         return promise;
     lease.witnesses = request.witnesses;
-    lease.promisedUntil = std::max(lease.promisedUntil, now + times.promise);
-    promise.promisedMicros = times.promise.count();
+    lease.promisedUntil = std::max(lease.promisedUntil, now + times.promiseDuration);
+    promise.promisedMicros = times.promiseDuration.count();
     return promise;
 }
 
--- a/src/core/limit_manager.cpp
+++ b/src/core/limit_manager.cpp
@@ -79,7 +79,7 @@
         if (held - shares < needed)
             break;
         if (auto back = returnLoan(entry.book, resource, id,
-                                   manager.connections.settings.times.length, now))
+                                   manager.connections.settings.times.rateLoanDuration, now))
             send(actions, id.lender, loan_returns{ { std::move(*back) } });
         held -= shares;
     }
@@ -251,8 +251,8 @@
         if (entry.waiting > 0 || entry.inUse > 0)
             continue;
         for (const loan_id &id : loans)
-            if (auto back = returnLoan(entry.book, resource, id, loanManager.settings.times.length,
-                                       now))
+            if (auto back = returnLoan(entry.book, resource, id,
+                                       loanManager.settings.times.rateLoanDuration, now))
                 returns[id.lender].loans.push_back(std::move(*back));
     }
     for (auto &[lender, body] : returns)
@@ -290,7 +290,7 @@
 loan_settings connectionLoanSettings()
 {
     loan_settings settings;
-    settings.times.length = std::chrono::seconds(6);
+    settings.times.rateLoanDuration = std::chrono::seconds(6);
     settings.times.driftMargin = std::chrono::milliseconds(30); // 0.5 % of the length
     // Requests a renewal early enough that several lost messages do not lower a limit.
     settings.renewalLeadTime = connectionDrainInterval + std::chrono::milliseconds(1'800);
--- a/src/core/limit_manager_tasks.cpp
+++ b/src/core/limit_manager_tasks.cpp
@@ -38,7 +38,8 @@
 {
     const loan_times &rates = manager.rates.settings.times;
     const loan_times &connections = manager.connections.settings.times;
-    return std::max(rates.length + rates.driftMargin, connections.length + connections.driftMargin);
+    return std::max(rates.rateLoanDuration + rates.driftMargin,
+                    connections.rateLoanDuration + connections.driftMargin);
 }
 
 /// @return the prefixes to scan to read @p keys, from back to front. Lease rows are read last:
--- a/src/core/loan_manager.cpp
+++ b/src/core/loan_manager.cpp
@@ -15,7 +15,7 @@
     manager.nextScanAt = now;
     reconfigure(manager.byteBudget, settings.bytesPerSecond * oneToken,
                 settings.byteBurst * oneToken, now);
-    put(manager.byteBudget, settings.byteBurst * oneToken, now);
+    deposit(manager.byteBudget, settings.byteBurst * oneToken, now);
     return manager;
 }
 
--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -183,8 +183,8 @@
                      const loan_id &id, returns_by_lender &returns, time_point now)
 {
     const loan_times &times = manager.settings.times;
-    const duration longest =
-            entry.book.in.at(id).kind == loan_kind::Rate ? times.length : times.tokenLoanDuration;
+    const duration longest = entry.book.in.at(id).kind == loan_kind::Rate ? times.rateLoanDuration
+                                                                          : times.tokenLoanDuration;
     if (auto back = returnLoan(entry.book, resource, id, longest, now))
         returns[id.lender].loans.push_back(std::move(*back));
 }
--- a/src/core/share_ledger.cpp
+++ b/src/core/share_ledger.cpp
@@ -96,8 +96,9 @@
     advance(ledger, now);
     ledger.home += shares;
     recomputeUsable(ledger, ledger.advancedAt);
-    put(ledger.bucket,
-        std::min(tokens, partOf(ledger.burst, std::min(shares, ledger.total), ledger.total)), now);
+    deposit(ledger.bucket,
+            std::min(tokens, partOf(ledger.burst, std::min(shares, ledger.total), ledger.total)),
+            now);
 }
 
 share_transfer removeHome(share_ledger &ledger, share_count shares, time_point now)
@@ -158,7 +159,8 @@
     const token_amount moved = takeUpTo(ledger.bucket, std::min(tokens, room), ledger.advancedAt);
     loan.shares += shares;
     ++loan.serial;
-    const duration length = kind == loan_kind::Rate ? times.length : times.tokenLoanDuration;
+    const duration length =
+            kind == loan_kind::Rate ? times.rateLoanDuration : times.tokenLoanDuration;
     loan.endsAt = std::max(loan.endsAt, ledger.advancedAt + length + times.driftMargin);
     recomputeUsable(ledger, ledger.advancedAt);
     return loan_terms{
@@ -185,7 +187,7 @@
     loan.endsAt = isTombstone ? endsAt : std::max(loan.endsAt, endsAt);
     recomputeUsable(ledger, ledger.advancedAt);
     const token_amount room = partOf(ledger.burst, std::min(more, ledger.total), ledger.total);
-    put(ledger.bucket, std::min(terms.tokens, room), ledger.advancedAt);
+    deposit(ledger.bucket, std::min(terms.tokens, room), ledger.advancedAt);
     return true;
 }
 
@@ -215,8 +217,8 @@
             partOf(ledger.burst, std::min(entry->second.shares, ledger.total), ledger.total);
     ledger.out.erase(entry);
     recomputeUsable(ledger, ledger.advancedAt);
-    // Without a valid lease, home shares add no capacity and put() discards the tokens.
-    put(ledger.bucket, std::min(message.tokens, room), ledger.advancedAt);
+    // Without a valid lease, home shares add no capacity and deposit() discards the tokens.
+    deposit(ledger.bucket, std::min(message.tokens, room), ledger.advancedAt);
     return true;
 }
 
--- a/src/core/token_bucket.cpp
+++ b/src/core/token_bucket.cpp
@@ -80,7 +80,7 @@
     return taken;
 }
 
-void put(token_bucket &bucket, token_amount amount, time_point now)
+void deposit(token_bucket &bucket, token_amount amount, time_point now)
 {
     assert(amount >= 0);
     refill(bucket, now);
--- a/src/daemon/caller_server.cpp
+++ b/src/daemon/caller_server.cpp
@@ -111,10 +111,10 @@
     const std::string_view cookies = net::findHeader(request.headers, "Cookie");
     const wire::requested_session named =
             wire::sessionFromHeaders(headerOf(request, "Fuchsiagw-Session"), cookies);
-    into.hasSessionToken = named.named;
+    into.hasSessionToken = named.isPresent;
     core::session known;
     if (!named.token.empty() && !wire::open(named.token, tokens, known))
-        into.known = std::move(known);
+        into.sessionState = std::move(known);
 }
 
 net::http_response jsonResponse(int status, std::string body)
@@ -254,7 +254,8 @@
     callerRequest.statement.transaction = match.transaction;
     const std::uint64_t ticket = callerRequest.ticket;
     const statement_kind kind = callerRequest.statement.kind;
-    const bool isSessionUsable = callerRequest.known.has_value() || !callerRequest.hasSessionToken;
+    const bool isSessionUsable =
+            callerRequest.sessionState.has_value() || !callerRequest.hasSessionToken;
     const bool mayUseReplica = kind == statement_kind::Read && !match.transaction && isSessionUsable
                                && !callerRequest.statement.readClass.empty();
     if (!requestSink_(std::move(callerRequest))) {
@@ -282,8 +283,8 @@
     } else {
         response = jsonResponse(200, wire::answerBody(reply.answer));
     }
-    if (reply.known) {
-        const std::string token = wire::seal(*reply.known, tokens_);
+    if (reply.sessionState) {
+        const std::string token = wire::seal(*reply.sessionState, tokens_);
         response.headers.emplace_back("Set-Cookie", wire::sessionCookie(token));
         response.headers.emplace_back("Fuchsiagw-Session", token);
     }
--- a/src/daemon/session_gateway.cpp
+++ b/src/daemon/session_gateway.cpp
@@ -335,10 +335,10 @@
 {
     net::endpoint peer;
     auto entry = std::make_unique<upstream_connection>();
-    const auto relay = peerAddresses_.find(action.via);
+    const auto relay = peerAddresses_.find(action.relay);
     const bool isRelayed = relay != peerAddresses_.end();
     entry->connection = isRelayed
-                                ? relayConnectionTo(action.via, relay->second)
+                                ? relayConnectionTo(action.relay, relay->second)
                                 : net::line_connection::create(context_, adapter::maxMessageBytes);
     const auto connection = entry->connection;
     const proxy::link_id id = action.link;
--- a/src/daemon/session_log.cpp
+++ b/src/daemon/session_log.cpp
@@ -59,7 +59,7 @@
     for (limiter &each : limiters_) {
         core::reconfigure(each.bucket, maxSampledLinesPerSecond * core::oneToken,
                           sampledLineBurst * core::oneToken, {});
-        core::put(each.bucket, sampledLineBurst * core::oneToken, {});
+        core::deposit(each.bucket, sampledLineBurst * core::oneToken, {});
     }
 }
 
--- a/src/proxy/engine_answers.cpp
+++ b/src/proxy/engine_answers.cpp
@@ -278,15 +278,15 @@
         if (member != nullptr) {
             smooth(member->connectUs, now - link.openedAt);
             member->connectionLimitRefusals = 0;
-            if (link.via.empty())
+            if (link.relay.empty())
                 recordAlive(*member, now);
         }
         return;
     }
     link.tainted = true;
     link.refused = true;
-    const auto relay = state.peers.find(link.via);
-    if (answer.code != reply_code::ConnectionLimit && !link.via.empty()) {
+    const auto relay = state.peers.find(link.relay);
+    if (answer.code != reply_code::ConnectionLimit && !link.relay.empty()) {
         // The relay is stopping or does not know the member yet; use the next one in order.
         if (relay != state.peers.end())
             relay->second.relayAvoidedUntil = now + refusingRelayBackoff;
@@ -295,7 +295,7 @@
     if (member == nullptr)
         return;
     if (answer.code == reply_code::ConnectionLimit) {
-        if (link.via.empty())
+        if (link.relay.empty())
             recordAlive(*member, now);
         const int doublings =
                 std::min(member->connectionLimitRefusals++, maxConnectionLimitDoublings);
@@ -419,9 +419,9 @@
             member->outstanding -= (each.role == answer_role::Statement
                                     || (each.role == answer_role::Begin && link.pinnedTo != 0))
                                    && member->outstanding > 0;
-        if (opening && !link.tainted && link.via.empty())
+        if (opening && !link.tainted && link.relay.empty())
             avoidMember(state, *member, "no_connection", now);
-        const auto relay = state.peers.find(link.via);
+        const auto relay = state.peers.find(link.relay);
         if (opening && !link.tainted && relay != state.peers.end())
             relay->second.relayAvoidedUntil = now + unreachableRelayBackoff;
     }
--- a/src/proxy/engine_links.cpp
+++ b/src/proxy/engine_links.cpp
@@ -196,7 +196,7 @@
     // A relay that refuses has forwarded nothing, so the statement can be sent together with
     // Startup. A direct link must be open first: if its connection ended, it would be unknown
     // whether the member ran the statement.
-    return link->via.empty() ? nullptr : link;
+    return link->relay.empty() ? nullptr : link;
 }
 
 namespace {
@@ -250,20 +250,20 @@
 {
     upstream_link link;
     if (!direct)
-        link.via = relayNodeFor(state, member, now);
+        link.relay = relayNodeFor(state, member, now);
     link.id = ++state.lastLink;
     link.member = member.entry.id;
     link.workspace = workspace;
     link.openedAt = now;
     link.lastSent = now;
-    link.answerDeadline = now + (link.via.empty() ? connectTimeout : borrowTimeout);
+    link.answerDeadline = now + (link.relay.empty() ? connectTimeout : borrowTimeout);
     expectAnswer(link, answer_role::Startup);
     const link_id id = link.id;
-    const std::string via = link.via;
+    const std::string relay = link.relay;
     state.links.emplace(id, std::move(link));
     member.links.insert(id);
     ++state.counters.linksOpened;
-    state.out.emplace_back(open_link{ id, member.entry.address, via });
+    state.out.emplace_back(open_link{ id, member.entry.address, relay });
     upstream_command startup = makeCommand(command_kind::Startup, member.entry.service, workspace);
     startup.id = member.entry.id;
     state.out.emplace_back(send_to_member{ id, { std::move(startup) } });
@@ -337,7 +337,7 @@
         serveQueue(state, *service, now);
     const upstream_link *remaining = findLink(state, id);
     // A borrowed connection is returned immediately; other daemons may wait for it at the relay.
-    const bool borrowed = remaining != nullptr && !remaining->via.empty();
+    const bool borrowed = remaining != nullptr && !remaining->relay.empty();
     const bool unwanted =
             borrowed || !found->second.listed || found->second.entry.draining || state.stopping;
     if (remaining != nullptr && remaining->state == link_state::Idle && unwanted)
--- a/src/proxy/engine_watch.cpp
+++ b/src/proxy/engine_watch.cpp
@@ -80,9 +80,9 @@
             if (now - link.lastSent < limit)
                 continue;
             // If the relay does not answer, the member itself may be fine: probe it directly.
-            if (!link.via.empty()) {
+            if (!link.relay.empty()) {
                 suspected.insert(&member);
-                const auto relay = state.peers.find(link.via);
+                const auto relay = state.peers.find(link.relay);
                 if (connecting && relay != state.peers.end())
                     relay->second.relayAvoidedUntil = now + unresponsiveRelayBackoff;
             } else {
--- a/src/proxy/quota.cpp
+++ b/src/proxy/quota.cpp
@@ -309,7 +309,7 @@
     advanceQuota(quota, now);
     const token_amount given = std::max<token_amount>(0, amount);
     const token_amount room = quota.bucket.capacity - quota.bucket.level;
-    put(quota.bucket, std::min(given, room), now);
+    deposit(quota.bucket, std::min(given, room), now);
     return std::max<token_amount>(0, given - room);
 }
 
--- a/src/wire/admin_json.cpp
+++ b/src/wire/admin_json.cpp
@@ -66,7 +66,7 @@
              { "number", static_cast<int>(kind) },
              { "outcome", toString(row.outcome) },
              { "retry", toString(row.advice) },
-             { "problem", problem.empty() ? std::string(row.sentence) : problem } };
+             { "problem", problem.empty() ? std::string(row.defaultProblem) : problem } };
 }
 
 json changesOf(const core::section_changes &changes)
--- a/src/wire/caller_json.cpp
+++ b/src/wire/caller_json.cpp
@@ -447,7 +447,7 @@
                   { "number", static_cast<int>(kind) },
                   { "outcome", core::toString(row.outcome) },
                   { "retry", core::toString(row.advice) },
-                  { "problem", problem.empty() ? row.sentence : problem },
+                  { "problem", problem.empty() ? row.defaultProblem : problem },
                   { "request_id", core::toString(id) } });
 }
 
@@ -488,7 +488,7 @@
 {
     requested_session session;
     if (header) {
-        session.named = true;
+        session.isPresent = true;
         const std::string_view token = trim(*header);
         if (isToken(token, maxTokenLength))
             session.token = token;
@@ -505,8 +505,8 @@
         if (token.size() >= 2 && token.front() == '"' && token.back() == '"')
             token = token.substr(1, token.size() - 2);
         const bool isUsable =
-                isToken(token, maxTokenLength) && (!session.named || session.token == token);
-        session.named = true;
+                isToken(token, maxTokenLength) && (!session.isPresent || session.token == token);
+        session.isPresent = true;
         session.token = isUsable ? std::string(token) : std::string();
         if (!isUsable)
             break;
--- a/testing/gateway_world_callers.cpp
+++ b/testing/gateway_world_callers.cpp
@@ -177,7 +177,7 @@
     caller_request request;
     request.ticket = number;
     request.key = operation.key;
-    request.known = known;
+    request.sessionState = known;
     request.hasSessionToken = hasSessionToken;
     request.statement = operation.request;
     const std::size_t gateway = operation.gateway;
@@ -275,7 +275,7 @@
     if (drawPercent(world, lostAnswerPercent))
         return;
     after(world, callerLinkDelay,
-          [&world, number = operation.number, known = std::move(reply.known)] {
+          [&world, number = operation.number, known = std::move(reply.sessionState)] {
               caller_operation &answered = world.history.operations[number - 1];
               world_session &session = world.sessions[answered.session];
               if (session.pending != number)
--- a/testing/limits_world.cpp
+++ b/testing/limits_world.cpp
@@ -311,7 +311,7 @@
         create(resource, workspaceShares, amountOf(each.burst));
         for (auto *exact : { &world->exactByArrival, &world->exactByGrant }) {
             reconfigure((*exact)[resource], amountOf(each.rate), amountOf(each.burst), {});
-            put((*exact)[resource], amountOf(each.burst), {});
+            deposit((*exact)[resource], amountOf(each.burst), {});
         }
     }
     if (settings.connections > 0)
--- a/testing/limits_world_node.cpp
+++ b/testing/limits_world_node.cpp
@@ -194,8 +194,8 @@
         for (const auto &[id, loan] : entry.book.in)
             loans.push_back(id);
         for (const loan_id &id : loans)
-            if (auto back = returnLoan(entry.book, resource, id, world.settings.loans.times.length,
-                                       local))
+            if (auto back = returnLoan(entry.book, resource, id,
+                                       world.settings.loans.times.rateLoanDuration, local))
                 returns[id.lender].loans.push_back(*back);
         given[resource] = removeHome(entry.book, entry.book.home, local);
         hasLent = hasLent || entry.book.lent > 0;
@@ -292,7 +292,7 @@
     const core::loan_times &times = world.settings.loans.times;
     const duration wait = world.settings.fault == limits_defect::ReclaimWithoutWait
                                   ? duration::zero()
-                                  : times.length + times.driftMargin;
+                                  : times.rateLoanDuration + times.driftMargin;
     for (const incarnation_id dead : reclaimable(node.witness, wait, local)) {
         const lease_row *row = findLease(world.table, dead);
         if (row == nullptr) {
--- a/testing/session-soak-main.cpp
+++ b/testing/session-soak-main.cpp
@@ -67,7 +67,7 @@
             std::printf(" %s %llu", name.c_str(), static_cast<unsigned long long>(count));
         std::printf("\n");
         for (const soak_finding &each : result.findings)
-            std::printf("  %s: %s\n", std::string(toString(each.promise)).c_str(),
+            std::printf("  %s: %s\n", std::string(toString(each.guarantee)).c_str(),
                         each.text.c_str());
         std::fflush(stdout);
         failedRuns += result.findings.empty() ? 0 : 1;
--- a/testing/soak_history.cpp
+++ b/testing/soak_history.cpp
@@ -134,13 +134,13 @@
 {
     if (statement.writes)
         history.writesByUnit[statement.unit].insert(id);
-    history.asked.emplace(id, std::move(statement));
+    history.sentStatements.emplace(id, std::move(statement));
 }
 
 void onStatementExecuted(soak_history &history, const member_execution &execution)
 {
-    const auto found = history.asked.find(execution.id);
-    if (found == history.asked.end()) {
+    const auto found = history.sentStatements.find(execution.id);
+    if (found == history.sentStatements.end()) {
         report(history, soak_guarantee::OnlyAsked,
                fmt::format("{}: member {} executed '{}', which no caller sent", execution.id,
                            execution.member, execution.text));
@@ -165,8 +165,9 @@
     for (const std::string &id : writes) {
         if (++history.effects[id] > 1)
             report(history, soak_guarantee::OnceOnly, fmt::format("{}: committed twice", id));
-        const auto sent = history.asked.find(id);
-        if (sent != history.asked.end() && history.notAppliedUnits.contains(sent->second.unit))
+        const auto sent = history.sentStatements.find(id);
+        if (sent != history.sentStatements.end()
+            && history.notAppliedUnits.contains(sent->second.unit))
             report(history, soak_guarantee::TrueRefusal,
                    fmt::format("{}: committed after its caller was told that it is not applied",
                                id));
@@ -191,7 +192,7 @@
                fmt::format("{}: answered with digest {} and row '{}', which no member returned", id,
                            digest, row));
     if (commit)
-        history.acknowledged[history.asked.at(id).service].push_back({ now, *commit });
+        history.acknowledged[history.sentStatements.at(id).service].push_back({ now, *commit });
 }
 
 void onReportedNotApplied(soak_history &history, std::uint64_t unit)
--- a/tests/unit-caller-json.cpp
+++ b/tests/unit-caller-json.cpp
@@ -232,7 +232,7 @@
     const auto check = [](std::optional<std::string_view> header, std::string_view cookies,
                           bool isNamed, const char *token) {
         const wire::requested_session session = wire::sessionFromHeaders(header, cookies);
-        CHECK_EQUAL(isNamed, session.named);
+        CHECK_EQUAL(isNamed, session.isPresent);
         STRCMP_EQUAL(token, session.token.c_str());
     };
     check(std::nullopt, "", false, "");
--- a/tests/unit-error-kind.cpp
+++ b/tests/unit-error-kind.cpp
@@ -24,7 +24,7 @@
         const error_answer &row = errorAnswers()[i];
         CHECK_TRUE(numbers.insert(static_cast<int>(row.kind)).second);
         CHECK_TRUE(names.insert(row.name).second);
-        CHECK_FALSE(row.sentence.empty());
+        CHECK_FALSE(row.defaultProblem.empty());
         POINTERS_EQUAL(&row, findAnswer(row.name));
     }
 }
--- a/tests/unit-fuzz.cpp
+++ b/tests/unit-fuzz.cpp
@@ -166,7 +166,7 @@
         const requested_session header = sessionFromHeaders(text, "");
         checkAllocation(text.size(), 2);
         CHECK_TRUE(hasNoSeparators(cookie.token) && hasNoSeparators(header.token));
-        CHECK_TRUE(header.named && (cookie.named || cookie.token.empty()));
+        CHECK_TRUE(header.isPresent && (cookie.isPresent || cookie.token.empty()));
         if (const auto id = transactionFromText(text))
             STRCMP_EQUAL(text.c_str(), toText(*id).c_str());
         const daemon::field address = daemon::field::address(daemon::log_key::Address, text);
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -231,10 +231,10 @@
     settings.fault = mutated;
     settings.doubled = 0.2;
     // With short promises and long loans, the loans of a dead lender outlast its lease.
-    settings.leases.promise = seconds(2);
+    settings.leases.promiseDuration = seconds(2);
     settings.leases.promiseRenewInterval = milliseconds(500);
     settings.leases.voteGracePeriod = milliseconds(0);
-    settings.loans.times.length = seconds(8);
+    settings.loans.times.rateLoanDuration = seconds(8);
     const auto world = makeWorld(settings);
     runFor(*world, seconds(6));
     pauseNode(*world, 1, seconds(20));
--- a/tests/unit-log-event.cpp
+++ b/tests/unit-log-event.cpp
@@ -52,7 +52,7 @@
                                                  std::to_string(row.httpStatus),
                                                  std::string(toString(row.outcome)),
                                                  std::string(toString(row.advice)),
-                                                 std::string(row.sentence) };
+                                                 std::string(row.defaultProblem) };
         CHECK_TRUE_TEXT(rows[i] == expected, row.name.data());
     }
 }
--- a/tests/unit-session-soak.cpp
+++ b/tests/unit-session-soak.cpp
@@ -33,7 +33,7 @@
                 static_cast<unsigned long long>(result.served),
                 static_cast<unsigned long long>(result.failed), result.findings.size());
     for (const soak_finding &each : result.findings)
-        std::printf("%s: %s\n", std::string(toString(each.promise)).c_str(), each.text.c_str());
+        std::printf("%s: %s\n", std::string(toString(each.guarantee)).c_str(), each.text.c_str());
     // The logs of a failed run are kept for diagnosis.
     if (result.findings.empty())
         std::filesystem::remove_all(options.folder);
--- a/tests/unit-share-ledger.cpp
+++ b/tests/unit-share-ledger.cpp
@@ -79,7 +79,8 @@
 {
     CHECK_TRUE(receiveLoan(borrower, lend(100'000, 5), at(0), at(10)));
     const loan_terms extension = lend(0, 3'000);
-    const auto back = returnLoan(borrower, resource, extension.id, times.length, at(3'001));
+    const auto back =
+            returnLoan(borrower, resource, extension.id, times.rateLoanDuration, at(3'001));
     CHECK_TRUE(back.has_value());
     LONGS_EQUAL(0, usableShares(borrower, at(3'001)));
     CHECK_FALSE(acceptReturn(lender, back.value_or(loan_return{}), at(3'100)));
@@ -94,7 +95,8 @@
 {
     CHECK_TRUE(receiveLoan(borrower, lend(100'000, 5), at(0), at(10)));
     const loan_terms extension = lend(0, 500);
-    CHECK_TRUE(returnLoan(borrower, resource, extension.id, times.length, at(3'000)).has_value());
+    CHECK_TRUE(returnLoan(borrower, resource, extension.id, times.rateLoanDuration, at(3'000))
+                       .has_value());
     CHECK_TRUE(receiveLoan(borrower, extension, at(495), at(3'100)));
     LONGS_EQUAL(100'000, usableShares(borrower, at(4'494)));
     LONGS_EQUAL(0, usableShares(borrower, at(4'495)));
@@ -106,7 +108,7 @@
 {
     const loan_terms terms = lend(100'000, 5);
     CHECK_TRUE(receiveLoan(borrower, terms, at(0), at(10)));
-    const auto back = returnLoan(borrower, resource, terms.id, times.length, at(20));
+    const auto back = returnLoan(borrower, resource, terms.id, times.rateLoanDuration, at(20));
     CHECK_TRUE(acceptReturn(lender, back.value_or(loan_return{}), at(30)));
     CHECK_FALSE(acceptReturn(lender, back.value_or(loan_return{}), at(31)));
     LONGS_EQUAL(600'000, usableShares(lender, at(31)));
--- a/tests/unit-soak-history.cpp
+++ b/tests/unit-soak-history.cpp
@@ -59,7 +59,7 @@
     void expectOnly(soak_guarantee guarantee)
     {
         CHECK_EQUAL(1U, history.findings.size());
-        CHECK(history.findings.front().promise == guarantee);
+        CHECK(history.findings.front().guarantee == guarantee);
     }
 };
 
@@ -120,7 +120,7 @@
 {
     for (const auto &[id, unit] : { std::pair("a", 1), std::pair("b", 2) }) {
         fixture.send(id, static_cast<std::uint64_t>(unit), true);
-        fixture.history.asked.at(id).inTransaction = true;
+        fixture.history.sentStatements.at(id).inTransaction = true;
         member_execution execution = fixture.executionOf(id);
         execution.transaction = 7;
         onStatementExecuted(fixture.history, execution);
@@ -131,7 +131,7 @@
 TEST(soak_history, statementOutsideItsTransactionIsReported)
 {
     fixture.send("a", 1, true);
-    fixture.history.asked.at("a").inTransaction = true;
+    fixture.history.sentStatements.at("a").inTransaction = true;
     onStatementExecuted(fixture.history, fixture.executionOf("a"));
     fixture.expectOnly(soak_guarantee::OneTransaction);
 }
@@ -187,7 +187,7 @@
 TEST(soak_history, readThatMissesTheSessionsOwnCommitIsReported)
 {
     fixture.send("own", 1, false, proxy::consistency::ReadYourWrites);
-    fixture.history.asked.at("own").ownCommit = 5;
+    fixture.history.sentStatements.at("own").ownCommit = 5;
     onStatementExecuted(fixture.history, fixture.executionOf("own", 4));
     fixture.expectOnly(soak_guarantee::Fresh);
 }
@@ -211,7 +211,7 @@
 TEST(soak_history, statementWithAWithdrawnKeyIsReported)
 {
     fixture.send("a", 1, false);
-    fixture.history.asked.at("a").keyEndsAt = start + seconds(9);
+    fixture.history.sentStatements.at("a").keyEndsAt = start + seconds(9);
     onStatementExecuted(fixture.history, fixture.executionOf("a"));
     fixture.expectOnly(soak_guarantee::KeysEnd);
 }
@@ -225,6 +225,6 @@
         onStatementExecuted(fixture.history, fixture.executionOf(id));
     }
     // The limit of a 5 s window is (2 x 5 + 5) x 1.1 + 20 operations.
-    CHECK_EQUAL(37U, fixture.history.asked.size());
+    CHECK_EQUAL(37U, fixture.history.sentStatements.size());
     fixture.expectOnly(soak_guarantee::RateLimit);
 }
