--- a/bench/bench-config-spread.cpp
+++ b/bench/bench-config-spread.cpp
@@ -44,7 +44,7 @@
 core::release_note makeNote(core::configuration_version base)
 {
     core::release_note note{ "n" + std::to_string(base), base, {} };
-    note.list.changed[{ core::section_kind::Switch, "loans", "" }] =
+    note.changes.changed[{ core::section_kind::Switch, "loans", "" }] =
             core::switch_section{ base % 2 == 1 };
     return note;
 }
--- a/bench/bench-limits.cpp
+++ b/bench/bench-limits.cpp
@@ -216,7 +216,7 @@
     std::fill(std::begin(offered), std::end(offered), capacity / workspaces * 0.95);
     offered[0] = 5 * capacity / workspaces;
     core::fair_queue queue;
-    queue.bound = 512;
+    queue.capacity = 512;
     std::deque<std::size_t> fifo;
     std::int64_t nextArrival[workspaces];
     std::uint64_t arrived[workspaces] = {};
@@ -249,7 +249,7 @@
                           { ++handle, core::workspace_id{ std::to_string(workspace) },
                             core::drawBelow(random, 20), false, core::noDeadline },
                           1);
-        else if (fifo.size() < queue.bound)
+        else if (fifo.size() < queue.capacity)
             fifo.push_back(workspace);
     }
     queue_result result;
--- a/include/fuchsiagw/core/acknowledgement.hpp
+++ b/include/fuchsiagw/core/acknowledgement.hpp
@@ -92,7 +92,7 @@
 {
     member_id member;
     log_position position; ///< `term` and `index` of the request
-    duration held = waitHoldTimeout; ///< `wait_ms`
+    duration holdTimeout = waitHoldTimeout; ///< `wait_ms`
     time_point deadline; ///< call onWaitEnded() if no answer has arrived by then
 };
 
--- a/include/fuchsiagw/core/config_spread.hpp
+++ b/include/fuchsiagw/core/config_spread.hpp
@@ -36,7 +36,7 @@
     spread_kind kind = spread_kind::Digest;
     std::uint64_t root = 0; ///< hash of the root's id and incarnation
     std::uint64_t roundNumber = 0; ///< starts at 1 for each root
-    configuration_version held = 0; ///< version in force at the sender
+    configuration_version heldVersion = 0; ///< version in force at the sender
     /// Digest: newest round that is proven. Acknowledgement: newest round that the subtree can
     /// prove.
     std::uint64_t provenRound = 0;
@@ -57,8 +57,8 @@
     template <typename archive>
     void serialize(archive &ar)
     {
-        ar(kind, root, roundNumber, held, provenRound, provenVersion, included, windowMicroseconds,
-           oldest, newest, count, instanceHashSum, hasUnresolvedSubmit);
+        ar(kind, root, roundNumber, heldVersion, provenRound, provenVersion, included,
+           windowMicroseconds, oldest, newest, count, instanceHashSum, hasUnresolvedSubmit);
     }
 };
 
--- a/include/fuchsiagw/core/fair_queue.hpp
+++ b/include/fuchsiagw/core/fair_queue.hpp
@@ -55,11 +55,11 @@
     }
 };
 
-/// Invariant: `length` is the sum of the flows' lengths and at most `bound`; `rotation` and `ranks`
-/// each contain every flow once; no flow is empty.
+/// Invariant: `length` is the sum of the flows' lengths and at most `capacity`; `rotation` and
+/// `ranks` each contain every flow once; no flow is empty.
 struct fair_queue
 {
-    std::size_t bound = 1024; ///< maximum number of statements
+    std::size_t capacity = 1024; ///< maximum number of statements
     std::size_t length = 0;
     std::map<workspace_id, workspace_flow> flows;
     std::deque<workspace_id> rotation; ///< round robin order; the flow being served is the first
--- a/include/fuchsiagw/core/freshness.hpp
+++ b/include/fuchsiagw/core/freshness.hpp
@@ -41,12 +41,12 @@
     proof_source source = proof_source::None;
 };
 
-/// Freshness of the configuration at one instance. Invariant: `usable.version <= held` and
-/// `held < pending.version`, for those of the two proofs that exist.
+/// Freshness of the configuration at one instance. Invariant: `usable.version <= heldVersion` and
+/// `heldVersion < pending.version`, for those of the two proofs that exist.
 struct freshness
 {
-    configuration_version held = 0; ///< version in force at this instance; 0: none
-    freshness_proof usable; ///< newest proof that `held` satisfies
+    configuration_version heldVersion = 0; ///< version in force at this instance; 0: none
+    freshness_proof usable; ///< newest proof that `heldVersion` satisfies
     freshness_proof pending; ///< newest proof of a version that has not arrived yet
     duration proofLifetime = defaultProofLifetime; ///< setting `keys.unproven_wait_ms`
 };
--- a/include/fuchsiagw/core/limit_manager.hpp
+++ b/include/fuchsiagw/core/limit_manager.hpp
@@ -62,7 +62,7 @@
 struct limit_platform_call
 {
     std::uint64_t number = 0;
-    std::variant<std::string, transact_request> order; ///< key prefix to scan, or a transaction
+    std::variant<std::string, transact_request> operation; ///< key prefix to scan, or a transaction
 };
 
 /// Action: delivers the decision on a statement for which admitStatement() returned
--- a/include/fuchsiagw/core/release_note.hpp
+++ b/include/fuchsiagw/core/release_note.hpp
@@ -110,7 +110,7 @@
 {
     std::string id; ///< a valid name; at most one note with this id is ever applied
     configuration_version base = 0; ///< version to which the note applies
-    section_changes list;
+    section_changes changes;
 
     friend bool operator==(const release_note &, const release_note &) = default;
 };
--- a/include/fuchsiagw/net/http_connection.hpp
+++ b/include/fuchsiagw/net/http_connection.hpp
@@ -19,7 +19,7 @@
 struct http_exchange
 {
     std::error_code error; ///< empty if a complete response was received
-    bool sent = false; ///< false only if no byte of the request can have left this process
+    bool wasSent = false; ///< false only if no byte of the request can have left this process
     http_response response;
 };
 
--- a/include/fuchsiagw/proxy/engine.hpp
+++ b/include/fuchsiagw/proxy/engine.hpp
@@ -65,8 +65,8 @@
 {
     bool started = false;
     bool done = false; ///< no other daemon uses this daemon's part
-    core::time_point until{}; ///< all loans of previous processes have expired by then
-    core::time_point next = core::noDeadline; ///< next recall to the daemons that have not answered
+    core::time_point deadline{}; ///< all loans of previous processes have expired by then
+    core::time_point nextRequestAt = core::noDeadline; ///< next recall to daemons without an answer
     std::set<std::string> answered; ///< daemons of the zone that answered
 };
 
@@ -94,7 +94,7 @@
     core::random_engine random;
     std::shared_ptr<const manifest> config;
     quota_table quota;
-    std::size_t waitingLoans = 0; ///< total size of workspace_quota::loans over all workspaces
+    std::size_t waitingLoans = 0; ///< total size of waitingLoanRequests over all workspaces
     std::map<std::string, member_state> members;
     std::map<std::string, service_state> services;
     std::map<session_id, session> sessions;
--- a/include/fuchsiagw/proxy/position_history.hpp
+++ b/include/fuchsiagw/proxy/position_history.hpp
@@ -27,7 +27,7 @@
 
 /// @brief Adds a position that was reported by a member that provably led at @p sample.since.
 /// @complexity linear in the number of samples, which is bounded
-void record(position_history &history, const position_sample &sample);
+void addSample(position_history &history, const position_sample &sample);
 
 /// @brief Finds the lowest position that holds every commit acknowledged before @p oldest.
 /// @return none if no sample is that recent
--- a/include/fuchsiagw/proxy/quota.hpp
+++ b/include/fuchsiagw/proxy/quota.hpp
@@ -62,8 +62,8 @@
     std::string lentTo; ///< home that last borrowed ownPart
     core::time_point lentUntil{};
     std::map<std::string, borrowed_part> borrowed; ///< by lender
-    limit_part held = 0; ///< part that the bucket is refilled from
-    limit_part lastLoggedPart = 0; ///< value of held in the newest log line
+    limit_part heldPart = 0; ///< part that the bucket is refilled from
+    limit_part lastLoggedPart = 0; ///< value of heldPart in the newest log line
     core::time_point heldPartChangesAt = core::noDeadline; ///< when a lease starts or ends next
     core::token_bucket bucket;
     core::token_amount overflowTokens = 0; ///< received from the home in excess of the bucket
@@ -79,7 +79,7 @@
     core::time_point nextRequestAt{}; ///< earliest time of the next loan request
     core::time_point homeEmptyUntil{}; ///< the home reported that it has no tokens
     std::deque<std::uint64_t> waitingSessions; ///< sessions with an operation that needs a token
-    std::deque<waiting_loan_request> loans; ///< waiting for tokens from other zones
+    std::deque<waiting_loan_request> waitingLoanRequests; ///< waiting for tokens from other zones
 };
 
 struct quota_table
--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -104,7 +104,7 @@
     core::log_index applied = 0; ///< newest log entry that the member has applied
     std::string digest; ///< of the member's answer
     std::string row;
-    core::time_point now{};
+    core::time_point executedAt{};
 };
 
 /// The member's transaction in which a caller's transaction runs.
--- a/src/core/config_spread.cpp
+++ b/src/core/config_spread.cpp
@@ -43,7 +43,7 @@
 void fetchIfNewer(const freshness &proofs, const instance_id &peer, configuration_version version,
                   std::vector<action> &actions)
 {
-    if (version <= proofs.held)
+    if (version <= proofs.heldVersion)
         return;
     action next;
     next.what = action::kind::Fetch;
@@ -58,7 +58,7 @@
     message.kind = kind;
     message.root = state.root;
     message.roundNumber = state.roundNumber;
-    message.held = proofs.held;
+    message.heldVersion = proofs.heldVersion;
     return message;
 }
 
@@ -137,8 +137,8 @@
 spread_message makeReport(const spread_state &state, const freshness &proofs)
 {
     spread_message report = makeMessage(state, proofs, spread_kind::Acknowledgement);
-    report.newest = proofs.held;
-    report.oldest = proofs.held;
+    report.newest = proofs.heldVersion;
+    report.oldest = proofs.heldVersion;
     report.count = 1;
     report.instanceHashSum = instanceHash(state.self.instance);
     report.hasUnresolvedSubmit = state.hasUnresolvedSubmit;
@@ -278,7 +278,7 @@
 {
     if (message.root == state.ownRoot || !isAcceptedParent(state, from, now))
         return;
-    fetchIfNewer(proofs, from, message.held, actions);
+    fetchIfNewer(proofs, from, message.heldVersion, actions);
     const bool isKnownWave = message.root == state.root && message.roundNumber <= state.roundNumber;
     if (isKnownWave && from == state.parent) {
         // The acknowledgement may have been lost, so it is sent again. The recorded time stays that
@@ -312,7 +312,7 @@
     spread_child &child = state.children[from];
     child.isAdopted = child.isAdopted || isNew;
     child.lastHeardAt = now;
-    fetchIfNewer(proofs, from, message.held, actions);
+    fetchIfNewer(proofs, from, message.heldVersion, actions);
     if (message.roundNumber == 0 && state.roundNumber > 0)
         sendDigest(state, proofs, from, child, now, actions);
     if (message.root != state.root || message.roundNumber != state.roundNumber || !state.isOpen
@@ -403,7 +403,7 @@
 {
     if (from == state.self.instance)
         return;
-    state.heldByPeer = std::max(state.heldByPeer, message.held);
+    state.heldByPeer = std::max(state.heldByPeer, message.heldVersion);
     switch (message.kind) {
     case spread_kind::Digest:
         onDigest(state, proofs, from, message, now, actions);
@@ -412,7 +412,7 @@
         onAcknowledgement(state, proofs, from, message, now, actions);
         break;
     case spread_kind::Announcement:
-        fetchIfNewer(proofs, from, message.held, actions);
+        fetchIfNewer(proofs, from, message.heldVersion, actions);
         break;
     }
 }
--- a/src/core/fair_queue.cpp
+++ b/src/core/fair_queue.cpp
@@ -92,7 +92,7 @@
 
 void checkInvariant([[maybe_unused]] const fair_queue &queue)
 {
-    assert(queue.length <= queue.bound);
+    assert(queue.length <= queue.capacity);
     assert(queue.rotation.size() == queue.flows.size());
     assert(queue.ranks.size() == queue.flows.size());
 }
@@ -103,7 +103,7 @@
 {
     assert(weight >= 1);
     enqueue_result result;
-    if (queue.length >= queue.bound) {
+    if (queue.length >= queue.capacity) {
         const auto own = queue.flows.find(statement.workspace);
         const std::size_t ownLength = own == queue.flows.end() ? 0 : own->second.length;
         const flow_rank arriving{ static_cast<double>(ownLength + 1) / weight,
--- a/src/core/freshness.cpp
+++ b/src/core/freshness.cpp
@@ -10,15 +10,15 @@
 
 void addProof(freshness &state, const freshness_proof &proof)
 {
-    freshness_proof &target = proof.version <= state.held ? state.usable : state.pending;
+    freshness_proof &target = proof.version <= state.heldVersion ? state.usable : state.pending;
     if (proof.at > target.at)
         target = proof;
 }
 
 void setHeldVersion(freshness &state, configuration_version version)
 {
-    assert(version >= state.held);
-    state.held = version;
+    assert(version >= state.heldVersion);
+    state.heldVersion = version;
     if (state.pending.source != proof_source::None && state.pending.version <= version) {
         if (state.pending.at > state.usable.at)
             state.usable = state.pending;
@@ -43,7 +43,7 @@
 
 time_point proofExpiresAt(const freshness &state)
 {
-    if (state.held == 0 || state.usable.source == proof_source::None)
+    if (state.heldVersion == 0 || state.usable.source == proof_source::None)
         return time_point::min();
     return state.usable.at + std::clamp(state.proofLifetime, minProofLifetime, maxProofLifetime);
 }
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -170,7 +170,7 @@
         owner.incarnation = state.incarnation;
         owner.limits = state.limits;
         owner.policy = state.policy;
-        owner.queue.bound = state.queueCapacity;
+        owner.queue.capacity = state.queueCapacity;
         owner.nextTransaction = groupPrefix(group) + 1;
         applySettings(owner.view, group, state.config.groups.at(group));
     }
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -337,7 +337,7 @@
     // Statements that wait for a connection to one member must not block the rest of the queue.
     // Dequeueing more of them than there are connections would defeat the fair order of the queue.
     while (owner.readyCount < owner.pool.limit && countAvailable(owner.pool) > 0
-           && owner.parked.size() < owner.queue.bound) {
+           && owner.parked.size() < owner.queue.capacity) {
         const auto next = dequeue(owner.queue);
         if (!next)
             return;
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -370,7 +370,7 @@
         request.kind = control_kind::Wait;
         request.member = each.member;
         request.position = each.position;
-        request.held = each.held;
+        request.held = each.holdTimeout;
         request.deadline = each.deadline;
         sendControlRequest(context, std::move(request));
     }
--- a/src/core/release_note.cpp
+++ b/src/core/release_note.cpp
@@ -137,14 +137,14 @@
 {
     if (!isName(note.id))
         return "the note's id must be 1 to 63 letters, digits, '-', '_' or '.'";
-    if (note.list.empty())
+    if (note.changes.empty())
         return "the note lists no change";
-    for (const auto &[where, value] : note.list.added) {
-        if (note.list.changed.contains(where) || note.list.withdrawn.contains(where))
+    for (const auto &[where, value] : note.changes.added) {
+        if (note.changes.changed.contains(where) || note.changes.withdrawn.contains(where))
             return "the " + toString(where) + " is in two lists";
     }
-    for (const auto &[where, value] : note.list.changed) {
-        if (note.list.withdrawn.contains(where))
+    for (const auto &[where, value] : note.changes.changed) {
+        if (note.changes.withdrawn.contains(where))
             return "the " + toString(where) + " is in two lists";
         if (where.kind == section_kind::Key)
             return "the " + toString(where) + " can't be changed; withdraw it and add another";
@@ -292,20 +292,20 @@
                           "the note changes version " + std::to_string(note.base)
                                   + ", the newest is version " + std::to_string(base.version));
     configuration next = base;
-    for (const section &where : note.list.withdrawn)
+    for (const section &where : note.changes.withdrawn)
         withdrawSection(next, where);
-    for (const auto *entries : { &note.list.added, &note.list.changed }) {
+    for (const auto *entries : { &note.changes.added, &note.changes.changed }) {
         for (const auto &[where, value] : *entries) {
             if (std::string text = writeSection(next, where, value); !text.empty())
                 return rejectNote(problem, error_kind::NoteInvalid, std::move(text));
         }
     }
     const section_changes actual = diffConfigurations(base, next);
-    if (actual != note.list) {
+    if (actual != note.changes) {
         std::string text;
-        appendListDifferences("added", note.list.added, actual.added, text);
-        appendListDifferences("changed", note.list.changed, actual.changed, text);
-        appendListDifferences("withdrawn", note.list.withdrawn, actual.withdrawn, text);
+        appendListDifferences("added", note.changes.added, actual.added, text);
+        appendListDifferences("changed", note.changes.changed, actual.changed, text);
+        appendListDifferences("withdrawn", note.changes.withdrawn, actual.withdrawn, text);
         problem = { error_kind::NoteNotExact, std::move(text), actual };
         return error_kind::NoteNotExact;
     }
--- a/src/ctl/admin_client.cpp
+++ b/src/ctl/admin_client.cpp
@@ -53,7 +53,7 @@
             request.headers.emplace_back("Content-Type", "application/json");
         net::http_exchange exchange =
                 net::callAndWait(peer, request, net::currentTime() + requestTimeout);
-        reply.wasSent = exchange.sent;
+        reply.wasSent = exchange.wasSent;
         if (!exchange.error) {
             reply.status = exchange.response.status;
             reply.body = std::move(exchange.response.body);
--- a/src/ctl/note_commands.cpp
+++ b/src/ctl/note_commands.cpp
@@ -206,7 +206,7 @@
         context.err << problem.text << '\n';
         return exit_code::Refused;
     }
-    const core::section_changes &changes = isExact ? note.list : problem.actual;
+    const core::section_changes &changes = isExact ? note.changes : problem.actual;
     if (absl::GetFlag(FLAGS_json))
         context.out << wire::writeChanges(changes) << '\n';
     else
--- a/src/ctl/store_switch.cpp
+++ b/src/ctl/store_switch.cpp
@@ -63,7 +63,7 @@
     change.key = wire::promotionSwitchKey;
     change.value = wire::toJson({ isOn });
     const net::http_exchange exchange = callStore(context, adapter::changeRows({ change }));
-    if (exchange.error && !exchange.sent)
+    if (exchange.error && !exchange.wasSent)
         return reportError(context, exit_code::Unreachable,
                            "the store does not answer; nothing was changed");
     if (!exchange.error && exchange.response.status != storeStatusOk)
--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -229,8 +229,8 @@
             outputs_.toPeers(send_datagram{ peer->address, peer->incarnation,
                                             digest{ senderInfo(), each.message } });
         } else if (peer != nullptr && each.what == kind::Fetch) {
-            if (const auto next =
-                        core::addFetchSource(store, { each.peer, each.message.held, {} }, now))
+            if (const auto next = core::addFetchSource(
+                        store, { each.peer, each.message.heldVersion, {} }, now))
                 fetch(*next);
         }
     }
--- a/src/daemon/gateway_driver.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -29,7 +29,8 @@
     return number;
 }
 
-/// Returns whether the limit manager holds home shares of every workspace that assigns it a fair share.
+/// Returns whether the limit manager holds home shares of every workspace that assigns it a fair
+/// share.
 bool holdsHomeShares(const core::limit_manager &limitManager)
 {
     if (!limitManager.hasJoined)
@@ -206,7 +207,7 @@
 void gateway_driver::sendKeeperRequest(core::limit_platform_call &&call)
 {
     const std::uint64_t number = call.number;
-    if (auto *prefix = std::get_if<std::string>(&call.order)) {
+    if (auto *prefix = std::get_if<std::string>(&call.operation)) {
         sendPlatformRequest(platform::scan_rows{ std::move(*prefix) },
                             [this, number](platform::platform_result &&result, core::time_point) {
                                 core::gateway_turn step = turn();
@@ -221,7 +222,7 @@
                             });
         return;
     }
-    sendPlatformRequest(std::get<core::transact_request>(std::move(call.order)),
+    sendPlatformRequest(std::get<core::transact_request>(std::move(call.operation)),
                         [this, number](platform::platform_result &&result, core::time_point) {
                             core::gateway_turn step = turn();
                             withLimitManager(step, [&](core::limit_manager &limitManager,
--- a/src/daemon/operator_service.cpp
+++ b/src/daemon/operator_service.cpp
@@ -168,8 +168,8 @@
         answer(ticket, wire::answerInstances(cluster_.list));
         return;
     case admin_route::Challenge:
-        answer(ticket,
-               wire::answerChallenge(challenges_, cluster_.spread, gateway_.proof.held, now));
+        answer(ticket, wire::answerChallenge(challenges_, cluster_.spread,
+                                             gateway_.proof.heldVersion, now));
         return;
     case admin_route::Vouch:
         vouch(request, now);
--- a/src/daemon/upstream_client.cpp
+++ b/src/daemon/upstream_client.cpp
@@ -67,7 +67,7 @@
 {
     execute_finished result;
     result.id = id;
-    result.wasSent = exchange.sent;
+    result.wasSent = exchange.wasSent;
     result.wasSilent = exchange.error == std::errc::timed_out;
     core::execute_answer answer;
     // An unreadable answer leaves the outcome of the statement unknown.
--- a/src/proxy/engine_control.cpp
+++ b/src/proxy/engine_control.cpp
@@ -165,7 +165,7 @@
         logPartChange(state, quota, name, "claim_or_manifest_changed", {}, now);
     state.waitingLoans = 0;
     for (const auto &[name, quota] : state.quota.workspaces)
-        state.waitingLoans += quota.loans.size();
+        state.waitingLoans += quota.waitingLoanRequests.size();
 }
 
 void onManifest(engine &state, std::shared_ptr<const manifest> next, core::time_point now)
@@ -248,7 +248,7 @@
         service.positions = {};
     service.term = std::max(service.term, term);
     service.leaderProvenAt = std::max(service.leaderProvenAt, since);
-    record(service.positions, { since, position });
+    addSample(service.positions, { since, position });
     service.leaderlessSince = core::noDeadline;
     if (!changed)
         return;
--- a/src/proxy/engine_parts.cpp
+++ b/src/proxy/engine_parts.cpp
@@ -85,9 +85,9 @@
 void logPartChange(engine &state, workspace_quota &quota, const std::string &workspace,
                    std::string_view reason, const std::string &other, core::time_point now)
 {
-    if (!quota.limited || quota.lastLoggedPart == quota.held)
+    if (!quota.limited || quota.lastLoggedPart == quota.heldPart)
         return;
-    quota.lastLoggedPart = quota.held;
+    quota.lastLoggedPart = quota.heldPart;
     decision_note note;
     note.kind = note_kind::QuotaPartChanged;
     note.workspace = workspace;
@@ -95,7 +95,7 @@
     note.reason = reason;
     if (const auto peer = state.peers.find(other); peer != state.peers.end())
         note.age = now - peer->second.lastHeard;
-    note.number = quota.held;
+    note.number = quota.heldPart;
     state.out.emplace_back(std::move(note));
 }
 
@@ -170,31 +170,31 @@
 {
     if (std::exchange(state.recall.started, true))
         return;
-    state.recall.until = now + partLeaseDuration + partLeaseMargin;
-    state.recall.next = now;
+    state.recall.deadline = now + partLeaseDuration + partLeaseMargin;
+    state.recall.nextRequestAt = now;
     stepRecall(state, now);
 }
 
 void stepRecall(engine &state, core::time_point now)
 {
     part_recall &recall = state.recall;
-    if (now < recall.next)
+    if (now < recall.nextRequestAt)
         return;
     std::vector<std::string> missing;
     for (const auto &[name, peer] : state.peers) {
         if (peer.zone == state.settings.zone && !recall.answered.contains(name))
             missing.push_back(name);
     }
-    if (missing.empty() || recall.until <= now) {
+    if (missing.empty() || recall.deadline <= now) {
         recall.done = true;
-        recall.next = core::noDeadline;
+        recall.nextRequestAt = core::noDeadline;
         for (auto &[name, quota] : state.quota.workspaces) {
             enableOwnPart(quota, now);
             logPartChange(state, quota, name, "recalled", {}, now);
         }
         return;
     }
-    recall.next = now + recallRetryInterval;
+    recall.nextRequestAt = now + recallRetryInterval;
     peer_message message = makeMessage(state, peer_message_kind::PartRecall);
     message.recall = state.incarnation;
     for (const std::string &peer : missing)
@@ -221,7 +221,7 @@
     if (state.recall.done || message.recall != state.incarnation)
         return;
     state.recall.answered.insert(message.from);
-    state.recall.next = now;
+    state.recall.nextRequestAt = now;
     stepRecall(state, now);
 }
 
--- a/src/proxy/engine_quota.cpp
+++ b/src/proxy/engine_quota.cpp
@@ -120,15 +120,15 @@
 void serveWaitingLoans(engine &state, workspace_quota &quota, const std::string &workspace,
                        core::time_point now)
 {
-    while (!quota.loans.empty()) {
-        const waiting_loan_request &next = quota.loans.front();
+    while (!quota.waitingLoanRequests.empty()) {
+        const waiting_loan_request &next = quota.waitingLoanRequests.front();
         const core::token_amount given = takeForZonePeer(quota, next.amount, now);
         if (given == 0 && now < next.deadline)
             return;
         if (given > 0)
             logLoan(state, workspace, "to_own_zone", given);
         sendLoanGrant(state, next.node, workspace, given, false, next.askedAtUs);
-        quota.loans.pop_front();
+        quota.waitingLoanRequests.pop_front();
         --state.waitingLoans;
     }
 }
@@ -182,7 +182,7 @@
 void stepQuotas(engine &state, core::time_point now)
 {
     for (auto &[name, quota] : state.quota.workspaces) {
-        if (quota.waitingSessions.empty() && quota.loans.empty())
+        if (quota.waitingSessions.empty() && quota.waitingLoanRequests.empty())
             continue;
         requestTokensIfNeeded(state, quota, name, now);
         admitWaitingOperations(state, name, now);
@@ -234,8 +234,8 @@
     }
     countDemand(*quota, static_cast<double>(message.amount) / core::oneToken, now);
     // The request waits because the homes of other zones may have tokens to spare.
-    if (quota->loans.size() < maxWaitingLoans) {
-        quota->loans.push_back(
+    if (quota->waitingLoanRequests.size() < maxWaitingLoans) {
+        quota->waitingLoanRequests.push_back(
                 { message.from, message.amount, message.askedAtUs, now + loanRequestTimeout });
         ++state.waitingLoans;
     }
--- a/src/proxy/engine_time.cpp
+++ b/src/proxy/engine_time.cpp
@@ -204,7 +204,7 @@
 core::time_point nextTimerAt(const engine &state)
 {
     core::time_point due = std::min(state.nextMaintenanceAt, state.nextExchangeAt);
-    due = std::min({ due, state.nextPartRequest, state.recall.next });
+    due = std::min({ due, state.nextPartRequest, state.recall.nextRequestAt });
     due = std::min(due, nextPromotionStep(state));
     if (state.stopping)
         due = std::min(due, state.nextSessionCloseAt);
--- a/src/proxy/position_history.cpp
+++ b/src/proxy/position_history.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void record(position_history &history, const position_sample &sample)
+void addSample(position_history &history, const position_sample &sample)
 {
     auto &samples = history.samples;
     const auto later = std::upper_bound(
--- a/src/proxy/quota.cpp
+++ b/src/proxy/quota.cpp
@@ -88,13 +88,13 @@
 /// @brief Sets the rate and the capacity of the bucket to the parts held at @p when.
 void updateBucket(workspace_quota &quota, core::time_point when)
 {
-    quota.held = heldPartAt(quota, when);
+    quota.heldPart = heldPartAt(quota, when);
     quota.heldPartChangesAt = nextPartChangeAfter(quota, when);
     std::erase_if(quota.borrowed, [&](const auto &each) { return each.second.until <= when; });
-    const double share = static_cast<double>(quota.held) / wholeLimit;
+    const double share = static_cast<double>(quota.heldPart) / wholeLimit;
     token_amount capacity = toTokenAmount(quota.burst * share);
     // With a small burst, the home of a zone still needs room for one operation.
-    if (quota.isFirstHome && quota.held > 0)
+    if (quota.isFirstHome && quota.heldPart > 0)
         capacity = std::max(oneToken, capacity);
     core::reconfigure(quota.bucket, toTokenAmount(quota.ratePerSecond * share), capacity, when);
 }
@@ -259,8 +259,8 @@
     if (level >= std::max(reserve, oneToken))
         return std::nullopt;
     quota.nextRequestAt = now + minRequestInterval;
-    const auto waiting =
-            static_cast<token_amount>(quota.waitingSessions.size() + quota.loans.size());
+    const auto waiting = static_cast<token_amount>(quota.waitingSessions.size()
+                                                   + quota.waitingLoanRequests.size());
     const token_amount room = std::max(quota.bucket.capacity, overflowCapacity(quota));
     const token_amount requested = std::min(std::max(2 * reserve, oneToken), room);
     return std::max(minLoan, std::max({ requested, oneToken, waiting * oneToken }) - level);
@@ -281,7 +281,7 @@
 token_amount takeForOtherZone(workspace_quota &quota, token_amount amount, core::time_point now)
 {
     advanceQuota(quota, now);
-    if (!quota.waitingSessions.empty() || !quota.loans.empty())
+    if (!quota.waitingSessions.empty() || !quota.waitingLoanRequests.empty())
         return 0;
     const token_amount reserve = reserveOf(quota) / oneToken * oneToken;
     const token_amount spare = quota.bucket.level - reserve;
--- a/src/wire/note_json.cpp
+++ b/src/wire/note_json.cpp
@@ -212,7 +212,7 @@
 
 std::string writeNote(const core::release_note &note)
 {
-    json document = toJson(note.list);
+    json document = toJson(note.changes);
     document["id"] = note.id;
     document["base"] = note.base;
     return document.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -232,7 +232,7 @@
         object_reader fields(document, "", found);
         fields.text("id", read.id);
         fields.integer("base", read.base);
-        readLists(fields, read.list, found);
+        readLists(fields, read.changes, found);
         fields.finish();
     }
     if (found.exists()) {
--- a/src/wire/vouch.cpp
+++ b/src/wire/vouch.cpp
@@ -99,7 +99,7 @@
     const json answer = { { "accepted", true },
                           { "proven", isProven },
                           { "proven_ms", remaining.count() },
-                          { "version", proofs.held } };
+                          { "version", proofs.heldVersion } };
     return { 200, answer.dump() };
 }
 
--- a/testing/config_world.cpp
+++ b/testing/config_world.cpp
@@ -477,7 +477,7 @@
     const instance &own = instances_[index];
     core::freshness proofs = own.proofs;
     if (settings_.error == config_defect::NoProof)
-        core::addPlatformProof(proofs, proofs.held, now_);
+        core::addPlatformProof(proofs, proofs.heldVersion, now_);
     return core::checkKey(own.index, hash, proofs, now_);
 }
 
--- a/testing/fake_group_owner.cpp
+++ b/testing/fake_group_owner.cpp
@@ -190,7 +190,8 @@
         return;
     for (const wait_request &each : core::openWaits(owner.pending, owner.view, clock)) {
         const std::size_t member = indexOf(each.member);
-        const pending_wait wait{ index, each.position, clock, clock + each.held, each.deadline };
+        const pending_wait wait{ index, each.position, clock, clock + each.holdTimeout,
+                                 each.deadline };
         send(ownerNode(index), member, [this, member, wait] {
             waits[member].push_back(wait);
             serveWaits(member);
--- a/testing/gateway_world.cpp
+++ b/testing/gateway_world.cpp
@@ -65,7 +65,7 @@
 void performLimitCall(gateway_world &world, std::size_t gateway, limit_platform_call &&call)
 {
     const std::uint64_t number = call.number;
-    if (const auto *prefix = std::get_if<std::string>(&call.order)) {
+    if (const auto *prefix = std::get_if<std::string>(&call.operation)) {
         callPlatform<scan_answer>(
                 world, gateway,
                 [&world, rows = *prefix] { return std::optional(scan(world.platform, rows)); },
@@ -79,7 +79,7 @@
     }
     callPlatform<transact_answer>(
             world, gateway,
-            [&world, order = std::get<transact_request>(call.order)] {
+            [&world, order = std::get<transact_request>(call.operation)] {
                 return transact(world.platform, order, world.now);
             },
             [number](gateway_turn &turn, const std::optional<transact_answer> &answer) {
--- a/testing/soak_history.cpp
+++ b/testing/soak_history.cpp
@@ -110,8 +110,8 @@
         || !history.rateCountedUnits.insert(sent.unit).second)
         return;
     auto &starts = history.unitStarts[sent.workspace];
-    starts.push_back(execution.now);
-    while (starts.front() < execution.now - rateWindow)
+    starts.push_back(execution.executedAt);
+    while (starts.front() < execution.executedAt - rateWindow)
         starts.pop_front();
     const double allowed = (limit->second.ratePerSecond * rateWindow.count() + limit->second.burst)
                                    * rateLimitFactor
--- a/tests/unit-config-matrix.cpp
+++ b/tests/unit-config-matrix.cpp
@@ -63,7 +63,7 @@
 core::release_note baseNote()
 {
     core::release_note note{ "base", 0, {} };
-    auto &added = note.list.added;
+    auto &added = note.changes.added;
     added[{ section_kind::Group, "hire", "" }] = core::group_section{ 2, 16 };
     added[{ section_kind::Member, "hire", "m1" }] =
             core::member_settings{ { "zone-0" }, "127.0.0.1:1" };
@@ -77,15 +77,15 @@
 core::release_note changeNote()
 {
     core::release_note note{ "change", 1, {} };
-    note.list.withdrawn = { { section_kind::Key, "cafe", withdrawnKey } };
-    note.list.changed[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 6, 6 };
+    note.changes.withdrawn = { { section_kind::Key, "cafe", withdrawnKey } };
+    note.changes.changed[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 6, 6 };
     return note;
 }
 
 core::release_note rivalNote()
 {
     core::release_note note{ "rival", 1, {} };
-    note.list.changed[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 9, 9 };
+    note.changes.changed[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 9, 9 };
     return note;
 }
 
@@ -289,7 +289,7 @@
         core::configuration before;
         for (const world_commit &each : world_.commits()) {
             require(++applied[each.noteId] == 1, "a note was applied twice");
-            require(core::diffConfigurations(before, each.config) == notes.at(each.noteId).list,
+            require(core::diffConfigurations(before, each.config) == notes.at(each.noteId).changes,
                     "the change is not the note's list");
             before = each.config;
         }
--- a/tests/unit-config-store.cpp
+++ b/tests/unit-config-store.cpp
@@ -21,7 +21,7 @@
 release_note switchNote(const std::string &id, configuration_version base, bool isOn = false)
 {
     release_note note{ id, base, {} };
-    note.list.changed[{ section_kind::Switch, "loans", "" }] = switch_section{ isOn };
+    note.changes.changed[{ section_kind::Switch, "loans", "" }] = switch_section{ isOn };
     return note;
 }
 
--- a/tests/unit-ctl.cpp
+++ b/tests/unit-ctl.cpp
@@ -89,7 +89,7 @@
     [[nodiscard]] wire::status_report statusReport() const
     {
         wire::status_report report;
-        report.version = proofs.held;
+        report.version = proofs.heldVersion;
         report.proof = core::proof_source::Platform;
         report.proofAgeMs = elapsed.count() % 1000;
         report.isProven = true;
@@ -125,7 +125,8 @@
                                             elapsed > milliseconds(900) ? 99 : 0);
             break;
         case wire::admin_route::Challenge:
-            answer = wire::answerChallenge(challenges, spread, proofs.held, core::time_point{});
+            answer = wire::answerChallenge(challenges, spread, proofs.heldVersion,
+                                           core::time_point{});
             break;
         case wire::admin_route::Vouch:
             answer = wire::answerVouch(challenges, spread, proofs, body, wire::hashKey(secret),
@@ -144,7 +145,7 @@
     net::http_exchange handleStore(const net::http_request &request)
     {
         net::http_exchange result;
-        result.sent = true;
+        result.wasSent = true;
         result.response.status = storeStatus;
         if (storeStatus != 200)
             return result;
@@ -342,7 +343,7 @@
     core::release_note note;
     STRCMP_EQUAL("", ctl::parseNote(yaml, note).c_str());
     STRCMP_EQUAL("20261204", note.id.c_str());
-    LONGS_EQUAL(2, note.list.added.size());
+    LONGS_EQUAL(2, note.changes.added.size());
     core::release_note again;
     STRCMP_EQUAL("", ctl::parseNote(wire::writeNote(note), again).c_str());
     CHECK_TRUE(again == note);
--- a/tests/unit-fair-queue.cpp
+++ b/tests/unit-fair-queue.cpp
@@ -71,7 +71,7 @@
 // Guards against refusing a workspace with few statements because another one filled the queue.
 TEST(fair_queue, fullQueueRefusesTheNewestOfTheLongestFlow)
 {
-    queue.bound = 10;
+    queue.capacity = 10;
     for (int i = 0; i < 10; ++i)
         CHECK_TRUE(push("f").accepted);
     CHECK_FALSE(push("f").accepted);
@@ -88,7 +88,7 @@
 // Guards against lost or duplicated statements and wrong counts after random operations.
 TEST(fair_queue, lengthMatchesUnderRandomOperations)
 {
-    queue.bound = 40;
+    queue.capacity = 40;
     random_engine random(11);
     std::size_t in = 0;
     std::size_t out = 0;
--- a/tests/unit-http.cpp
+++ b/tests/unit-http.cpp
@@ -76,7 +76,7 @@
     const auto result =
             call(client, server.port(), { "POST", "/a?b=c", { { "X-Test", "1" } }, "body" }, 5s);
     CHECK_FALSE(result.error);
-    CHECK_TRUE(result.sent);
+    CHECK_TRUE(result.wasSent);
     CHECK_EQUAL(201, result.response.status);
     CHECK_EQUAL(std::string("POST/a?b=cbody"), result.response.body);
     CHECK_EQUAL(std::string("1"), std::string(net::findHeader(result.response.headers, "x-back")));
@@ -89,7 +89,7 @@
     net::http_client client(context);
     const auto result = call(client, 1, { "GET", "/", {}, {} }, 5s);
     CHECK_TRUE(static_cast<bool>(result.error));
-    CHECK_FALSE(result.sent);
+    CHECK_FALSE(result.wasSent);
 }
 
 // Guards against waiting forever for a server that accepts a request and never responds.
@@ -102,7 +102,7 @@
     net::http_client client(context);
     const auto result = call(client, server.port(), { "GET", "/", {}, {} }, 100ms);
     CHECK_TRUE(result.error == std::errc::timed_out);
-    CHECK_TRUE(result.sent);
+    CHECK_TRUE(result.wasSent);
 }
 
 // Guards against reusing a pooled connection that the server has closed after its response.
--- a/tests/unit-limit-manager.cpp
+++ b/tests/unit-limit-manager.cpp
@@ -158,7 +158,7 @@
             return;
         }
         after(milliseconds(10), [this, &from, platformCall] {
-            if (const auto *prefix = std::get_if<std::string>(&platformCall.order)) {
+            if (const auto *prefix = std::get_if<std::string>(&platformCall.operation)) {
                 ++scans;
                 scan_answer rows;
                 for (const auto &[key, row] : table)
@@ -168,7 +168,8 @@
                       [this, &from, platformCall, rows] { answer(from, platformCall, rows, {}); });
                 return;
             }
-            const transact_answer result = transact(std::get<transact_request>(platformCall.order));
+            const transact_answer result =
+                    transact(std::get<transact_request>(platformCall.operation));
             const bool isLost = answersToLose > 0 && result.committed;
             answersToLose -= isLost ? 1 : 0;
             after(isLost ? seconds(1) : milliseconds(10),
@@ -183,7 +184,7 @@
                 const std::optional<transact_answer> &result)
     {
         apply(to, [this, &to, platformCall, rows, result](limit_manager_actions &actions) {
-            if (std::holds_alternative<std::string>(platformCall.order))
+            if (std::holds_alternative<std::string>(platformCall.operation))
                 onScan(to.manager, platformCall.number, rows, now, random, actions);
             else
                 onTransact(to.manager, platformCall.number, result, now, random, actions);
--- a/tests/unit-note-json.cpp
+++ b/tests/unit-note-json.cpp
@@ -18,17 +18,18 @@
 core::release_note exampleNote()
 {
     core::release_note note{ "2026-12-04.a", 7, {} };
-    note.list.added[{ section_kind::Workspace, "cafe", "" }] =
+    note.changes.added[{ section_kind::Workspace, "cafe", "" }] =
             core::workspace_section{ { { "hire" }, { "loan" } } };
-    note.list.added[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 2.5, 9 };
-    note.list.added[{ section_kind::Key, "cafe", "ab" }] = core::key_section{};
-    note.list.changed[{ section_kind::Group, "hire", "" }] = core::group_section{ 2, 16 };
-    note.list.changed[{ section_kind::Member, "hire", "m1" }] =
+    note.changes.added[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 2.5, 9 };
+    note.changes.added[{ section_kind::Key, "cafe", "ab" }] = core::key_section{};
+    note.changes.changed[{ section_kind::Group, "hire", "" }] = core::group_section{ 2, 16 };
+    note.changes.changed[{ section_kind::Member, "hire", "m1" }] =
             core::member_settings{ { "heredia" }, "127.0.0.1:9001" };
-    note.list.changed[{ section_kind::ReadClass, "cafe", "menu" }] =
+    note.changes.changed[{ section_kind::ReadClass, "cafe", "menu" }] =
             core::read_class{ std::chrono::milliseconds(40) };
-    note.list.changed[{ section_kind::Switch, "all", "" }] = core::switch_section{ false };
-    note.list.withdrawn = { { section_kind::Key, "cafe", "cd" }, { section_kind::Rate, "b", "" } };
+    note.changes.changed[{ section_kind::Switch, "all", "" }] = core::switch_section{ false };
+    note.changes.withdrawn = { { section_kind::Key, "cafe", "cd" },
+                               { section_kind::Rate, "b", "" } };
     return note;
 }
 
@@ -44,8 +45,8 @@
     CHECK_FALSE(wire::readNote(wire::writeNote(exampleNote()), read, problem));
     CHECK_TRUE(read == exampleNote());
     core::section_changes changes;
-    CHECK_FALSE(wire::readChanges(wire::writeChanges(read.list), changes, problem));
-    CHECK_TRUE(changes == read.list);
+    CHECK_FALSE(wire::readChanges(wire::writeChanges(read.changes), changes, problem));
+    CHECK_TRUE(changes == read.changes);
     CHECK_FALSE(wire::readNote(R"({"id":"a","base":0})", read, problem));
 }
 
--- a/tests/unit-peer-codec.cpp
+++ b/tests/unit-peer-codec.cpp
@@ -106,7 +106,7 @@
         report.root = random();
         report.instanceHashSum = random();
         report.roundNumber = report.provenRound = 600'000 + second; // the rounds of one week
-        report.held = report.oldest = report.newest = report.provenVersion =
+        report.heldVersion = report.oldest = report.newest = report.provenVersion =
                 3'000'000; // the versions of two years
         report.included = 0xffff;
         report.windowMicroseconds = 1'000'000;
--- a/tests/unit-quota.cpp
+++ b/tests/unit-quota.cpp
@@ -228,17 +228,17 @@
     CHECK_TRUE(grant.has_value());
     LONGS_EQUAL(50 * core::oneToken, grant->tokens);
     borrowPart(home, home.homes.at(1), *grant, at(995), at(1000));
-    LONGS_EQUAL(wholeLimit, home.held);
+    LONGS_EQUAL(wholeLimit, home.heldPart);
     advanceQuota(owner, at(1849));
-    LONGS_EQUAL(0, owner.held);
+    LONGS_EQUAL(0, owner.heldPart);
     LONGS_EQUAL(0, owner.bucket.level);
     takeUpTo(home.bucket, home.bucket.level, at(1000));
     // Refilled at the whole rate until 1,795 ms and at the rate of the own part after that.
     advanceQuota(home, at(1895));
-    LONGS_EQUAL(wholeLimit / 2, home.held);
+    LONGS_EQUAL(wholeLimit / 2, home.heldPart);
     LONGS_EQUAL(50 * core::oneToken, home.bucket.level);
     advanceQuota(owner, at(1850));
-    LONGS_EQUAL(wholeLimit / 2, owner.held);
+    LONGS_EQUAL(wholeLimit / 2, owner.heldPart);
     LONGS_EQUAL(0, owner.bucket.level);
 }
 
@@ -263,7 +263,7 @@
     quota_simulation simulation(1, 2, 100, 100);
     workspace_quota &home = simulation.quotaOf("n0-0");
     borrowPart(home, "n0-1", { "house", wholeLimit / 2, core::oneToken }, at(100), at(901));
-    LONGS_EQUAL(wholeLimit / 2, home.held);
+    LONGS_EQUAL(wholeLimit / 2, home.heldPart);
 }
 
 // Guards against a suspended daemon that later uses old tokens, after its home has refilled.
--- a/tests/unit-release-note.cpp
+++ b/tests/unit-release-note.cpp
@@ -160,7 +160,7 @@
     configuration result;
     note_problem problem;
     release_note note{ "n1", 2, {} };
-    note.list.changed[rateRef] = rate_section{ 6, 10 };
+    note.changes.changed[rateRef] = rate_section{ 6, 10 };
     CHECK_TRUE(applyNote(exampleConfiguration(), note, result, problem)
                == error_kind::NoteConflict);
 }
--- a/tests/unit-session-engine.cpp
+++ b/tests/unit-session-engine.cpp
@@ -497,12 +497,12 @@
     for (int i = 0; i < 9; ++i) {
         onPeerMessage(fixture.state, request, fixture.now);
         fixture.advanceTime(milliseconds(500));
-        LONGS_EQUAL(0, fixture.state.quota.workspaces.at("house").held);
+        LONGS_EQUAL(0, fixture.state.quota.workspaces.at("house").heldPart);
     }
     peer_state own = peerIn("node-1", "north");
     own.claimed = wholeLimit / 2;
     onInstances(fixture.state, { own, other }, fixture.now);
-    LONGS_EQUAL(wholeLimit / 2, fixture.state.quota.workspaces.at("house").held);
+    LONGS_EQUAL(wholeLimit / 2, fixture.state.quota.workspaces.at("house").heldPart);
 }
 
 // Guards against needless refusals after many daemons restart at once, and against using a part
@@ -528,10 +528,10 @@
     answer.from = "node-2";
     answer.recall = 4; // incarnation of the previous process
     onPeerMessage(fixture.state, answer, fixture.now);
-    LONGS_EQUAL(0, quota.held);
+    LONGS_EQUAL(0, quota.heldPart);
     answer.recall = 5;
     onPeerMessage(fixture.state, answer, fixture.now);
-    LONGS_EQUAL(wholeLimit / 3, quota.held);
+    LONGS_EQUAL(wholeLimit / 3, quota.heldPart);
 }
 
 // Guards against a home that keeps using a borrowed part after the owner of the part has restarted
@@ -547,7 +547,7 @@
     grant.askedAtUs = fixture.now.time_since_epoch().count();
     grant.parts = { { "house", wholeLimit / 2, 0 } };
     onPeerMessage(fixture.state, grant, fixture.now);
-    LONGS_EQUAL(wholeLimit / 2, quota.held);
+    LONGS_EQUAL(wholeLimit / 2, quota.heldPart);
     fixture.advanceTime(milliseconds(10));
     peer_message recall;
     recall.kind = peer_message_kind::PartRecall;
@@ -555,12 +555,12 @@
     recall.recall = 8;
     fixture.takeActions();
     onPeerMessage(fixture.state, recall, fixture.now);
-    LONGS_EQUAL(0, quota.held);
+    LONGS_EQUAL(0, quota.heldPart);
     const auto sent = proxy_fixture::actionsOf<send_to_peer>(fixture.takeActions());
     CHECK_EQUAL(1U, sent.size());
     CHECK_EQUAL(8U, sent[0].message.recall);
     onPeerMessage(fixture.state, grant, fixture.now);
-    LONGS_EQUAL(0, quota.held);
+    LONGS_EQUAL(0, quota.heldPart);
 }
 
 // Guards against a part that no daemon uses. The home that requests the part gets it, unless this
@@ -580,11 +580,11 @@
     fixture.state.peers.at("node-2").homeAvoidedUntil = fixture.now + milliseconds(100);
     fixture.takeActions();
     onPeerMessage(fixture.state, request, fixture.now);
-    LONGS_EQUAL(wholeLimit / 2, quota.held);
+    LONGS_EQUAL(wholeLimit / 2, quota.heldPart);
     fixture.advanceTime(milliseconds(110));
     fixture.takeActions();
     onPeerMessage(fixture.state, request, fixture.now);
-    LONGS_EQUAL(0, quota.held);
+    LONGS_EQUAL(0, quota.heldPart);
     const auto sent = proxy_fixture::actionsOf<send_to_peer>(fixture.takeActions());
     CHECK_EQUAL(1U, sent.size());
     CHECK_EQUAL(1U, sent[0].message.parts.size());
--- a/tests/unit-soak-history.cpp
+++ b/tests/unit-soak-history.cpp
@@ -47,7 +47,7 @@
         execution.member = "m1";
         execution.applied = applied;
         execution.digest = "digest " + id;
-        execution.now = start + seconds(10);
+        execution.executedAt = start + seconds(10);
         return execution;
     }
 
