--- a/include/fuchsiagw/daemon/gateway_driver.hpp
+++ b/include/fuchsiagw/daemon/gateway_driver.hpp
@@ -95,7 +95,7 @@
     void log(const core::group_id &group, const core::owner_notice &notice);
     void log(const core::caller_reply &reply);
     void sendPlatformRequest(platform::platform_operation order, platform_handler done);
-    void sendKeeperRequest(core::limit_platform_call &&call);
+    void callLimitPlatform(core::limit_platform_call &&call);
     void onMembersChanged();
     void recordPromotionClaim(const core::group_id &group, core::term_number term);
     void send(core::limit_message &&message);
--- a/src/daemon/gateway_driver.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -204,7 +204,7 @@
     outputs_.toPlatform({ number, std::move(order), now_ + platformTimeout });
 }
 
-void gateway_driver::sendKeeperRequest(core::limit_platform_call &&call)
+void gateway_driver::callLimitPlatform(core::limit_platform_call &&call)
 {
     const std::uint64_t number = call.number;
     if (auto *prefix = std::get_if<std::string>(&call.operation)) {
@@ -389,7 +389,7 @@
         return;
     }
     if (auto *call = std::get_if<core::limit_platform_call>(&action)) {
-        sendKeeperRequest(std::move(*call));
+        callLimitPlatform(std::move(*call));
         return;
     }
     if (auto *forward = std::get_if<core::forward_statement>(&action)) {
