--- a/bench/bench-limits.cpp
+++ b/bench/bench-limits.cpp
@@ -32,10 +32,10 @@
 enum class balancer { Even, Hotspot, SingleInstance };
 
 /// Eight workspaces with unequal rates, as in production deployments.
-world_settings settingsOf(std::uint64_t seed, balancer kind)
+limits_world_settings settingsOf(std::uint64_t seed, balancer kind)
 {
     constexpr double rates[] = { 400, 400, 100, 100, 40, 20, 10, 5 };
-    world_settings settings;
+    limits_world_settings settings;
     settings.seed = seed;
     settings.areSharesChecked = false;
     for (std::size_t i = 0; i < std::size(rates); ++i) {
@@ -100,7 +100,7 @@
         double bytes = 0;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed)
             for (const bool isFixed : { false, true }) {
-                world_settings settings = settingsOf(seed, each.kind);
+                limits_world_settings settings = settingsOf(seed, each.kind);
                 settings.isFixedDivision = isFixed;
                 settings.areLoansOn = !isFixed;
                 const auto world = makeWorld(settings);
@@ -152,7 +152,7 @@
                 sum.wrongful += result.wrongful;
             }
         }
-    const world_settings settings = settingsOf(1, balancer::Even);
+    const limits_world_settings settings = settingsOf(1, balancer::Even);
     for (const world_workspace &each : settings.workspaces) {
         const core::resource_id resource{ core::resource_kind::Workspace, each.name };
         std::printf("| %s | %.0f |", each.name.c_str(), each.rate);
@@ -173,7 +173,7 @@
         double worstShare = 1;
         double overloadedShare = 1;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-            world_settings settings = settingsOf(seed, kind);
+            limits_world_settings settings = settingsOf(seed, kind);
             settings.workspaces[0].offered = 5 * settings.workspaces[0].rate;
             const auto world = makeWorld(settings);
             runFor(*world, seconds(warmUpSeconds));
@@ -216,7 +216,7 @@
     std::fill(std::begin(offered), std::end(offered), capacity / workspaces * 0.95);
     offered[0] = 5 * capacity / workspaces;
     core::fair_queue queue;
-    queue.bound = 512;
+    queue.capacity = 512;
     std::deque<std::size_t> fifo;
     std::int64_t nextArrival[workspaces];
     std::uint64_t arrived[workspaces] = {};
@@ -249,7 +249,7 @@
                           { ++handle, core::workspace_id{ std::to_string(workspace) },
                             core::drawBelow(random, 20), false, core::noDeadline },
                           1);
-        else if (fifo.size() < queue.bound)
+        else if (fifo.size() < queue.capacity)
             fifo.push_back(workspace);
     }
     queue_result result;
@@ -285,7 +285,7 @@
             "| refused wrongly |\n|-|-|-|-|-|-|\n");
     constexpr std::int64_t length = 10;
     for (const std::size_t instances : { 50, 100, 200, 400, 800 }) {
-        world_settings settings;
+        limits_world_settings settings;
         settings.instances = instances;
         settings.zones = 17;
         settings.areSharesChecked = false;
--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -27,7 +27,7 @@
 {
     std::uint64_t ticket = 0; ///< unique number of the caller's connection and request
     key_hash key;
-    std::optional<session> known; ///< decoded from a session token whose MAC is valid
+    std::optional<session> sessionState; ///< decoded from a session token whose MAC is valid
     bool hasSessionToken = false; ///< the request carried a session token, valid or not
     statement_request statement; ///< its workspace is set after authentication
 };
@@ -48,7 +48,7 @@
     std::uint64_t ticket = 0; ///< request number of the sender, a caller or instance `from`
     std::optional<instance_id> from; ///< the forwarding instance; empty: received from a caller
     statement_request request;
-    session known; ///< encoded in the session token of the answer
+    session sessionState; ///< encoded in the session token of the answer
     std::optional<instance_id> forwardedTo;
     bool isWaiting = false; ///< for a rate limit token of its workspace
     bool mayHaveRun = false; ///< a forward was written but not answered
@@ -72,7 +72,7 @@
 
     std::map<instance_id, peer_instance> peers; ///< all instances except this one
     std::map<group_id, group_owner> owners;
-    limit_manager keeper; ///< enforces rates, bursts and connection limits across instances
+    limit_manager limitManager; ///< enforces rates, bursts and connection limits across instances
     std::set<incarnation_id> ownIncarnations; ///< the current and all earlier ones of this process
     std::map<std::uint64_t, entry_statement> entries; ///< by handle
     std::set<std::pair<time_point, std::uint64_t>> deadlines;
@@ -98,12 +98,12 @@
 /// @brief Handles a change of the set of live instances.
 void onLivePeers(gateway_turn &turn, std::vector<peer_ref> live);
 
-/// @brief Calls @p step with the limit keeper and applies the actions that it returns.
+/// @brief Calls @p step with the limit manager and applies the actions that it returns.
 /// @param step calls one of the functions of limit_manager.hpp
 template <typename function>
-void withKeeper(gateway_turn &turn, function &&step);
+void withLimitManager(gateway_turn &turn, function &&step);
 
-/// @brief Applies the limit keeper's actions to the gateway or adds them to the gateway's actions.
+/// @brief Applies the limit manager's actions to the gateway or adds them to the gateway's actions.
 void applyActions(gateway_turn &turn, limit_manager_actions &&actions);
 
 /// @brief Applies a configuration. An equal or older version is ignored.
@@ -162,10 +162,10 @@
 void applyActions(gateway_turn &turn, const group_id &group, owner_actions &&actions);
 
 template <typename function>
-void withKeeper(gateway_turn &turn, function &&step)
+void withLimitManager(gateway_turn &turn, function &&step)
 {
     limit_manager_actions actions;
-    step(turn.state.keeper, actions);
+    step(turn.state.limitManager, actions);
     applyActions(turn, std::move(actions));
 }
 
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -86,8 +86,8 @@
     group_owner &owner = context.owner;
     const owned_statement &statement = owner.statements.at(handle);
     const queued_statement waiting = makeQueuedStatement(handle, statement);
-    if (isDeadlineUnreachable(owner.meter, owner.queue, waiting, statement.weight, owner.pool.limit,
-                              countAvailable(owner.pool), context.now)) {
+    if (isDeadlineUnreachable(owner.serviceTimes, owner.queue, waiting, statement.weight,
+                              owner.pool.limit, countAvailable(owner.pool), context.now)) {
         failStatement(context, handle, error_kind::DeadlineUnreachable);
         return;
     }
@@ -337,7 +337,7 @@
     // Statements that wait for a connection to one member must not block the rest of the queue.
     // Dequeueing more of them than there are connections would defeat the fair order of the queue.
     while (owner.readyCount < owner.pool.limit && countAvailable(owner.pool) > 0
-           && owner.parked.size() < owner.queue.bound) {
+           && owner.parked.size() < owner.queue.capacity) {
         const auto next = dequeue(owner.queue);
         if (!next)
             return;
--- a/src/core/limit_manager_tasks.cpp
+++ b/src/core/limit_manager_tasks.cpp
@@ -38,7 +38,8 @@
 {
     const loan_times &rates = manager.rates.settings.times;
     const loan_times &connections = manager.connections.settings.times;
-    return std::max(rates.length + rates.driftMargin, connections.length + connections.driftMargin);
+    return std::max(rates.rateLoanDuration + rates.driftMargin,
+                    connections.rateLoanDuration + connections.driftMargin);
 }
 
 /// @return the prefixes to scan to read @p keys, from back to front. Lease rows are read last:
@@ -135,8 +136,8 @@
     const bool isReadable = std::none_of(keys.begin(), keys.end(), [&](const std::string &key) {
         return task.unreadableKeys.contains(key);
     });
-    const transaction_state state =
-            isReadable ? judge(task.move.transaction, task.view) : transaction_state::Undecided;
+    const transaction_state state = isReadable ? determineOutcome(task.move.transaction, task.view)
+                                               : transaction_state::Undecided;
     if (state == transaction_state::Undecided)
         submitTransaction(manager, now, random, actions);
     else
@@ -162,7 +163,7 @@
         return false;
     if (limit.isUsed && limit.isPoolTotalUnverified)
         return true;
-    const share_count difference = limit.fair - bookOf(manager, resource).home;
+    const share_count difference = limit.fairShares - bookOf(manager, resource).home;
     if (difference >= 0)
         return difference > 0 || limit.mayExceedFairPart;
     if (limit.isUsed && !manager.isRebalancingOn && limit.pendingReturn == 0)
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -135,7 +135,7 @@
         observeAnswer(owner.view, statement.progress.member, answer, statement.progress.term,
                       statement.sentAt, context.now);
         reportPrimary(context);
-        recordServiceTime(owner.meter, context.now - statement.sentAt);
+        recordServiceTime(owner.serviceTimes, context.now - statement.sentAt);
     }
     if (verdict == answer_verdict::AskPrimaryAge)
         recordMemberFailure(context, statement.progress.member, member_failure::FarBehind);
@@ -370,7 +370,7 @@
         request.kind = control_kind::Wait;
         request.member = each.member;
         request.position = each.position;
-        request.held = each.held;
+        request.held = each.holdTimeout;
         request.deadline = each.deadline;
         sendControlRequest(context, std::move(request));
     }
--- a/src/daemon/operator_service.cpp
+++ b/src/daemon/operator_service.cpp
@@ -104,12 +104,12 @@
 {
     if (member.leaving)
         return "leaving";
-    const bool wasHeard = member.lastHeard != core::time_point::min();
-    if (!wasHeard || (!isMonitored && member.lastHeard + unmonitoredStateLifetime < now))
+    const bool wasHeard = member.lastHeardAt != core::time_point::min();
+    if (!wasHeard || (!isMonitored && member.lastHeardAt + unmonitoredStateLifetime < now))
         return "unknown";
-    if (member.catchUp)
+    if (member.catchUpPosition)
         return "behind";
-    return member.pause.failures > 0 ? "silent" : "live";
+    return member.backoffState.failures > 0 ? "silent" : "live";
 }
 
 /// Describes, for an error text, the instance of this zone that monitors a group.
@@ -168,8 +168,8 @@
         answer(ticket, wire::answerInstances(cluster_.list));
         return;
     case admin_route::Challenge:
-        answer(ticket,
-               wire::answerChallenge(challenges_, cluster_.spread, gateway_.proof.held, now));
+        answer(ticket, wire::answerChallenge(challenges_, cluster_.spread,
+                                             gateway_.proof.heldVersion, now));
         return;
     case admin_route::Vouch:
         vouch(request, now);
--- a/tests/unit-config-matrix.cpp
+++ b/tests/unit-config-matrix.cpp
@@ -63,7 +63,7 @@
 core::release_note baseNote()
 {
     core::release_note note{ "base", 0, {} };
-    auto &added = note.list.added;
+    auto &added = note.changes.added;
     added[{ section_kind::Group, "hire", "" }] = core::group_section{ 2, 16 };
     added[{ section_kind::Member, "hire", "m1" }] =
             core::member_settings{ { "zone-0" }, "127.0.0.1:1" };
@@ -77,15 +77,15 @@
 core::release_note changeNote()
 {
     core::release_note note{ "change", 1, {} };
-    note.list.withdrawn = { { section_kind::Key, "cafe", withdrawnKey } };
-    note.list.changed[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 6, 6 };
+    note.changes.withdrawn = { { section_kind::Key, "cafe", withdrawnKey } };
+    note.changes.changed[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 6, 6 };
     return note;
 }
 
 core::release_note rivalNote()
 {
     core::release_note note{ "rival", 1, {} };
-    note.list.changed[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 9, 9 };
+    note.changes.changed[{ section_kind::Rate, "cafe", "" }] = core::rate_section{ 9, 9 };
     return note;
 }
 
@@ -106,7 +106,8 @@
 class matrix_case
 {
 public:
-    explicit matrix_case(std::vector<planned_fault> planned, sabotage error = sabotage::None)
+    explicit matrix_case(std::vector<planned_fault> planned,
+                         config_defect error = config_defect::None)
         : world_({ instanceCount, 3, 7, 300us, 4ms, 5ms, error })
         , planned_(std::move(planned))
         , hasStarted_(planned_.size(), false)
@@ -288,7 +289,7 @@
         core::configuration before;
         for (const world_commit &each : world_.commits()) {
             require(++applied[each.noteId] == 1, "a note was applied twice");
-            require(core::diffConfigurations(before, each.config) == notes.at(each.noteId).list,
+            require(core::diffConfigurations(before, each.config) == notes.at(each.noteId).changes,
                     "the change is not the note's list");
             before = each.config;
         }
@@ -364,24 +365,24 @@
         { fault_kind::RestartSubmitter, stage::Accepted },
     };
     STRCMP_EQUAL("", matrix_case(faults).run().c_str());
-    const std::string early = matrix_case(faults, sabotage::EarlyAnswer).run();
+    const std::string early = matrix_case(faults, config_defect::EarlyAnswer).run();
     STRCMP_CONTAINS("M6: the withdrawn key is accepted", early.c_str());
 }
 
 // Guards against checks that detect nothing: each one must detect its deliberate error.
 TEST(config_matrix, checkersFindDeliberateErrors)
 {
-    const std::vector<std::tuple<sabotage, planned_fault, std::string>> errors{
-        { sabotage::Revert, { fault_kind::AnswerLost, stage::Read }, "reverted" },
-        { sabotage::ExtraChange, { fault_kind::AnswerLost, stage::Read }, "the note's list" },
-        { sabotage::NoProof, { fault_kind::PeerCut, stage::Read }, "M6" },
-        { sabotage::RepeatedCommit,
+    const std::vector<std::tuple<config_defect, planned_fault, std::string>> errors{
+        { config_defect::Revert, { fault_kind::AnswerLost, stage::Read }, "reverted" },
+        { config_defect::ExtraChange, { fault_kind::AnswerLost, stage::Read }, "the note's list" },
+        { config_defect::NoProof, { fault_kind::PeerCut, stage::Read }, "M6" },
+        { config_defect::RepeatedCommit,
           { fault_kind::DuplicateSubmit, stage::Read },
           "a note was applied twice" },
-        { sabotage::NoSpread,
+        { config_defect::NoSpread,
           { fault_kind::AnswerLost, stage::Read },
           "M13: a version is not in force" },
-        { sabotage::WrongAnswer,
+        { config_defect::WrongAnswer,
           { fault_kind::OperatorsRace, stage::PutObject },
           "an operator was told a wrong outcome" },
     };
--- a/tests/unit-fuzz.cpp
+++ b/tests/unit-fuzz.cpp
@@ -166,7 +166,7 @@
         const requested_session header = sessionFromHeaders(text, "");
         checkAllocation(text.size(), 2);
         CHECK_TRUE(hasNoSeparators(cookie.token) && hasNoSeparators(header.token));
-        CHECK_TRUE(header.named && (cookie.named || cookie.token.empty()));
+        CHECK_TRUE(header.isPresent && (cookie.isPresent || cookie.token.empty()));
         if (const auto id = transactionFromText(text))
             STRCMP_EQUAL(text.c_str(), toText(*id).c_str());
         const daemon::field address = daemon::field::address(daemon::log_key::Address, text);
@@ -245,7 +245,8 @@
             if (read && row.kind == peer_kind::Probe)
                 CHECK_TRUE(std::get<probe_message>(*read).sender.state <= sender_state::Gone);
             if (read && row.kind == peer_kind::LoanRequest) {
-                for (const core::loan_request_item &each : std::get<core::loan_request>(*read).asks)
+                for (const core::loan_request_item &each :
+                     std::get<core::loan_request>(*read).items)
                     CHECK_TRUE(each.resource.kind <= core::resource_kind::Connections);
             }
         }
