--- a/include/fuchsiagw/core/acknowledgement.hpp
+++ b/include/fuchsiagw/core/acknowledgement.hpp
@@ -65,7 +65,7 @@
     time_point deadline = noDeadline;
 };
 
-/// What became of a pending write.
+/// Outcome of a pending write.
 enum class write_outcome : std::uint8_t {
     Acknowledged,
     Expired, ///< its deadline passed; the answer is `not_confirmed`
--- a/include/fuchsiagw/core/config_spread.hpp
+++ b/include/fuchsiagw/core/config_spread.hpp
@@ -6,9 +6,9 @@
 /// are aggregated on the way up. The proof of round p states "version v was the newest when round p
 /// started". If the acknowledgement that an instance sent in round k < p reached the root in time,
 /// round p started after that acknowledgement was sent. The instance therefore counts the age of
-/// the proof from that sending time; the acknowledgement acts as the request of proof (b). The age
-/// of a proof is between two and three periods at every depth, with two messages per link and
-/// period.
+/// the proof from that sending time; the acknowledgement acts as the request for a
+/// proof_source::Peer proof. The age of a proof is between two and three periods at every depth,
+/// with two messages per link and period.
 ///
 /// A round is proven by a read of the platform that started after the round's digest arrived, by an
 /// operator's statement for a challenge that was issued after it, or by the acknowledgements of
@@ -82,7 +82,8 @@
 {
     duration period = std::chrono::seconds(1);
     duration fastPeriod = std::chrono::milliseconds(250); ///< period of a new root's first rounds
-    /// Each level's window ends this much before that of its parent, for the acknowledgement's way.
+    /// Each level's window ends this much before that of its parent, to allow for the latency
+    /// of the acknowledgement.
     duration hopAllowance = std::chrono::milliseconds(60);
     /// One period plus the longest window plus a margin for the delay between zones.
     duration parentTimeout = std::chrono::milliseconds(1700);
--- a/include/fuchsiagw/core/failover.hpp
+++ b/include/fuchsiagw/core/failover.hpp
@@ -32,7 +32,7 @@
 /// Silence after which the primary is probed while the group has work (failover_load::hasWork).
 inline constexpr duration primaryProbeAfterSilence = std::chrono::milliseconds(100);
 /// Interval between probes of a silent primary. A new probe is sent before the previous one is
-/// answered, so that a slow primary is still heard from at this rate.
+/// answered, so that answers of a slow primary still arrive at this rate.
 inline constexpr duration suspectProbeInterval = std::chrono::milliseconds(75);
 /// Silence after which a replica, or the primary of a group without work, is probed. It limits an
 /// owner of 20 idle groups of 3 members to 60 probes/s.
@@ -48,8 +48,8 @@
 inline constexpr duration probeTimeout = std::chrono::seconds(1);
 
 /// Time from the first unanswered probe to suspicion of the primary. At a probe interval of 75 ms,
-/// four probes are lost within this time; with a packet loss of 5 % in each direction that happens
-/// by chance about once in 10,000 periods of silence.
+/// four probes are lost within this time; with a packet loss of 5 % in each direction, loss alone
+/// causes that about once in 10,000 periods of silence.
 inline constexpr duration suspectAfter = std::chrono::milliseconds(300);
 /// The primary is also suspected if it refuses connections for this long, because its process has
 /// then ended.
@@ -138,7 +138,7 @@
     term_number term = 0;
     member_id primary; ///< only for Follow
     duration timeout =
-            probeTimeout; ///< of the request; of failed requests only probes need to be reported
+            probeTimeout; ///< timeout of the request; only failed probes need to be reported
     bool suspects = false; ///< only for PublishView
 };
 
@@ -169,7 +169,7 @@
     std::map<member_id, member_status> grants; ///< the status that each member sent with its grant
     std::optional<member_id> chosen;
     std::uint32_t leadAttempts = 0;
-    time_point deadline; ///< of the current step (accept_term or lead)
+    time_point deadline; ///< deadline of the current step (accept_term or lead)
     time_point startedAt;
 };
 
@@ -205,7 +205,7 @@
     time_point silentSince = noDeadline; ///< first unanswered probe of the primary
     time_point refusedSince = noDeadline; ///< first refused connection to it
     time_point lastHeardByPeer =
-            time_point::min(); ///< newest time at which a peer heard from the primary
+            time_point::min(); ///< newest time at which a peer received an answer from the primary
     time_point lastTickAt = time_point::min();
     time_point lastPublishedAt = time_point::min();
     time_point resumedAt = time_point::min();
--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -76,7 +76,8 @@
     std::set<incarnation_id> ownIncarnations; ///< the current and all earlier ones of this process
     std::map<std::uint64_t, entry_statement> entries; ///< by handle
     std::set<std::pair<time_point, std::uint64_t>> deadlines;
-    std::set<std::pair<time_point, std::uint64_t>> retries; ///< handles to dispatch again, by time
+    std::set<std::pair<time_point, std::uint64_t>>
+            retries; ///< statements to dispatch again (time, handle)
     std::uint64_t nextHandle = 1;
     time_point nextOwnerCheckAt{};
 };
@@ -98,12 +99,12 @@
 /// @brief Handles a change of the set of live instances.
 void onLivePeers(gateway_turn &turn, std::vector<peer_ref> live);
 
-/// @brief Calls @p step with the limit keeper and applies the actions that it returns.
+/// @brief Calls @p step with the limit manager and applies the actions that it returns.
 /// @param step calls one of the functions of limit_manager.hpp
 template <typename function>
 void withKeeper(gateway_turn &turn, function &&step);
 
-/// @brief Applies the limit keeper's actions to the gateway or adds them to the gateway's actions.
+/// @brief Applies the limit manager's actions to the gateway or adds them to the gateway's actions.
 void applyActions(gateway_turn &turn, limit_manager_actions &&actions);
 
 /// @brief Applies a configuration. An equal or older version is ignored.
--- a/include/fuchsiagw/core/limit_manager.hpp
+++ b/include/fuchsiagw/core/limit_manager.hpp
@@ -97,7 +97,7 @@
     time_point refusedAt{}; ///< the statement is refused at this time if no token came
 };
 
-/// State of one limit, except for its share book.
+/// State of one limit, except for its share ledger.
 struct limit_state
 {
     bool isUsed = false; ///< configured and, for a group, owned by this instance
@@ -150,7 +150,7 @@
 };
 
 /// The task at the platform that is in progress; there is at most one.
-/// Invariant: shares that the transaction gives back are in no book until its outcome is known.
+/// Invariant: shares that the transaction gives back are in no ledger until its outcome is known.
 struct limit_task
 {
     limit_task_kind kind = limit_task_kind::None;
--- a/include/fuchsiagw/core/loan_policy.hpp
+++ b/include/fuchsiagw/core/loan_policy.hpp
@@ -146,13 +146,13 @@
 [[nodiscard]] std::vector<loan_message> onLoanRequest(loan_manager &manager,
                                                       const loan_request &request, time_point now);
 
-/// @brief Applies a lender's grant to the share books.
+/// @brief Applies a lender's grant to the share ledgers.
 /// @return the resources that gained shares or tokens
 /// @complexity linear in the loans
 std::vector<resource_id> onLoanGrant(loan_manager &manager, const loan_grant &grant,
                                      time_point now);
 
-/// @brief Applies early returns of borrowers to the share books.
+/// @brief Applies early returns of borrowers to the share ledgers.
 /// @return the resources that gained shares or tokens
 /// @complexity linear in the loans
 std::vector<resource_id> onLoanReturns(loan_manager &manager, const loan_returns &returns,
--- a/include/fuchsiagw/core/membership.hpp
+++ b/include/fuchsiagw/core/membership.hpp
@@ -57,7 +57,7 @@
     /// Time after a message during which the list can't remove the sender.
     duration heardValidity = std::chrono::seconds(10);
     /// A message of another incarnation may be a delayed one of a dead predecessor. The sender
-    /// replaces the known incarnation if that one has sent nothing for this time, or with its
+    /// replaces the known incarnation if the known one has sent nothing for this time, or with its
     /// second message.
     duration incarnationTimeout = std::chrono::seconds(1);
     duration initialProbeInterval = std::chrono::seconds(1); ///< doubled with each probe
--- a/include/fuchsiagw/core/owner_action.hpp
+++ b/include/fuchsiagw/core/owner_action.hpp
@@ -103,8 +103,8 @@
     owner_event event = owner_event::MemberFailed;
     member_id member;
     term_number term = 0;
-    member_failure failure = member_failure::Silence; ///< of MemberFailed
-    std::uint32_t connections = 0; ///< of ConnectionLimit
+    member_failure failure = member_failure::Silence; ///< only for MemberFailed
+    std::uint32_t connections = 0; ///< only for ConnectionLimit
 };
 
 /// Send this owner's view to the group's owners in other zones.
--- a/include/fuchsiagw/detail/engine_steps.hpp
+++ b/include/fuchsiagw/detail/engine_steps.hpp
@@ -12,15 +12,15 @@
 /// A request without a primary waits at most this fraction of the route's latency objective.
 inline constexpr int refusalWaitDivisor = 4;
 
-/// Delay from the shutdown request to closing idle sessions. By then the load balancer has noticed
+/// Delay from the shutdown request to closing idle sessions. By then the load balancer has detected
 /// that this daemon is not ready and sends reconnecting callers to another one.
 inline constexpr std::chrono::milliseconds idleSessionCloseDelay{ 2'300 };
 /// Operations are refused this long before the end of the grace period, because they may not finish
 /// in time.
 inline constexpr std::chrono::milliseconds lastOperationMargin{ 2'000 };
 
-/// A removed member is remembered this long, because its log may hold the only second copy of a
-/// commit.
+/// The entry of a removed member is kept this long, because its log may hold the only second copy
+/// of a commit.
 inline constexpr std::chrono::seconds removedMemberRetention{ 60 };
 /// A member is removed after its entry was missing for this long. Running members restore their
 /// entries within two seconds after an outage of the platform's store.
--- a/include/fuchsiagw/detail/limit_manager_steps.hpp
+++ b/include/fuchsiagw/detail/limit_manager_steps.hpp
@@ -13,7 +13,7 @@
 /// @return the loan manager that is responsible for @p resource
 [[nodiscard]] loan_manager &loanManagerOf(limit_manager &manager, const resource_id &resource);
 
-/// @return the share book of an existing limit
+/// @return the share ledger of an existing limit
 [[nodiscard]] share_ledger &bookOf(limit_manager &manager, const resource_id &resource);
 
 /// @brief Counts the shares that stay usable beyond @p at even if neither the lease nor a loan is
@@ -27,7 +27,7 @@
 [[nodiscard]] share_count removableShares(limit_manager &manager, const resource_id &resource,
                                           time_point now);
 
-/// @brief Applies the deadline of the incarnation lease to all share books.
+/// @brief Applies the deadline of the incarnation lease to all share ledgers.
 void applyLease(limit_manager &manager, time_point now);
 
 /// @brief Grants waiting statements while there are tokens and refuses those that waited too long.
@@ -42,7 +42,7 @@
 /// use of shares.
 void expireLimitManager(limit_manager &manager, time_point now, limit_manager_actions &actions);
 
-/// @brief Applies the configured limits to the share books after a change of the configuration or
+/// @brief Applies the configured limits to the share ledgers after a change of the configuration or
 /// of group ownership.
 void reconcileLimits(limit_manager &manager, time_point now, limit_manager_actions &actions);
 
@@ -67,7 +67,7 @@
 [[nodiscard]] bool prepareTask(limit_manager &manager, time_point now, random_engine &random,
                                limit_manager_actions &actions);
 
-/// @brief Applies the outcome of the current task's transaction to the share books.
+/// @brief Applies the outcome of the current task's transaction to the share ledgers.
 void finishTask(limit_manager &manager, bool isCommitted, time_point now, random_engine &random,
                 limit_manager_actions &actions);
 
--- a/include/fuchsiagw/detail/tcp_connection.hpp
+++ b/include/fuchsiagw/detail/tcp_connection.hpp
@@ -80,7 +80,7 @@
     std::deque<frame> queue_;
     std::vector<frame> writing_; ///< batch that is being written
     std::size_t queuedBytes_ = 0; ///< in queue_ and writing_, with frameOverheadBytes each
-    std::vector<net::frame_tag> unwritten_; ///< of a write that failed
+    std::vector<net::frame_tag> unwritten_; ///< tags of the frames of a failed write
 
     std::array<char, 16'384> chunk_{};
     std::string received_; ///< start of an incomplete frame
--- a/include/fuchsiagw/proxy/engine.hpp
+++ b/include/fuchsiagw/proxy/engine.hpp
@@ -4,7 +4,7 @@
 /// The engine does no I/O and reads no clock. Each function takes an event and the current time and
 /// appends the actions that the driver must carry out to engine::out. The time comes from a clock
 /// that also advances while the machine is suspended; otherwise a log position would look fresher
-/// than it is after the machine wakes up.
+/// than it is after the machine resumes.
 
 #pragma once
 
@@ -46,7 +46,8 @@
     std::string node;
     std::string zone;
     core::time_point lastHeard{};
-    core::time_point homeAvoidedUntil{}; ///< did not answer as home of a quota
+    core::time_point
+            homeAvoidedUntil{}; ///< not used as home until then: it left a request unanswered
     /// Not used as relay until then: it lent no connections. Separate from homeAvoidedUntil,
     /// because a daemon that stops lending connections stays the home of its quotas; a second home
     /// beside it would exceed the limits.
@@ -55,7 +56,7 @@
     core::time_point recalledAt{}; ///< parts requested before this time are rejected
     /// @name Row in the store
     /// @{
-    std::uint64_t incarnation = 0; ///< of the process that wrote the row
+    std::uint64_t incarnation = 0; ///< incarnation of the process that wrote the row
     limit_part claimed = 0; ///< claimed part of every limit
     /// @}
 };
@@ -108,8 +109,8 @@
     bool memberListLoaded = false; ///< the list of members was read at least once
     bool stopping = false;
     core::time_point stopDeadline = core::noDeadline; ///< end of the grace period
-    core::time_point transactionDrainDeadline =
-            core::noDeadline; ///< open transactions end at half of the grace period
+    /// From half of the grace period on, open transactions without a running statement are aborted.
+    core::time_point transactionDrainDeadline = core::noDeadline;
     core::time_point nextSessionCloseAt =
             core::noDeadline; ///< next batch of idle sessions to close
     std::size_t sessionsAtStop = 0;
--- a/include/fuchsiagw/proxy/limit_claim.hpp
+++ b/include/fuchsiagw/proxy/limit_claim.hpp
@@ -21,7 +21,7 @@
 struct claim_row
 {
     bool isOwn = false; ///< row of this daemon
-    std::uint64_t incarnation = 0; ///< of the process that wrote the row
+    std::uint64_t incarnation = 0; ///< incarnation of the process that wrote the row
     limit_part part = 0;
 };
 
--- a/include/fuchsiagw/proxy/member_state.hpp
+++ b/include/fuchsiagw/proxy/member_state.hpp
@@ -21,7 +21,8 @@
     std::uint64_t roleVersion = 0; ///< version of the row in which claimsPrimary last changed
     bool listed = true; ///< false: removed from the store; gets no new work
     core::time_point removedAt{}; ///< when it was removed; valid while not listed
-    core::time_point missingSince = core::noDeadline; ///< entry missing since then, not removed yet
+    core::time_point missingSince =
+            core::noDeadline; ///< when the member's entry was first missing from the store
     std::set<link_id> links;
     std::vector<std::string> relays; ///< daemons that may be its relay, in order of preference
     std::uint64_t relaysVersion = 0; ///< engine::peersVersion for which `relays` was computed
--- a/include/fuchsiagw/proxy/peer_message.hpp
+++ b/include/fuchsiagw/proxy/peer_message.hpp
@@ -49,16 +49,16 @@
 {
     peer_message_kind kind = peer_message_kind::Exchange;
     std::string from; ///< node name
-    std::uint64_t incarnation = 0; ///< of the sender's process
+    std::uint64_t incarnation = 0; ///< incarnation of the sender's process
     std::int64_t askedAtUs = 0; ///< clock of the requester; copied unchanged to the answer
     std::uint64_t manifestVersion = 0;
     std::vector<leader_report> leaders;
     std::string subject; ///< workspace of a loan, or service of a reachability request
-    std::string member; ///< of a reachability request
+    std::string member; ///< primary whose reachability is asked about
     bool betweenHomes = false; ///< the loan is between the homes of two zones
     std::int64_t amount = 0; ///< tokens; ReachabilityAnswer: 1 reached, 0 not reached, -1 unknown
-    std::vector<std::string> workspaces; ///< of a part request
-    std::vector<part_grant> parts; ///< of a part grant
+    std::vector<std::string> workspaces; ///< workspaces whose parts a PartRequest asks for
+    std::vector<part_grant> parts; ///< parts that a PartGrant lends
     std::uint64_t recall = 0; ///< incarnation that recalls its parts; copied to the answer
 
     template <typename archive>
--- a/include/fuchsiagw/proxy/service_state.hpp
+++ b/include/fuchsiagw/proxy/service_state.hpp
@@ -20,7 +20,7 @@
 struct service_state
 {
     std::string name;
-    std::set<std::string> members; ///< ids; includes removed members that are still remembered
+    std::set<std::string> members; ///< ids; a removed member stays for removedMemberRetention
     std::string leader; ///< member that is assumed to be the primary; empty: unknown
     core::term_number term = 0; ///< highest term seen
     core::time_point leaderProvenAt{}; ///< latest time at which the leader was proven to lead
--- a/include/fuchsiagw/proxy/session.hpp
+++ b/include/fuchsiagw/proxy/session.hpp
@@ -56,7 +56,8 @@
     std::vector<link_id> outstandingLinks; ///< links on which an answer to it is outstanding
     bool wasSent = false; ///< has been sent to a member
     int tries = 0;
-    std::vector<std::string> excludedMembers; ///< members that are not tried again in this round
+    std::vector<std::string>
+            excludedMembers; ///< not chosen again until no other member can be chosen
 };
 
 /// Invariant: `link` is not 0 if and only if the transaction is running at a member.
--- a/src/core/config_spread.cpp
+++ b/src/core/config_spread.cpp
@@ -14,8 +14,9 @@
 constexpr unsigned initialFastRounds = 4;
 constexpr int windowPercent = 70; ///< part of the period in which acknowledgements count
 constexpr int resendPercent = 40; ///< part of the remaining window before a resend
-constexpr auto minResendWindow = std::chrono::milliseconds(100); ///< no resend in less time
-constexpr int maxMissedPeriods = 3; ///< a round doesn't wait for a child after them
+constexpr auto minResendWindow =
+        std::chrono::milliseconds(100); ///< no resend if less of the window remains
+constexpr int maxMissedPeriods = 3; ///< then a round no longer waits for the child
 constexpr auto adoptionRetryInterval = std::chrono::milliseconds(300);
 
 using action = spread_action;
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -63,9 +63,9 @@
 {
     const std::int64_t factor = timeoutFactor(state);
     const duration patience = suspectAfter * factor;
-    // If a peer has heard from the primary recently, only the path between this owner and the
-    // primary is cut. A refused connection is an answer of the primary's host, so it is outweighed
-    // only by an answer that a peer received later.
+    // If a peer has received an answer from the primary recently, only the path between this owner
+    // and the primary is cut. A refused connection is an answer of the primary's host, so it is
+    // outweighed only by an answer that a peer received later.
     if (state.refusedSince != noDeadline && now >= state.refusedSince + suspectAfterRefused * factor
         && state.lastHeardByPeer < state.refusedSince)
         return true;
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -193,7 +193,7 @@
     statement.session = entry.ticket;
     group_owner &owner = findOrCreateOwner(state, entry.request.group);
     // The zone's owner of the group queues statements even without connections, so that the
-    // reported demand brings a loan of connections. Any other instance passes the statement on.
+    // reported demand leads to a loan of connections. Any other instance passes the statement on.
     if (owner.pool.limit == 0 && !owner.isMonitoringMembers) {
         if (entry.from)
             fail(turn, handle, error_kind::PeerUnreachable);
--- a/src/core/group_owner.cpp
+++ b/src/core/group_owner.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Group owner: admission, routing, parking and deadlines of statements.
+/// @brief Group owner: admission, routing, delayed retries and deadlines of statements.
 
 #include <fuchsiagw/core/group_owner.hpp>
 #include <fuchsiagw/detail/owner_steps.hpp>
--- a/src/core/limit_manager.cpp
+++ b/src/core/limit_manager.cpp
@@ -154,7 +154,8 @@
         each.entry->book.in = std::move(each.loans);
         setHomeUntil(each.entry->book, each.entry->book.homeUntil, now);
     }
-    // The granted loans may be sufficient; otherwise the peer's next request asks for the rest.
+    // The granted loans may be sufficient; otherwise the peer's next request asks for the
+    // missing shares.
     const bool isLent = std::any_of(actions.begin() + static_cast<std::ptrdiff_t>(before),
                                     actions.end(), [](const limit_manager_action &each) {
                                         const auto *sent = std::get_if<limit_message>(&each);
--- a/src/core/limit_manager_tasks.cpp
+++ b/src/core/limit_manager_tasks.cpp
@@ -170,8 +170,8 @@
     return removableShares(manager, resource, now) > 0;
 }
 
-/// A leaving instance returns the removable shares in a first transaction, and the rest together
-/// once all of it is removable.
+/// A leaving instance returns the removable shares in a first transaction, and all other shares
+/// in a second one as soon as all of them are removable.
 bool isReturnDue(limit_manager &manager, time_point now)
 {
     bool hasMore = false;
--- a/src/core/limit_manager_transactions.cpp
+++ b/src/core/limit_manager_transactions.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Builds the limit manager's transactions and applies their outcome to the share books.
+/// @brief Builds the limit manager's transactions and applies their outcome to the share ledgers.
 
 #include <fuchsiagw/core/limit_manager.hpp>
 #include <fuchsiagw/core/share_table.hpp>
--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -27,8 +27,8 @@
 /// less than half of the total.
 constexpr token_amount minRateLoanBurst = 16 * oneToken;
 
-/// A smaller loan is not worth a message. Only lenders whose home shares hold less than two tokens
-/// lend fractions of a token.
+/// A smaller loan does not justify the cost of a message. Only lenders whose home shares hold less
+/// than two tokens lend fractions of a token.
 constexpr token_amount minLoanTokens = oneToken / 8;
 
 /// A loan is large if it is at least the total divided by this.
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -80,7 +80,7 @@
     known.probeInterval = duration(0);
 }
 
-/// Tells whether the sender, another incarnation than the known one, replaces it.
+/// Tells whether the sender's incarnation, which differs from the known one, replaces it.
 bool isSuccessor(known_instance &known, const message_sender &sender, const membership_times &times,
                  time_point now)
 {
--- a/src/core/owner_exchange.cpp
+++ b/src/core/owner_exchange.cpp
@@ -52,9 +52,9 @@
 /// Interval between status requests that check whether a majority is still under a read's term.
 constexpr duration majorityCheckInterval = std::chrono::milliseconds(100);
 
-/// Without a usable session there is no position to check the freshness of an answer against. The
-/// answer is fresh enough if a majority was still under the read's term after the read was sent: no
-/// other primary can then have acknowledged a write before that time.
+/// Without a usable session there is no position with which an answer's position can be compared.
+/// The answer is fresh enough if a majority was still under the read's term after the read was
+/// sent: no other primary can then have acknowledged a write before that time.
 bool needsMajorityCheck(const statement_request &request, const execute_answer &answer)
 {
     return request.isSessionUnusable && request.kind == statement_kind::Read
@@ -181,7 +181,7 @@
     if (wasSent) {
         action = onConnectionLost(statement.progress, context.now);
     } else {
-        // onSent() was called before the request was handed to the connection, and no byte of it
+        // onSent() was called before the request was passed to the connection, and no byte of it
         // was sent.
         statement.progress.state = exchange_state::Queued;
         --statement.progress.unresolved;
--- a/src/core/release_note.cpp
+++ b/src/core/release_note.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Application of release notes, including the check that the list of changes is exact.
+/// @brief Applies release notes, and rejects a note whose list of changes differs from the changes
+/// that it makes.
 
 #include <fuchsiagw/core/release_note.hpp>
 
--- a/src/core/share_ledger.cpp
+++ b/src/core/share_ledger.cpp
@@ -199,7 +199,8 @@
     const token_amount tokens = takeUpTo(
             ledger.bucket, partOf(ledger.bucket.level, entry->second.shares, ledger.usable), now);
     entry->second.shares = 0;
-    // A grant that answers an earlier request ends at most one loan duration from now.
+    // The tombstone is kept for the longest duration of a loan: a delayed grant of this loan,
+    // which answers an earlier request, has ended by then.
     entry->second.endsAt = ledger.advancedAt + longest;
     recomputeUsable(ledger, ledger.advancedAt);
     return loan_return{ id, resource, entry->second.serial, tokens };
--- a/src/proxy/engine_answers.cpp
+++ b/src/proxy/engine_answers.cpp
@@ -179,7 +179,7 @@
     finishRequest(state, caller, std::move(answer), now);
 }
 
-/// Passes on a member's error that occurred inside a transaction or that can't be retried.
+/// Sends the caller a member's error that occurred inside a transaction or that can't be retried.
 void deliverError(engine &state, session &caller, upstream_link &link, reply &&answer,
                   core::time_point now)
 {
@@ -249,7 +249,8 @@
     if (answer.code != reply_code::Success) {
         link.beginFailed = true;
         link.beginCode = answer.code;
-        // A wrapped read was sent in the same batch; its own answer completes the request.
+        // A read that the proxy wraps in a transaction was sent together with the begin; the answer
+        // to the read completes the request.
         if (pending == nullptr || !opensTransaction)
             return;
         if (member != nullptr)
--- a/src/proxy/engine_parts.cpp
+++ b/src/proxy/engine_parts.cpp
@@ -17,8 +17,8 @@
 /// Parts of a workspace that has had no operations for this long are no longer borrowed.
 constexpr std::chrono::seconds partUseTimeout{ 3 };
 constexpr std::size_t maxWorkspacesPerMessage = 40;
-/// A home sends a datagram at least once per partRenewInterval, so it is reachable if it was heard
-/// from within this time.
+/// A home sends a datagram at least once per partRenewInterval, so it counts as reachable if
+/// this daemon received a datagram from it within this time.
 constexpr milliseconds homeHeardTimeout{ 600 };
 
 /// @return false if the daemon is unknown or has recently left loan requests unanswered
@@ -72,7 +72,8 @@
 
 std::string homeOf(const engine &state, const workspace_quota &quota, core::time_point now)
 {
-    // The borrower of the own part holds its tokens.
+    // The daemon that has borrowed this daemon's part refills its bucket from it, so tokens are
+    // requested there.
     if (quota.lentUntil > now && answersLoanRequests(state, quota.lentTo, now))
         return quota.lentTo;
     for (const std::string &each : quota.homes) {
--- a/src/proxy/engine_placement.cpp
+++ b/src/proxy/engine_placement.cpp
@@ -107,7 +107,7 @@
 }
 
 /// Chooses the leader if the request needs the primary, otherwise the member with the lowest cost.
-/// If all members are excluded, a new round starts with all of them.
+/// If every member has been tried and excluded, all of them may be chosen again.
 member_state *chooseMember(engine &state, const service_state &service, session &caller,
                            core::time_point now)
 {
@@ -125,7 +125,8 @@
 core::duration queueTimeout(const request &pending, refusal_reason reason)
 {
     const core::duration objective = pending.effectiveRoute.latencyObjective;
-    // Without a primary a longer wait does not help: the caller's own retry succeeds as early.
+    // Without a primary, a longer wait in the queue has no benefit: if the caller retries after the
+    // refusal, its statement succeeds equally early.
     if (reason == refusal_reason::NoPrimary)
         return objective / refusalWaitDivisor;
     return objective;
--- a/src/proxy/engine_promotion.cpp
+++ b/src/proxy/engine_promotion.cpp
@@ -378,8 +378,8 @@
         return;
     }
     attempt.token = token;
-    // Reports from before fencing are useless: a member that still receives may have got ahead of
-    // them.
+    // Reports sent before fencing are discarded: a member that was still receiving may since have
+    // received more than it reported.
     attempt.reports.clear();
     if (now >= attempt.leaseUntil) {
         abortAttempt(state, *service, "token_came_late", now);
--- a/src/proxy/engine_quota.cpp
+++ b/src/proxy/engine_quota.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// The home answers within one round trip inside the zone; after this time it counts as silent.
+/// The home answers within one round trip inside the zone; after this time it counts as
+/// unresponsive.
 constexpr milliseconds homeReplyTimeout{ 150 };
 constexpr milliseconds silentHomeBackoff{ 1'000 };
 /// A daemon acts as the home for this long after another daemon has treated it as the home.
@@ -253,7 +254,7 @@
     core::token_amount excess = addTokensWithOverflow(quota, message.amount, now);
     admitWaitingOperations(state, message.subject, now);
     serveWaitingLoans(state, quota, message.subject, now);
-    // The tokens just handed out have made room in the bucket.
+    // The operations and loans served above took tokens, so the bucket has room again.
     excess = addTokens(quota, excess, now);
     admitWaitingOperations(state, message.subject, now);
     if (excess > 0)
--- a/src/proxy/engine_watch.cpp
+++ b/src/proxy/engine_watch.cpp
@@ -79,7 +79,7 @@
             const core::duration limit = connecting ? connectSilenceTimeout : answerSilenceTimeout;
             if (now - link.lastSent < limit)
                 continue;
-            // If the relay does not answer, the member itself may be fine: probe it directly.
+            // If the relay does not answer, the member itself may still answer: probe it directly.
             if (!link.via.empty()) {
                 suspected.insert(&member);
                 const auto relay = state.peers.find(link.via);
