--- a/include/fuchsiagw/core/connection_pool.hpp
+++ b/include/fuchsiagw/core/connection_pool.hpp
@@ -33,7 +33,7 @@
     member_id member;
     connection_state state = connection_state::Opening;
     std::uint64_t statement = 0; ///< in flight on it or waiting until it is open; 0: none
-    std::uint64_t transaction = 0; ///< for which it is reserved; 0: none
+    std::uint64_t transaction = 0; ///< transaction that reserves it; 0: none
     time_point idleSince{};
 };
 
--- a/include/fuchsiagw/core/failover.hpp
+++ b/include/fuchsiagw/core/failover.hpp
@@ -212,7 +212,7 @@
     time_point manualPromotionDeadline = time_point::min();
     std::optional<member_id> preferred; ///< member named by the operator's last promotion
     term_number highestAttemptedTerm = 0; ///< highest term of an attempt by this owner
-    std::uint32_t failedAttempts = 0; ///< consecutive
+    std::uint32_t failedAttempts = 0; ///< since the primary last changed
     std::vector<time_point> promotions; ///< changes of primary within promotionHistoryWindow
     std::optional<member_id> suspectedPrimary; ///< primary that the next attempt excludes
     term_number lastPrimaryTerm = 0; ///< term of the last known primary
--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -50,7 +50,7 @@
     statement_request request;
     session known; ///< encoded in the session token of the answer
     std::optional<instance_id> forwardedTo;
-    bool isWaiting = false; ///< for a rate limit token of its workspace
+    bool isWaiting = false; ///< waits for a rate limit token of its workspace
     bool mayHaveRun = false; ///< a forward was written but not answered
 };
 
--- a/include/fuchsiagw/core/group_owner.hpp
+++ b/include/fuchsiagw/core/group_owner.hpp
@@ -44,11 +44,11 @@
     std::uint32_t weight = 1;
     exchange progress;
     statement_stage stage = statement_stage::Queued;
-    connection_id connection = 0; ///< while Connecting or Sent
+    connection_id connection = 0; ///< set while Connecting or Sent
     route_decision route;
     time_point sentAt{};
     error_kind unsentReason = error_kind::DeadlineExceeded;
-    execute_answer result; ///< while Confirming
+    execute_answer result; ///< set while Confirming
 };
 
 /// An open transaction. Invariant: its connection exists and carries the transaction's number.
@@ -66,7 +66,7 @@
 {
     duration answerLimit =
             std::chrono::seconds(2); ///< a connection whose answer takes longer is closed
-    duration connectLimit = std::chrono::seconds(1); ///< for opening a connection
+    duration connectLimit = std::chrono::seconds(1); ///< timeout for opening a connection
     duration transactionIdleTimeout = std::chrono::seconds(10);
 };
 
@@ -89,7 +89,8 @@
     service_time_average meter;
     connection_pool pool;
     std::map<std::uint64_t, owned_statement> statements; ///< by handle
-    std::set<std::pair<time_point, std::uint64_t>> deadlines; ///< of statements, earliest first
+    std::set<std::pair<time_point, std::uint64_t>>
+            deadlines; ///< statement deadlines, earliest first
     std::set<std::pair<time_point, std::uint64_t>>
             parked; ///< by the time of the next routing attempt
     std::map<member_id, std::deque<std::uint64_t>>
--- a/include/fuchsiagw/core/incarnation_lease.hpp
+++ b/include/fuchsiagw/core/incarnation_lease.hpp
@@ -28,7 +28,7 @@
 {
     duration promise = std::chrono::seconds(6); ///< duration of each promise of a witness
     duration promiseRenewInterval = std::chrono::seconds(2);
-    /// Between requests to a witness that does not answer.
+    /// Interval between requests to a witness that does not answer.
     duration promiseRetryInterval = std::chrono::milliseconds(400);
     /// 0.5 % of a promise. Crystal oscillators differ by less than 0.05 %.
     duration driftMargin = std::chrono::milliseconds(30);
--- a/include/fuchsiagw/core/loan_policy.hpp
+++ b/include/fuchsiagw/core/loan_policy.hpp
@@ -30,7 +30,7 @@
     duration scanInterval = std::chrono::milliseconds(100);
     duration renewalLeadTime = std::chrono::seconds(1); ///< before the end of a loan
     duration renewalRetryInterval = std::chrono::milliseconds(300);
-    duration minRetryInterval = std::chrono::milliseconds(10); ///< of requests for rate
+    duration minRetryInterval = std::chrono::milliseconds(10); ///< between requests for rate
     /// Exceeds a round trip between zones, because part of the tokens is lost when two peers lend
     /// tokens for the same need.
     duration tokenRetryInterval = std::chrono::milliseconds(25);
--- a/include/fuchsiagw/core/member_protocol.hpp
+++ b/include/fuchsiagw/core/member_protocol.hpp
@@ -66,7 +66,7 @@
     execute_status status = execute_status::Ok;
     std::string problem;
     std::vector<std::vector<std::string>> rows;
-    log_position position; ///< of the write; zero for reads
+    log_position position; ///< position of the write; zero for reads
     log_position applied; ///< end of the log that was visible to reads of the member at execution
     term_number term = 0; ///< the highest term that the member has accepted
 };
--- a/include/fuchsiagw/core/routing.hpp
+++ b/include/fuchsiagw/core/routing.hpp
@@ -66,7 +66,7 @@
 struct routing_request
 {
     statement_kind kind = statement_kind::Read;
-    std::optional<duration> maxAge; ///< of the read class; empty: only the primary may serve it
+    std::optional<duration> maxAge; ///< limit of the read class; empty: only the primary serves it
     log_position minPosition; ///< the session's newest acknowledged write
     bool isSessionUnusable = false;
     bool primaryOnly = false; ///< an earlier answer was too old or behind, see checkAnswer()
--- a/include/fuchsiagw/core/share_ledger.hpp
+++ b/include/fuchsiagw/core/share_ledger.hpp
@@ -165,14 +165,14 @@
 /// Durations of loans, and the margin for clocks that run at different speeds.
 struct loan_times
 {
-    duration length = std::chrono::seconds(4); ///< of loan_kind::Rate, the longest loans
-    /// Of loan_kind::Tokens; covers several round trips between zones.
+    duration length = std::chrono::seconds(4); ///< for loan_kind::Rate, the kind that lasts longest
+    /// Duration of loans of loan_kind::Tokens; covers several round trips between zones.
     duration tokenLoanDuration = std::chrono::milliseconds(50);
     /// 0.5 % of the length; crystal clocks differ by less than 0.05 %.
     duration driftMargin = std::chrono::milliseconds(20);
 };
 
-/// @return the part of @p whole that @p shares out of @p total stand for, rounded down
+/// @return the part of @p whole that corresponds to @p shares out of @p total, rounded down
 /// @complexity constant
 [[nodiscard]] std::int64_t partOf(std::int64_t whole, share_count shares, share_count total);
 
--- a/include/fuchsiagw/core/statement.hpp
+++ b/include/fuchsiagw/core/statement.hpp
@@ -73,7 +73,7 @@
     std::optional<error_kind> error;
     std::string problem; ///< description of the error for people; empty on success
     std::vector<std::vector<std::string>> rows;
-    log_position position; ///< of the write; zero for reads
+    log_position position; ///< position of the write; zero for reads
     log_position applied; ///< newest position that the member had applied at execution
     member_id member;
     bool fromReplica = false;
--- a/include/fuchsiagw/proxy/caller_statement.hpp
+++ b/include/fuchsiagw/proxy/caller_statement.hpp
@@ -48,7 +48,7 @@
     std::string id; ///< chosen by the caller; forwarded unchanged
     statement_kind kind = statement_kind::Malformed;
     std::string text; ///< as received; reads, writes and commits are forwarded verbatim
-    std::string name; ///< of the value or prepared statement, if the kind has one
+    std::string name; ///< name of the value or prepared statement, if the kind has one
     std::string argument; ///< text after the name
     prepared_shape prepared; ///< set for Prepare
 };
--- a/include/fuchsiagw/proxy/limit_claim.hpp
+++ b/include/fuchsiagw/proxy/limit_claim.hpp
@@ -37,8 +37,8 @@
 };
 
 /// @brief Updates the granted part and the target from a consistent snapshot of all rows.
-/// @param incarnation of this process; the row of an earlier process has to be rewritten before its
-/// claim may be used
+/// @param incarnation incarnation of this process; the row of an earlier process has to be
+/// rewritten before its claim may be used
 /// @return the claim to write now, if any
 [[nodiscard]] std::optional<limit_part> evaluateClaim(limit_claim &claim,
                                                       const std::vector<claim_row> &rows,
--- a/include/fuchsiagw/proxy/manifest.hpp
+++ b/include/fuchsiagw/proxy/manifest.hpp
@@ -36,7 +36,7 @@
     std::string service;
     consistency kind = consistency::Primary;
     core::duration statementTimeout{ 0 };
-    core::duration latencyObjective{ 0 }; ///< for the whole operation
+    core::duration latencyObjective{ 0 }; ///< target latency of a whole operation
     core::duration maxStaleness{ 0 };
     int priority = 0; ///< 0 is the highest
     bool anonymousAllowed = false;
--- a/include/fuchsiagw/proxy/member_state.hpp
+++ b/include/fuchsiagw/proxy/member_state.hpp
@@ -38,7 +38,7 @@
     core::time_point silentSince = core::noDeadline; ///< unresponsive since then
     core::time_point nextProbeAt{}; ///< next probe while it is unresponsive
     core::time_point lastAnswerAt{}; ///< when its latest answer arrived
-    int consecutiveFailures = 0; ///< attempts to connect
+    int consecutiveFailures = 0; ///< failed attempts to connect since its last answer
     double failureRate = 0; ///< moving average of the share of its statements that failed
     core::time_point lastFailureAt{}; ///< latest failure of a statement
 };
--- a/include/fuchsiagw/proxy/promotion.hpp
+++ b/include/fuchsiagw/proxy/promotion.hpp
@@ -47,7 +47,7 @@
     PrimaryGone,
     PrimaryDraining,
     NoPrimary,
-    ReplicaPaused, ///< left paused by an earlier attempt
+    ReplicaPaused, ///< a replica is still paused by an earlier attempt
 };
 
 inline constexpr std::array<std::string_view, 5> promotionCauseNames{
@@ -65,7 +65,7 @@
     promotion_cause cause = promotion_cause::PrimarySilent;
     core::time_point startedAt{};
     core::time_point phaseDeadline = core::noDeadline; ///< the phase is aborted or repeated then
-    core::time_point earliestStartAt{}; ///< of the next attempt
+    core::time_point earliestStartAt{}; ///< earliest start of the next attempt
     std::uint64_t token = 0; ///< fencing token from the store
     core::term_number fenceTerm = 0; ///< higher than every known term
     std::string oldPrimary;
--- a/include/fuchsiagw/proxy/quota.hpp
+++ b/include/fuchsiagw/proxy/quota.hpp
@@ -52,8 +52,8 @@
 struct workspace_quota
 {
     bool limited = false;
-    double ratePerSecond = 0; ///< of the whole workspace
-    double burst = 0; ///< of the whole workspace
+    double ratePerSecond = 0; ///< rate of the whole workspace
+    double burst = 0; ///< burst of the whole workspace
     std::vector<std::string> homes; ///< daemons of this zone by preference as home
     std::vector<std::string> otherHomes; ///< preferred home in each other zone
     bool isFirstHome = false; ///< this daemon is homes.front()
