--- a/include/fuchsiagw/core/gateway.hpp
+++ b/include/fuchsiagw/core/gateway.hpp
@@ -50,7 +50,7 @@
     statement_request request;
     session sessionState; ///< encoded in the session token of the answer
     std::optional<instance_id> forwardedTo;
-    bool isWaiting = false; ///< for a rate limit token of its workspace
+    bool isWaiting = false; ///< waits for a rate limit token of its workspace
     bool mayHaveRun = false; ///< a forward was written but not answered
 };
 
@@ -76,7 +76,8 @@
     std::set<incarnation_id> ownIncarnations; ///< the current and all earlier ones of this process
     std::map<std::uint64_t, entry_statement> entries; ///< by handle
     std::set<std::pair<time_point, std::uint64_t>> deadlines;
-    std::set<std::pair<time_point, std::uint64_t>> retries; ///< handles to dispatch again, by time
+    std::set<std::pair<time_point, std::uint64_t>>
+            retries; ///< statements to dispatch again (time, handle)
     std::uint64_t nextHandle = 1;
     time_point nextOwnerCheckAt{};
 };
--- a/include/fuchsiagw/core/loan_policy.hpp
+++ b/include/fuchsiagw/core/loan_policy.hpp
@@ -30,7 +30,7 @@
     duration scanInterval = std::chrono::milliseconds(100);
     duration renewalLeadTime = std::chrono::seconds(1); ///< before the end of a loan
     duration renewalRetryInterval = std::chrono::milliseconds(300);
-    duration minRetryInterval = std::chrono::milliseconds(10); ///< of requests for rate
+    duration minRetryInterval = std::chrono::milliseconds(10); ///< between requests for rate
     /// Exceeds a round trip between zones, because part of the tokens is lost when two peers lend
     /// tokens for the same need.
     duration tokenRetryInterval = std::chrono::milliseconds(25);
@@ -146,13 +146,13 @@
 [[nodiscard]] std::vector<loan_message> onLoanRequest(loan_manager &manager,
                                                       const loan_request &request, time_point now);
 
-/// @brief Applies a lender's grant to the share books.
+/// @brief Applies a lender's grant to the share ledgers.
 /// @return the resources that gained shares or tokens
 /// @complexity linear in the loans
 std::vector<resource_id> onLoanGrant(loan_manager &manager, const loan_grant &grant,
                                      time_point now);
 
-/// @brief Applies early returns of borrowers to the share books.
+/// @brief Applies early returns of borrowers to the share ledgers.
 /// @return the resources that gained shares or tokens
 /// @complexity linear in the loans
 std::vector<resource_id> onLoanReturns(loan_manager &manager, const loan_returns &returns,
--- a/include/fuchsiagw/core/share_ledger.hpp
+++ b/include/fuchsiagw/core/share_ledger.hpp
@@ -166,13 +166,13 @@
 struct loan_times
 {
     duration rateLoanDuration = std::chrono::seconds(4); ///< of loan_kind::Rate, the longest loans
-    /// Of loan_kind::Tokens; covers several round trips between zones.
+    /// Duration of loans of loan_kind::Tokens; covers several round trips between zones.
     duration tokenLoanDuration = std::chrono::milliseconds(50);
-    /// 0.5 % of the length; crystal clocks differ by less than 0.05 %.
+    /// 0.5 % of rateLoanDuration; crystal clocks differ by less than 0.05 %.
     duration driftMargin = std::chrono::milliseconds(20);
 };
 
-/// @return the part of @p whole that @p shares out of @p total stand for, rounded down
+/// @return the part of @p whole that corresponds to @p shares out of @p total, rounded down
 /// @complexity constant
 [[nodiscard]] std::int64_t partOf(std::int64_t whole, share_count shares, share_count total);
 
--- a/include/fuchsiagw/proxy/member_state.hpp
+++ b/include/fuchsiagw/proxy/member_state.hpp
@@ -21,7 +21,8 @@
     std::uint64_t roleVersion = 0; ///< version of the row in which claimsPrimary last changed
     bool listed = true; ///< false: removed from the store; gets no new work
     core::time_point removedAt{}; ///< when it was removed; valid while not listed
-    core::time_point missingSince = core::noDeadline; ///< entry missing since then, not removed yet
+    core::time_point missingSince =
+            core::noDeadline; ///< when the member's entry was first missing from the store
     std::set<link_id> links;
     std::vector<std::string> relays; ///< daemons that may be its relay, in order of preference
     std::uint64_t relaysVersion = 0; ///< engine::peersVersion for which `relays` was computed
@@ -37,7 +38,7 @@
     core::time_point unresponsiveSince = core::noDeadline; ///< unresponsive since then
     core::time_point nextProbeAt{}; ///< next probe while it is unresponsive
     core::time_point lastAnswerAt{}; ///< when its latest answer arrived
-    int consecutiveFailures = 0; ///< attempts to connect
+    int consecutiveFailures = 0; ///< failed attempts to connect since its last answer
     double failureRate = 0; ///< moving average of the share of its statements that failed
     core::time_point lastFailureAt{}; ///< latest failure of a statement
 };
