--- a/include/fuchsiagw/daemon/admin_server.hpp
+++ b/include/fuchsiagw/daemon/admin_server.hpp
@@ -31,13 +31,13 @@
                                                                   std::string_view secretHash,
                                                                   admin_request &into);
 
-/// Functions and metrics of other threads that the admin server uses.
+/// Functions by which the admin server reaches other threads, and the metrics of those threads.
 struct admin_server_inputs
 {
     /// Passes a request to the gateway's thread; returns false if its queue is full.
     std::function<bool(admin_request &&)> request;
     std::function<bool()> isReady; ///< may be called on any thread
-    /// Makes threads that publish metrics on demand do so; called every second.
+    /// Requests the threads that publish metrics only on demand to publish; called every second.
     std::function<void()> sample;
     std::vector<snapshot_buffer<metrics> *> sources; ///< this server is their only reader
 };
--- a/include/fuchsiagw/daemon/cluster.hpp
+++ b/include/fuchsiagw/daemon/cluster.hpp
@@ -54,14 +54,14 @@
                         core::time_point now);
 
     /// @brief Sets whether a submit of this instance may have created a version that no other
-    /// instance knows, see core::isUnresolved().
+    /// instance has received, see core::isUnresolved().
     void setUnresolvedSubmit(bool isUnresolved) { spread.hasUnresolvedSubmit = isUnresolved; }
 
     /// @brief Sets the state of this instance and announces it to the instances of its zone.
     void setState(core::sender_state state, core::time_point now);
 
-    /// @return the live instances. One that has not sent a message yet has incarnation 0; it counts
-    /// only when limits are divided between instances.
+    /// @return the live instances. An instance that has not sent a message yet has incarnation 0
+    /// and counts only when limits are divided between instances.
     [[nodiscard]] std::vector<core::peer_ref> livePeers() const;
 
     [[nodiscard]] const core::known_instance *find(core::incarnation_id incarnation) const;
--- a/include/fuchsiagw/daemon/decision_meter.hpp
+++ b/include/fuchsiagw/daemon/decision_meter.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Metrics of the decision thread: promotions, failover gaps, connections, refusals.
+/// @brief Metrics of the thread of gateway_driver: promotions, failover gaps, connections,
+/// refusals.
 
 #pragma once
 
@@ -17,7 +18,8 @@
 /// checked
 [[nodiscard]] bool isWrongfulRefusal(core::error_kind error);
 
-/// Not thread-safe; runs on the decision thread. Only published() is read by another thread.
+/// Not thread-safe; runs on the thread of gateway_driver. Only published() is read by another
+/// thread.
 class decision_meter
 {
 public:
@@ -44,12 +46,14 @@
     [[nodiscard]] const metrics &counts() const { return counts_; }
 
 private:
-    /// A change of primary in a group that this instance watches.
+    /// Time from the loss of a group's primary to the first answer of its successor. Only groups
+    /// whose members this instance monitors are measured.
     /// Invariant: successorSeenAt and writeWaitingSince are set only while primaryLostAt is set.
     struct failover_gap
     {
         core::member_id primary; ///< last known primary; empty: unknown
-        core::time_point primaryLostAt = core::noDeadline; ///< last answer of that primary
+        /// When the lost primary last answered; the gap starts then.
+        core::time_point primaryLostAt = core::noDeadline;
         core::time_point successorSeenAt = core::noDeadline;
         /// When a waiting write was first seen.
         core::time_point writeWaitingSince = core::noDeadline;
--- a/include/fuchsiagw/daemon/gateway_driver.hpp
+++ b/include/fuchsiagw/daemon/gateway_driver.hpp
@@ -68,8 +68,8 @@
     [[nodiscard]] core::incarnation_id incarnation() const { return gateway_.incarnation; }
 
     /// @brief Starts a planned stop.
-    /// @param done is called once, when every request is answered and the shares are returned or
-    /// the time for their return is over
+    /// @param done is called once: when every request is answered, and the rate limit shares are
+    /// returned or the timeout of their return has passed
     void drain(std::function<void()> done);
 
 private:
--- a/include/fuchsiagw/daemon/log_event.hpp
+++ b/include/fuchsiagw/daemon/log_event.hpp
@@ -233,7 +233,7 @@
     [[nodiscard]] static field duration(log_key key, core::duration value);
     /// @brief IP address and port; any other text is logged as `invalid`.
     [[nodiscard]] static field address(log_key key, const std::string &address);
-    /// @brief Members, each with the reason why it was or was not chosen.
+    /// @brief Members, each with the reason for which it was chosen or rejected.
     template <named_enum type>
     [[nodiscard]] static field members(log_key key,
                                        const std::vector<std::pair<core::member_id, type>> &list)
--- a/include/fuchsiagw/daemon/metrics.hpp
+++ b/include/fuchsiagw/daemon/metrics.hpp
@@ -142,7 +142,7 @@
     std::uint64_t requests = 0;
     std::uint64_t served = 0;
     std::uint64_t refused = 0; ///< with outcome `not_run`
-    std::uint64_t wrongfullyRefused = 0; ///< although within the workspace's rate
+    std::uint64_t wrongfullyRefused = 0; ///< refused although within the workspace's rate
 };
 
 /// Bounds the memory: further workspaces are counted in one series with an empty label.
--- a/include/fuchsiagw/daemon/operator_service.hpp
+++ b/include/fuchsiagw/daemon/operator_service.hpp
@@ -44,8 +44,8 @@
 {
     std::function<void(admin_result &&)> answer;
     std::function<void(platform::platform_operation, platform_handler)> toPlatform;
-    std::function<core::gateway_turn()>
-            turn; ///< the turn's actions are performed after the current call
+    /// Opens a turn of the gateway; its actions are performed after the current call.
+    std::function<core::gateway_turn()> turn;
 };
 
 /// The submit that is being processed.
@@ -55,7 +55,7 @@
     core::submit_state state;
     core::submit_action action; ///< current step; its request is sent at notBefore
     std::uint64_t attempt = 0; ///< number of the pending platform request; 0: not sent yet
-    core::time_point answerDeadline; ///< after it the request counts as unanswered
+    core::time_point answerDeadline; ///< after this time the platform request counts as unanswered
 };
 
 /// Every function must be called on the thread of gateway_driver.
--- a/include/fuchsiagw/daemon/peer_messenger.hpp
+++ b/include/fuchsiagw/daemon/peer_messenger.hpp
@@ -139,7 +139,8 @@
 
     void perform(peer_command &command);
 
-    /// @brief Sends under another incarnation from now on. Peers close the links of the old one.
+    /// @brief Sets the incarnation of all messages sent from now on. Peers close the links that
+    /// were opened under the previous incarnation.
     void setIncarnation(core::incarnation_id self);
 
     [[nodiscard]] peer_traffic traffic() const;
@@ -150,7 +151,7 @@
         core::incarnation_id incarnation = 0; ///< 0 until the hello is received
         core::instance_id instance;
         bool isOutgoing = false;
-        std::set<std::uint64_t> forwards; ///< handles of forwards without an answer
+        std::set<std::uint64_t> forwards; ///< handles of unanswered forwarded requests
         std::map<core::request_id, wire::part_assembler> answerParts;
         core::instance_id configurationSource; ///< peer of the open configuration request; empty if
                                                ///< none is open
--- a/include/fuchsiagw/daemon/settings.hpp
+++ b/include/fuchsiagw/daemon/settings.hpp
@@ -61,7 +61,7 @@
 {
     std::string file;
     int line = 0; ///< starts at 1; 0 if the error belongs to no line
-    std::string reason; ///< names the entry and says what to change
+    std::string reason; ///< the entry and what to change in it
 };
 
 /// @return `file:line: reason`
--- a/include/fuchsiagw/daemon/store_client.hpp
+++ b/include/fuchsiagw/daemon/store_client.hpp
@@ -43,7 +43,8 @@
     /// No token was acquired because the operator has disabled promotions.
     std::function<void(const std::string &service)> onPromotionsDisabled;
     std::function<void(const std::string &service, proxy::promote_outcome)> onPromoteAnswer;
-    /// A log event about the store itself.
+    /// Called with a log event when the store becomes unreachable or reachable again, or when the
+    /// manifest can't be decoded.
     std::function<void(std::string_view name, std::string_view detail)> onStoreEvent;
 };
 
--- a/include/fuchsiagw/daemon/supervisor.hpp
+++ b/include/fuchsiagw/daemon/supervisor.hpp
@@ -18,8 +18,8 @@
 
 namespace fuchsiagw::daemon {
 
-/// A thread that runs one Asio context; log lines call it a duty. The objects on the context are
-/// used by this thread only.
+/// A thread that runs one Asio context. Log lines name it in the field `duty`. The objects on the
+/// context are used by this thread only.
 struct supervised_thread
 {
     explicit supervised_thread(std::string threadName)
--- a/include/fuchsiagw/wire/admin_json.hpp
+++ b/include/fuchsiagw/wire/admin_json.hpp
@@ -59,7 +59,7 @@
         std::string address;
         core::member_role role = core::member_role::Replica;
         core::log_position applied;
-        std::string state; ///< shown to operators: live, leaving, silent or behind
+        std::string state; ///< live, leaving, silent, behind or unknown
     };
     core::group_id group;
     core::member_id primary; ///< empty: not known
@@ -81,7 +81,7 @@
     bool isPlatformReachable = false;
     core::instance_id parent; ///< empty: the instance is the root of its tree
     std::size_t children = 0;
-    std::size_t listed = 0; ///< entry instances on the instance's list
+    std::size_t listed = 0; ///< entry instances on the copy of the platform's list
 };
 
 /// @return the route of a request; the query of @p target is ignored
@@ -111,8 +111,9 @@
                                         const core::submit_result &result);
 
 /// @brief Answers whether a note was applied.
-/// @param version the version that the note created; empty if the platform does not know the note
-/// @param everywhere the version that is in force at every instance, spread_state::everywhere
+/// @param version the version that the note created; empty if the platform has no row for the note
+/// @param everywhere version that every listed instance has in force, or a newer one; see
+/// core::spread_state::everywhere
 [[nodiscard]] admin_answer answerNoteStatus(const std::string &id,
                                             std::optional<core::configuration_version> version,
                                             const core::config_store &store,
--- a/include/fuchsiagw/wire/caller_json.hpp
+++ b/include/fuchsiagw/wire/caller_json.hpp
@@ -45,7 +45,7 @@
 
 /// @brief Parses the body of `POST /v1/statements`.
 /// @param[out] parsed the fields; unchanged on an error
-/// @param[out] problem on an error, names the field and says what to change
+/// @param[out] problem on an error, the field and what to change in it
 /// @return MalformedBody, BodyTooLarge, WrongType, UnknownField, MissingField or InvalidValue
 /// @complexity linear in the size of the body
 [[nodiscard]] std::error_code parseStatement(std::string_view body, parsed_statement &parsed,
@@ -94,11 +94,11 @@
 /// @return nullopt unless the scheme is Bearer and the key has 1 to maxKeyBytes token68 characters
 [[nodiscard]] std::optional<std::string> keyFromAuthorization(std::string_view value);
 
-/// Session token of a request. Invariant: `token` is empty unless `named`.
+/// Session token of a request. Invariant: `token` is empty unless `named` is set.
 struct requested_session
 {
     bool named = false; ///< the request has a session header or cookie
-    std::string token; ///< also empty if the token that was sent is malformed or ambiguous
+    std::string token; ///< empty too if the sent token is malformed or ambiguous
 };
 
 /// @brief Finds the session token of a request; the header takes precedence over the cookie.
--- a/include/fuchsiagw/wire/member_json.hpp
+++ b/include/fuchsiagw/wire/member_json.hpp
@@ -36,8 +36,8 @@
 /// Query of `GET /wait`.
 struct wait_request
 {
-    core::log_position until; ///< awaited position; its term is the accepted term under which the
-                              ///< log must reach the index
+    /// The member answers when its log reaches `index` while `term` is the term it has accepted.
+    core::log_position until;
     std::chrono::milliseconds wait{ 0 };
 
     friend bool operator==(const wait_request &, const wait_request &) = default;
--- a/include/fuchsiagw/wire/peer_message.hpp
+++ b/include/fuchsiagw/wire/peer_message.hpp
@@ -1,9 +1,10 @@
 /// @file
 /// @brief Messages between the daemons of a deployment.
 ///
-/// Times are sent as remaining microseconds, because instances share no clock. The receiver counts
-/// a remaining time from when it sent its request. It counts from the arrival of the message only
-/// where the deadline may be later than the sender's, because the receiver does not rely on it.
+/// Times are sent as remaining microseconds, because instances share no clock. The receiver
+/// counts a remaining time from when it sent its own request, so that its deadline is not later
+/// than the sender's. It counts from the arrival of the message only where it does not rely on the
+/// deadline, which may then be later than the sender's.
 
 #pragma once
 
@@ -120,8 +121,8 @@
 
 /// @brief Tells whether a digest must include the names and address of its sender.
 ///
-/// Several digests to each incarnation include them, because a datagram may be lost: the first ones
-/// and every 16th. In every digest they would be a third of the traffic.
+/// The first digests to an incarnation and every 16th include the names and address, because a
+/// datagram may be lost. If every digest included them, they would be a third of the traffic.
 /// @param receiver incarnation of the receiver, 0 if it is not known
 /// @param sent digests sent to this incarnation so far
 [[nodiscard]] constexpr bool mustIncludeSenderNames(core::incarnation_id receiver,
@@ -216,7 +217,7 @@
 struct configuration_body
 {
     std::uint64_t version = 0; ///< 0: no configuration is in force
-    /// Hash of the content, distinguishes two contents with the same version.
+    /// Hash of the content. It tells apart different contents that have the same version.
     std::uint64_t tag = 0;
     std::uint32_t part = 0; ///< from 0, in order
     std::uint32_t parts = 1;
--- a/include/fuchsiagw/wire/replay_window.hpp
+++ b/include/fuchsiagw/wire/replay_window.hpp
@@ -58,7 +58,7 @@
     };
 
     std::unordered_map<core::incarnation_id, sender_state> senders_;
-    /// No sender can be evicted earlier.
+    /// Earliest time at which a sender may be evicted.
     core::time_point nextEvictionAt_ = core::time_point::min();
 
     /// @return whether there is room for a new sender
--- a/include/fuchsiagw/wire/vouch.hpp
+++ b/include/fuchsiagw/wire/vouch.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Freshness proof by an operator, who vouches that a configuration version is the newest:
-/// proof (d).
+/// @brief Freshness proof by an operator, who vouches that a configuration version is the newest,
+/// see core::proof_source::Operator.
 ///
 /// The instance issues a challenge, and the operator answers with the version and a MAC over
 /// challenge and version. The age of the proof counts from the issue of the challenge, so neither
@@ -21,7 +21,7 @@
     struct challenge
     {
         std::string text;
-        std::uint64_t root = 0; ///< root of the current round, see onOperatorProof()
+        std::uint64_t root = 0; ///< root of the tree at issuedAt, see core::onOperatorProof()
         std::uint64_t roundNumber = 0;
         core::time_point issuedAt;
     };
--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -27,8 +27,8 @@
 /// Bounds the probe traffic to about 1 KB/s while incarnations of listed instances are unknown.
 constexpr std::size_t maxUnknownProbesPerRound = 8;
 
-/// Placeholder in the tree for instances that are unknown without the platform's list. It keeps
-/// the known instances from being taken for all instances.
+/// Placeholder in the tree while the platform's instance list is unread: there may be instances
+/// that this one does not know, so the known ones must not count as all instances.
 const core::instance_id unlistedInstances{ "?" };
 
 log_event toLogEvent(core::membership_event event)
@@ -104,8 +104,8 @@
     if (now < nextSeedProbeAt_)
         return;
     nextSeedProbeAt_ = now + seedProbeInterval;
-    // Loans, witnesses and owners in other zones are addressed by incarnation, which is learned
-    // only from messages of the instance itself.
+    // Share loans, lease witnesses and group owners in other zones are addressed by incarnation. An
+    // instance's incarnation is learned only from its own messages, so it is probed for one.
     std::size_t remainingProbes = maxUnknownProbesPerRound;
     for (const auto &[instance, known] : members.instances) {
         if (known.incarnation != 0 || remainingProbes == 0)
--- a/src/daemon/decision_meter.cpp
+++ b/src/daemon/decision_meter.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Counters, gauges and failover gaps of the decision thread.
+/// @brief Counters, gauges and failover gaps of the thread of gateway_driver.
 
 #include <utility>
 
@@ -87,7 +87,7 @@
         return;
     switch (notice.event) {
     case core::owner_event::MemberFailed:
-        // A member that is far behind has answered; its connection stays open.
+        // A member that is far behind still answers, and its connection stays open.
         if (notice.failure != core::member_failure::FarBehind)
             counts_.count(counter::UpstreamConnectionsLost);
         return;
@@ -107,7 +107,7 @@
                                core::time_point now)
 {
     failover_gap &gap = failoverGaps_[owner.group];
-    // Only an owner that watches the members knows when the old primary last answered.
+    // Only an owner that monitors the members records when the old primary last answered.
     if (!owner.isMonitoringMembers) {
         gap = { notice.member, core::noDeadline, core::noDeadline, core::noDeadline, 0 };
         return;
--- a/src/daemon/gateway_driver.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -29,7 +29,8 @@
     return number;
 }
 
-/// Returns whether the keeper holds home shares of every workspace that assigns it a fair share.
+/// Returns whether this instance holds home shares of every workspace limit in which its fair
+/// share is not zero.
 bool holdsHomeShares(const core::limit_manager &keeper)
 {
     if (!keeper.hasJoined)
@@ -95,7 +96,7 @@
                field::address(log_key::Address, net::toString(settings_.callerAddress)) });
     now_ = net::currentTime();
     cluster_.start(now_);
-    // An instance without peers must take its home shares as well.
+    // Called once at the start, so that an instance without peers acquires its home shares too.
     onMembersChanged();
     tick();
 }
@@ -119,9 +120,10 @@
     });
 }
 
-// An instance that has not taken its shares or does not know its peers would refuse statements
-// within the rate of their workspace. While the platform is unreachable it can only borrow shares
-// from its peers, so the wait ends after readyTimeout.
+// Without home shares, or without the incarnations of its peers, an instance would refuse
+// statements that are within the rate of their workspace. While the platform is unreachable it
+// can't acquire home shares and only borrows from its peers, so readiness is reported after
+// readyTimeout at the latest.
 void gateway_driver::updateReady()
 {
     if (isReady_ || gateway_.config.version == 0)
@@ -141,7 +143,7 @@
 
 void gateway_driver::finishDrain()
 {
-    // The other instances reclaim shares that an incarnation could not return in time.
+    // Waiting is bounded: the other instances reclaim the shares that were not returned in time.
     if (shareReturnDeadline_ == core::noDeadline)
         shareReturnDeadline_ = now_ + shareReturnTimeout;
     if (hasLeft(gateway_.keeper) || now_ >= shareReturnDeadline_)
--- a/src/daemon/log_event.cpp
+++ b/src/daemon/log_event.cpp
@@ -20,7 +20,7 @@
 using event = log_event;
 using level = log_level;
 
-/// Bounds the length of a line even if a name was not checked where it was set.
+/// Bounds the length of a log line, also for names whose length was not checked before.
 constexpr std::size_t maxValueBytes = 1024;
 
 constexpr auto rows = std::to_array<log_event_row>({
--- a/src/daemon/operator_service.cpp
+++ b/src/daemon/operator_service.cpp
@@ -283,8 +283,8 @@
     const active_submit ended = std::move(*activeSubmit_);
     const core::submit_result &result = ended.state.result;
     const core::release_note &note = ended.state.note;
-    // The version must be in this instance's reports before the reports stop to announce an
-    // unresolved submit.
+    // The version is installed first, so that this instance's reports contain it before they stop
+    // announcing an unresolved submit.
     if (result.newest)
         cluster_.installVersion({ {}, result.newest->version, result.newestName },
                                 cluster_.codec().write(*result.newest), now);
--- a/src/daemon/process.cpp
+++ b/src/daemon/process.cpp
@@ -137,7 +137,8 @@
                              return frontToDecide.push(std::move(message));
                          });
     upstreamClient.emplace(upstreamContext, [this](upstream_event &&event) {
-        // The queue holds more events than all connections and control requests can cause at once.
+        // The push can't fail: the queue holds more events than all connections and control
+        // requests can cause at once.
         static_cast<void>(upstreamToDecide.push(std::move(event)));
     });
     gatewayDriver.emplace(decideContext, values, log, outputs());
--- a/src/daemon/relay_server.cpp
+++ b/src/daemon/relay_server.cpp
@@ -17,8 +17,8 @@
 
 using boost::asio::ip::tcp;
 
-/// Part of a member's connection limit that its relay uses; the rest is for control commands of the
-/// daemons and for daemons that can't reach the relay.
+/// Part of a member's connection limit that its relay uses. The remainder is reserved for the
+/// daemons' control commands and for daemons that can't reach the relay.
 constexpr double relayConnectionShare = 0.85;
 constexpr std::chrono::milliseconds maxBorrowerWait{ 150 };
 constexpr std::chrono::milliseconds tickInterval{ 20 }; // while a borrower waits
@@ -35,7 +35,7 @@
 {
     std::shared_ptr<net::line_connection> connection;
     std::string member;
-    proxy::pooled_id pooled = 0; ///< 0: none yet
+    proxy::pooled_id pooled = 0; ///< assigned member connection; 0: none
     std::string bufferedLines; ///< received before a connection was assigned
     std::uint32_t bufferedStatements = 0;
 };
@@ -44,7 +44,7 @@
 {
     std::shared_ptr<net::line_connection> connection;
     std::string member;
-    proxy::borrower_id lentTo = 0; ///< 0: nobody
+    proxy::borrower_id lentTo = 0; ///< borrower that uses the connection; 0: none
     bool isOpen = false;
     std::uint32_t pendingReplies = 0; ///< replies that are not complete yet
     bool isInTransaction = false; ///< as of the last complete reply
@@ -323,7 +323,8 @@
     } else {
         connection->close();
     }
-    // Closing the borrower's connection tells the borrower that the member connection is lost.
+    // The borrower's connection is closed as well, so that the borrower detects the loss of the
+    // member connection.
     const auto client = borrowers_.find(borrowerId);
     if (client == borrowers_.end())
         return;
@@ -389,8 +390,8 @@
             members.push_back(member);
         const auto idle = proxy::surplus(pool, now);
         toClose.insert(toClose.end(), idle.begin(), idle.end());
-        // Another daemon is the member's relay now and needs the connections that this daemon
-        // holds.
+        // Idle connections are also closed if another daemon has become the member's relay, since
+        // they count against the member's limit and that daemon needs them.
         const auto known = engine_.members.find(member);
         const bool isUnwanted =
                 isStopping_ || known == engine_.members.end() || !known->second.listed
--- a/src/daemon/session_gateway.cpp
+++ b/src/daemon/session_gateway.cpp
@@ -26,9 +26,10 @@
 constexpr std::size_t memoryPerSession = 32 * 1024; // bytes
 constexpr std::size_t reservedMemory = 48 * 1024 * 1024; // bytes, for everything except sessions
 constexpr std::size_t maxQueuedReplyBytes = 4 * adapter::maxMessageBytes;
-/// A spare connection that is already open saves a round trip.
+/// Spare connections are opened in advance, which saves a round trip when a session needs one.
 constexpr std::size_t maxSparesPerRelay = 2;
-/// If no manifest was read by then, callers are accepted and refused instead of left waiting.
+/// If no manifest has been read after this time, callers are accepted and refused at once instead
+/// of waiting in the listen backlog.
 constexpr std::chrono::milliseconds maxAcceptDelay{ 800 };
 constexpr int storeEventNumber = 930;
 constexpr int socketEventNumber = 931;
@@ -488,7 +489,7 @@
         return;
     constexpr std::chrono::milliseconds stopMargin{ 400 };
     const core::time_point now = net::currentBootTime();
-    // Until the drain deadline the load balancer may still send callers here.
+    // Until the drain deadline the load balancer may still send new callers to this instance.
     const bool isIdle =
             engine_.sessions.empty() && !relay_.isBusy() && now >= engine_.transactionDrainDeadline;
     if (!isIdle && now < engine_.stopDeadline - stopMargin)
--- a/src/daemon/store_client.cpp
+++ b/src/daemon/store_client.cpp
@@ -23,7 +23,7 @@
 /// The store answers a long poll as soon as a row changes. Keep-alive probes detect dead
 /// connections, so the wait can be long.
 constexpr milliseconds longPollWait{ 28'000 };
-/// Used by the daemons that detect a feed which delivers nothing.
+/// Wait of the daemons that check whether the manifest's feed still delivers changes.
 constexpr milliseconds shortPollWait{ 4'000 };
 /// Time for the response after the wait of a long poll.
 constexpr milliseconds longPollGrace{ 1'500 };
@@ -32,7 +32,8 @@
 constexpr milliseconds memberPollPause{ 800 };
 /// Daemons that start at the same time register one after the other; the pause batches their rows.
 constexpr milliseconds instancePollPause{ 3'000 };
-/// Lets daemons that start at the same time see each other before they claim parts of the limits.
+/// Pause after a daemon has registered, so that daemons that start at the same time read each
+/// other's rows before they claim parts of the limits.
 constexpr milliseconds peerDiscoveryDelay{ 800 };
 constexpr milliseconds minMemberReadInterval{ 250 };
 constexpr milliseconds initialBackoff{ 100 };
