--- a/bench/bench-config-spread.cpp
+++ b/bench/bench-config-spread.cpp
@@ -27,7 +27,8 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t datagramOverhead = 28; ///< bytes of IPv4 and UDP headers
-constexpr std::size_t multiRegionMinInstances = 400; ///< one region has 4 zones, all regions 17
+/// Smaller runs simulate one region with 4 zones; runs from this size simulate all 17 zones.
+constexpr std::size_t multiRegionMinInstances = 400;
 constexpr auto changeInterval = 5s;
 
 struct measurements
--- a/bench/bench-limits.cpp
+++ b/bench/bench-limits.cpp
@@ -211,7 +211,8 @@
         const double unit = static_cast<double>(random() >> 11U) * 0x1.0p-53;
         return static_cast<std::int64_t>(-std::log1p(-unit) / rate * 1e6) + 1;
     };
-    // Every workspace is entitled to one eighth; workspace 0 sends five times as much.
+    // Each workspace is entitled to one eighth of the capacity. Workspace 0 offers five times its
+    // share, every other one 95 % of its share.
     double offered[workspaces];
     std::fill(std::begin(offered), std::end(offered), capacity / workspaces * 0.95);
     offered[0] = 5 * capacity / workspaces;
--- a/include/fuchsiagw/net/tcp_link.hpp
+++ b/include/fuchsiagw/net/tcp_link.hpp
@@ -3,7 +3,7 @@
 ///
 /// An active link exchanges heartbeats several times a second, so that an unresponsive peer is
 /// detected within about a second. An idle link sends a heartbeat of a few bytes every 15 s. When a
-/// link closes, its owner is told which frames were certainly not sent.
+/// link closes, it reports to its owner which frames were certainly not sent.
 
 #pragma once
 
--- a/include/fuchsiagw/testing/gateway_world.hpp
+++ b/include/fuchsiagw/testing/gateway_world.hpp
@@ -34,7 +34,7 @@
     PrimaryCutFromGroup,
     PrimaryCutFromGateways,
     ReplicaFarBehind,
-    ZoneCut, ///< from the other zones
+    ZoneCut, ///< a zone is partitioned from the other zones
     ZoneCutFromPlatform,
     GatewayKilled,
     GatewayFrozen,
@@ -42,7 +42,7 @@
     PlatformDown,
     PlatformSlow,
     PlatformAnswerLost,
-    LeaseLapsed, ///< frozen until the incarnation lease has lapsed
+    LeaseLapsed, ///< a gateway is frozen until its incarnation lease has lapsed
     ConnectionSilent, ///< open connections never answer again; new ones work
     AnswersLate,
     AnswersCrossed,
@@ -120,7 +120,7 @@
     std::size_t zones = 3;
     std::size_t groups = 1;
     std::size_t sessions = 20;
-    std::uint32_t connections = 16; ///< per group; see section 1.4 of the design
+    std::uint32_t connections = 16; ///< limit on the data connections to each group
     std::uint32_t slots = 2;
     core::duration crossZoneDelay = std::chrono::milliseconds(4);
     core::duration connectionCost = std::chrono::milliseconds(12);
@@ -156,7 +156,7 @@
     std::map<std::uint64_t, origin> origins;
     std::uint64_t nextOrigin = 1;
     std::map<std::uint64_t, std::uint64_t>
-            awaitingToken; ///< handles that wait for a token, by ticket
+            awaitingToken; ///< by ticket: handle of each request that waits for a rate limit token
     core::configuration_version recordedVersion = 0;
 };
 
--- a/include/fuchsiagw/testing/limits_world.hpp
+++ b/include/fuchsiagw/testing/limits_world.hpp
@@ -94,7 +94,7 @@
     bool isGrantedByExactBucket = false;
 };
 
-/// A table transaction whose outcome the instance does not know yet.
+/// A table transaction whose outcome has not yet reached the instance.
 struct platform_call
 {
     core::table_transaction transaction;
--- a/include/fuchsiagw/testing/process_harness.hpp
+++ b/include/fuchsiagw/testing/process_harness.hpp
@@ -48,14 +48,14 @@
     std::vector<std::string> zones;
     std::uint32_t daemons = 9;
     std::uint32_t groups = 3;
-    std::uint32_t connections = 16; ///< per group
+    std::uint32_t connections = 16; ///< limit on the data connections to each group
     std::uint32_t slots = 2;
     double replicationLagMs = 20;
     double connectDelayMs = 12;
     double rate = 2000; ///< rate limit and burst of the workspace, in operations per second
 };
 
-/// An answer as its caller sees it.
+/// An answer as the caller receives it.
 struct call_result
 {
     int status = 0; ///< 0: no answer
--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -167,7 +167,8 @@
 void onSuccess(soak_history &history, const std::string &id, const std::string &digest,
                const std::string &row, std::optional<core::log_position> commit,
                core::time_point now);
-/// @brief Records that a unit is not applied: its caller was told so and does not retry it.
+/// @brief Records that the proxy reported a unit as not applied to its caller, which does not retry
+/// the unit.
 void onReportedNotApplied(soak_history &history, std::uint64_t unit);
 
 /// @brief Records a promotion that the platform carries out.
--- a/include/fuchsiagw/testing/standin_json.hpp
+++ b/include/fuchsiagw/testing/standin_json.hpp
@@ -124,8 +124,8 @@
 /// Answer to `GET /counters` of the platform stand-in.
 struct platform_counters
 {
-    std::uint64_t reads = 0; ///< of rows, scans, objects and the instance list
-    std::uint64_t writes = 0; ///< of transactions and objects, including those without effect
+    std::uint64_t reads = 0; ///< reads of rows, scans, objects and the instance list
+    std::uint64_t writes = 0; ///< transactions and writes of objects, also without effect
 };
 
 [[nodiscard]] std::string toJson(const member_fault_request &request);
--- a/src/net/line_connection.cpp
+++ b/src/net/line_connection.cpp
@@ -131,8 +131,9 @@
 
 void line_connection::handleInput(std::size_t length)
 {
-    // The peer sent this input before it saw the FIN, which may be lost and being retransmitted.
-    // A reset tells the peer without that delay that the request will not be answered.
+    // The peer sent this input before it received the FIN, which may have been lost and await
+    // retransmission. A reset informs the peer without that delay that the request will not be
+    // answered.
     if (closing_ && wasIdleAtClose_) {
         reset();
         return;
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -248,7 +248,8 @@
     counters_->bytesSent += size;
     std::size_t begin = 0;
     for (const frame &each : writing_) {
-        // A frame may arrive at the peer once one byte of it was written.
+        // Only a frame of which no byte was written is reported as unwritten: of any other frame,
+        // the peer may receive the whole.
         if (error && begin >= size && each.tag != 0)
             unwritten_.push_back(each.tag);
         begin += each.bytes.size();
--- a/testing/fake_group_owner.cpp
+++ b/testing/fake_group_owner.cpp
@@ -263,7 +263,8 @@
         findings.failoverGap = clock - *primaryLostAt;
         primaryLostAt.reset();
     }
-    // All owners learn each acknowledged position immediately, which favours this policy.
+    // All owners receive each acknowledged position without delay, which favours the policy
+    // KnownPosition.
     if (config.policy == acknowledgement_policy::KnownPosition) {
         for (fake_owner &owner : owners)
             owner.view.highestAcknowledgedPosition =
--- a/testing/gateway_world_members.cpp
+++ b/testing/gateway_world_members.cpp
@@ -16,7 +16,8 @@
 constexpr duration replicationInterval = std::chrono::milliseconds(5);
 constexpr duration laggingReplicaDelay = std::chrono::seconds(30);
 constexpr duration maxAnswerDelay = std::chrono::milliseconds(2500);
-/// M11 allows new work for this long after a member is listed as leaving.
+/// Requirement M11 (a leaving member receives no new work) tolerates new work for this long after
+/// the member is listed as leaving.
 constexpr duration leavingGrace = std::chrono::seconds(3);
 
 using connection_key = std::pair<std::size_t, connection_id>;
--- a/testing/group_standin.cpp
+++ b/testing/group_standin.cpp
@@ -183,7 +183,7 @@
     });
     const bool areConnected = found != members_.end() && replica.isReachableByMembers()
                               && (*found)->isReachableByMembers();
-    // A member that is no longer primary of the replica's term is no source, see copyLog().
+    // copyLog() requires a source that is the primary of the replica's term.
     if (!areConnected || (*found)->model.role != core::member_role::Primary
         || (*found)->model.term != replica.model.term)
         return nullptr;
--- a/testing/limits_world.cpp
+++ b/testing/limits_world.cpp
@@ -323,7 +323,8 @@
     }
     for (std::size_t i = 0; i < settings.instances; ++i) {
         startNode(*world, i);
-        // The initial instances are listed without the lag, so that they see each other.
+        // The initial instances are listed without the lag, so that each finds the others in the
+        // list.
         world->list.back().from = {};
     }
     for (std::size_t i = 0; i < settings.workspaces.size(); ++i)
--- a/testing/standin_member.cpp
+++ b/testing/standin_member.cpp
@@ -60,7 +60,7 @@
         }
         break;
     case member_fault::Silent:
-        // Connections that are open now stay silent after the fault is switched off.
+        // Connections that are open when the fault starts remain without answers after it ends.
         for (auto &[connection, state] : connections_)
             state.isSilent = state.isSilent || on;
         break;
--- a/tests/unit-caller-json.cpp
+++ b/tests/unit-caller-json.cpp
@@ -202,6 +202,8 @@
                  body["transaction"].get<std::string>().c_str());
 }
 
+// Guards against a transaction id that changes between answer and request, and against a malformed
+// id that is accepted as the id of another transaction.
 TEST(caller_answer, transactionIdRoundTrips)
 {
     const core::transaction_id id{ 0xabcdef0123456789ULL, 7 };
--- a/tests/unit-config-matrix.cpp
+++ b/tests/unit-config-matrix.cpp
@@ -368,7 +368,7 @@
     STRCMP_CONTAINS("M6: the withdrawn key is accepted", early.c_str());
 }
 
-// Guards against checks that detect nothing: each one must detect its deliberate error.
+// Guards against checks that detect nothing: each one must detect its injected defect.
 TEST(config_matrix, checkersFindDeliberateErrors)
 {
     const std::vector<std::tuple<sabotage, planned_fault, std::string>> errors{
--- a/tests/unit-ctl.cpp
+++ b/tests/unit-ctl.cpp
@@ -313,6 +313,8 @@
 
 TEST_GROUP(admin_json){};
 
+// Guards against an operator request that runs on a different route because of a malformed path,
+// and against access with a wrong or incomplete operator secret.
 TEST(admin_json, matchesRoutesAndSecrets)
 {
     CHECK_TRUE(wire::matchAdminRoute("GET", "/v1/admin/notes/check").route
@@ -369,6 +371,8 @@
     CHECK(daemon.out.str().find("promotion is on") != std::string::npos);
 }
 
+// Guards against a switch command that reports success although the store refused the change, or a
+// failure although the change was applied and only its answer was lost.
 TEST(ctl, storeSwitchReportsItsOutcome)
 {
     checkCode(exit_code::Usage, daemon.run({ "switch", "off", "loans", "--store=127.0.0.1:1" }),
--- a/tests/unit-decision-meter.cpp
+++ b/tests/unit-decision-meter.cpp
@@ -93,8 +93,8 @@
     DOUBLES_EQUAL(0.9, gaps().sumSeconds(), 1e-9);
 }
 
-// Guards against wrong gaps from an instance that does not watch the group and so does not know
-// when the primary last answered.
+// Guards against wrong gaps from an instance that does not monitor the group and therefore has no
+// time of the primary's last answer.
 TEST(decision_meter, countsNoGapWithoutWatching)
 {
     owner->isMonitoringMembers = false;
--- a/tests/unit-failover-matrix.cpp
+++ b/tests/unit-failover-matrix.cpp
@@ -410,8 +410,9 @@
     CHECK_FALSE(isCaught(sabotage::None, "", arrange));
 }
 
-// Guards against a check of requirement M2 that misses two primaries which both acknowledge writes:
-// the old primary is cut off together with one owner, and the other owners promote a new one.
+// Guards against a check of requirement M2 (no acknowledged write is lost) that misses two
+// primaries which both acknowledge writes: the old primary is cut off together with one owner, and
+// the other owners promote a new one.
 TEST(failover_matrix, catchesDivergingHistories)
 {
     const auto arrange = [](fake_group &group) {
@@ -430,7 +431,8 @@
     CHECK_FALSE(isCaught(sabotage::None, "", arrange));
 }
 
-// Guards against a check of the write gap that never fires, here when no owner promotes.
+// Guards against a check of the write gap that never reports a violation, here when no owner
+// promotes.
 TEST(failover_matrix, catchesAMissingPromotion)
 {
     const auto arrange = [](fake_group &group) {
@@ -440,8 +442,8 @@
     CHECK_FALSE(isCaught(sabotage::None, "", arrange));
 }
 
-// Guards against checks of requirements M9 and M10 that never fire, here when writes are reported
-// as not run or repeated without a key.
+// Guards against checks that never report a violation, here when executed writes are reported as
+// not run (requirement M9) or repeated without an idempotency key (requirement M10).
 TEST(failover_matrix, catchesWrongOutcomesAndRepeatedWrites)
 {
     const auto arrange = [](fake_group &group) { group.loss = 0.05; };
--- a/tests/unit-freshness.cpp
+++ b/tests/unit-freshness.cpp
@@ -206,7 +206,7 @@
 }
 
 // Guards against a proof from acknowledgements that miss an instance which may have a newer
-// version, or that include an instance which doesn't know the outcome of its submit.
+// version, or that include an instance whose submit has an unknown outcome.
 TEST(config_spread, incompleteReportProvesNothing)
 {
     simulated_cluster cluster(30);
--- a/tests/unit-gateway-matrix.cpp
+++ b/tests/unit-gateway-matrix.cpp
@@ -177,9 +177,9 @@
     UNSIGNED_LONGS_EQUAL(0, found.size());
 }
 
-// Guards against new work for a leaving member from a gateway that was paused while the member
-// started to leave (M11). 583 of 3,000 seeds failed before the gateway queried the members again
-// after a pause.
+// Guards against new work for a leaving member (requirement M11) from a gateway that was paused
+// while the member started to leave. 583 of 3,000 seeds failed before the gateway queried the
+// members again after a pause.
 TEST(gateway_matrix, pausedGatewayAsksBeforeItSendsAgain)
 {
     matrix_counts counts;
--- a/tests/unit-http.cpp
+++ b/tests/unit-http.cpp
@@ -62,6 +62,8 @@
     }
 };
 
+// Guards against a client or server that drops or alters the method, target, headers, body or
+// status of an exchange.
 TEST(http, carriesHeadersBodyAndStatusBothWays)
 {
     net::http_server server(
--- a/tests/unit-limit-claim.cpp
+++ b/tests/unit-limit-claim.cpp
@@ -75,8 +75,8 @@
     LONGS_EQUAL(500'000, claim.granted);
 }
 
-// Guards against lowering a claim while a home still holds a lease on the higher part: others would
-// claim and use the same part.
+// Guards against lowering a claim while a home still holds a lease on the higher part: other
+// daemons would claim the released part while the home uses it.
 TEST(limit_claim, claimIsLoweredAfterLeasesHaveEnded)
 {
     limit_claim claim;
--- a/tests/unit-limit-manager.cpp
+++ b/tests/unit-limit-manager.cpp
@@ -233,7 +233,7 @@
     }
 
     /// Opens connections up to the limit and keeps them open. Above the limit, idle connections are
-    /// closed at once and busy ones just before connectionDrainInterval has passed.
+    /// closed at once, and those with an exchange just before connectionDrainInterval has passed.
     void useConnections(node &each)
     {
         each.open = std::max(each.open, std::min(each.limit, each.demand));
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -224,7 +224,8 @@
     world_settings settings = settingsOf(seed);
     settings.fault = mutated;
     settings.doubled = 0.2;
-    // With short promises and long loans, the loans of a dead lender outlast its lease.
+    // Witnesses promise a lease for a short time and loans are long, so that the loans of a crashed
+    // lender outlast its lease.
     settings.leases.promise = seconds(2);
     settings.leases.promiseRenewInterval = milliseconds(500);
     settings.leases.voteGracePeriod = milliseconds(0);
--- a/tests/unit-log-event.cpp
+++ b/tests/unit-log-event.cpp
@@ -103,6 +103,8 @@
     STRCMP_EQUAL("event=807 name=link_opened address=invalid unlisted=1", line.c_str());
 }
 
+// Guards against an error of the operating system or of a library that is logged under the name of
+// a proxy error, because error numbers are unique only within their category.
 TEST(log_line, writesCategoryAndNumberOfForeignErrors)
 {
     const std::error_code foreign = std::make_error_code(std::errc::timed_out);
--- a/tests/unit-membership.cpp
+++ b/tests/unit-membership.cpp
@@ -113,8 +113,8 @@
     check("b", peer_state::Gone, 2);
 }
 
-// Guards against a dead incarnation that replaces its successor because of a delayed message, and
-// against a successor that is ignored.
+// Guards against a delayed message of an ended incarnation that replaces the newer incarnation of
+// the instance, and against a newer incarnation that is ignored.
 TEST(membership, restartReplacesThePredecessor)
 {
     hear(sender("a", 1));
--- a/tests/unit-metrics.cpp
+++ b/tests/unit-metrics.cpp
@@ -138,7 +138,7 @@
     DOUBLES_EQUAL(0, meter.sample(1000, now + 12s), 1e-9);
 }
 
-// Guards against a reader that sees a torn snapshot or one older than the last it read, when the
+// Guards against a reader that reads a torn snapshot or one older than the last it read, when the
 // writer publishes concurrently.
 TEST(metrics_sum, snapshotsAreWholeAndInOrder)
 {
--- a/tests/unit-peer-codec.cpp
+++ b/tests/unit-peer-codec.cpp
@@ -67,6 +67,8 @@
     }
 };
 
+// Guards against a digest whose sender or round number changes between sealing and reading, and
+// against fields of the previous digest that remain when a variable is reused.
 TEST(peer_codec, digestRoundTrips)
 {
     digest_message<core::spread_message> digest;
--- a/tests/unit-quota-cluster.cpp
+++ b/tests/unit-quota-cluster.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr milliseconds warmUp{ 14'000 }; // until all daemons know each other and refill
+constexpr milliseconds warmUp{ 14'000 }; // until all daemons have discovered each other and refill
 constexpr std::uint64_t seeds = 5;
 
 void checkLimit(const quota_cluster &cluster, std::uint64_t seed)
--- a/tests/unit-quota.cpp
+++ b/tests/unit-quota.cpp
@@ -1,5 +1,8 @@
 /// @file
 /// @brief Tests of workspace limits that daemons enforce jointly by transferring parts and tokens.
+///
+/// The home of a workspace is the daemon of a zone that borrows the parts of the limit from the
+/// other daemons of the zone and serves their token requests.
 
 #include <fuchsiagw/proxy/quota.hpp>
 
@@ -116,7 +119,8 @@
         return admit(own, now);
     }
 
-    /// Periodic work of the daemons: unused overflow tokens are returned to the homes.
+    /// Returns the unused overflow tokens of all daemons to their homes, as daemons do
+    /// periodically.
     void returnUnusedTokens(core::time_point now)
     {
         for (const quota_node &each : nodes) {
@@ -256,8 +260,8 @@
     CHECK_FALSE(lendPart(simulation.quotaOf("n0-1"), "n0-2", at(1100)).has_value());
 }
 
-// Guards against a delayed grant: a home that was suspended must not use a part whose lease is over
-// by its own clock.
+// Guards against a home that uses a part which its owner uses again. This happens if a grant is
+// processed late, because the home was suspended, when its lease has expired by the home's clock.
 TEST(quota, delayedGrantIsNotUsed)
 {
     quota_simulation simulation(1, 2, 100, 100);
--- a/tests/unit-session-engine.cpp
+++ b/tests/unit-session-engine.cpp
@@ -112,7 +112,7 @@
     CHECK_FALSE(proxy_fixture::commandsOf(fixture.takeActions()).back().after.has_value());
 }
 
-// Guards against a session that does not see its own write, because the read went to a replica that
+// Guards against a session whose read misses its own write, because the read went to a replica that
 // has not applied the write yet.
 TEST(session_engine, replicaMustHaveOwnWrite)
 {
@@ -167,7 +167,7 @@
 }
 
 // Guards against running a write twice, by sending it again after the connection ended before the
-// answer. The member may have run it, so the caller must be told that the outcome is unknown.
+// answer. The member may have run it, so the caller must receive an unknown outcome.
 TEST(session_engine, writeWithLostAnswerIsNotRepeated)
 {
     const session_id id = fixture.openSession("own");
@@ -338,7 +338,7 @@
 }
 
 // Guards against holding a statement until its timeout when no primary is known. An early refusal
-// lets the caller retry and states that the statement did not run.
+// allows the caller to retry and states that the statement did not run.
 TEST(session_engine, statementWithoutPrimaryIsRefusedEarly)
 {
     auto replica = proxy_fixture::member("m1", false);
@@ -706,7 +706,7 @@
     CHECK_EQUAL(1U, given.size());
     STRCMP_EQUAL("node-2", given[0].peer.c_str());
     LONGS_EQUAL(fuchsiagw::core::oneToken, given[0].message.amount);
-    // The answer is also sent soon if no other zone has a token.
+    // If no other zone has a token, the home answers within 40 ms with a grant of zero tokens.
     onPeerMessage(fixture.state, request, fixture.now + milliseconds(20));
     fixture.now += milliseconds(20);
     fixture.advanceTime(milliseconds(40));
--- a/tests/unit-settings.cpp
+++ b/tests/unit-settings.cpp
@@ -35,6 +35,8 @@
     }
 };
 
+// Guards against an entry that is read into the wrong setting, and against a missing entry that
+// does not get its default.
 TEST(settings, readsEntriesAndDefaults)
 {
     daemon::settings result;
@@ -56,6 +58,8 @@
                 toString(problems[0]));
 }
 
+// Guards against a daemon that starts with a value which is out of range or malformed, and against
+// a report of only the first of several problems.
 TEST(settings, refusesInvalidValuesAndReportsEachProblem)
 {
     daemon::settings result;
--- a/tests/unit-share-pool.cpp
+++ b/tests/unit-share-pool.cpp
@@ -97,7 +97,7 @@
     CHECK_TRUE(judge(first.transaction, table) == transaction_state::Committed);
 }
 
-// Guards against connections that are handed out after a decrease of the total while holders still
+// Guards against connections that are granted after a decrease of the total while holders still
 // have to return some.
 TEST(share_pool, decreaseMakesFreeNegativeUntilHoldersReturnShares)
 {
--- a/tests/unit-soak-history.cpp
+++ b/tests/unit-soak-history.cpp
@@ -144,8 +144,8 @@
     fixture.expectOnly(soak_guarantee::OnceOnly);
 }
 
-// Guards against findings for a write that a promotion truncated before its caller was told that it
-// is not applied.
+// Guards against findings for a write that a promotion truncated before its caller received the
+// report that it is not applied.
 TEST(soak_history, rolledBackCommitDoesNotCount)
 {
     fixture.send("a", 1, true);
--- a/tests/unit-standin-group.cpp
+++ b/tests/unit-standin-group.cpp
@@ -301,8 +301,8 @@
     STRCMP_EQUAL("1", run(open(0), statement_kind::Read, "get k").rows.at(0).at(0).c_str());
 }
 
-// Guards against a silent fault that ends on its connections when it is switched off, or that also
-// affects new connections.
+// Guards against the fault Silent ending on affected connections when it is switched off, and
+// against it affecting new connections.
 TEST(group_standin, silentConnectionStaysSilent)
 {
     startGroup();
@@ -340,8 +340,8 @@
     CHECK_EQUAL(3, run(open(0), statement_kind::Read, "get n").id.low);
 }
 
-// Guards against a partition that loses requests which TCP would deliver after it, including those
-// of a caller whose timeout has passed.
+// Guards against a simulated partition that drops requests. TCP would deliver them after the
+// partition, even if the caller has stopped waiting for the answer.
 TEST(group_standin, delayedRequestsAreServedAfterThePartition)
 {
     startGroup();
--- a/tests/unit-tcp-link.cpp
+++ b/tests/unit-tcp-link.cpp
@@ -157,7 +157,7 @@
 }
 
 // Guards against reporting a request as unsent that may have arrived, and against losing one
-// without a report: a frame counts as unsent exactly if no byte of it was handed to the kernel.
+// without a report: a frame counts as unsent exactly if no byte of it was passed to the kernel.
 TEST(tcp_link, unsentFramesAreReported)
 {
     tcp::acceptor acceptor(context, tcp::endpoint(loopback.address, 0));
