--- a/include/fuchsiagw/net/tcp_link.hpp
+++ b/include/fuchsiagw/net/tcp_link.hpp
@@ -33,7 +33,7 @@
 {
     std::chrono::milliseconds connectTimeout{ 1'000 };
     std::chrono::milliseconds heartbeatInterval{ 250 }; ///< of an active link
-    std::chrono::milliseconds heartbeatTimeout{ 1'000 }; ///< an active link without input closes
+    std::chrono::milliseconds heartbeatTimeout{ 1'000 }; ///< closes an active link without input
     std::chrono::milliseconds activePeriod{ 5'000 }; ///< how long a frame keeps a link active
     std::chrono::milliseconds idleHeartbeatInterval{ 15'000 };
     std::chrono::milliseconds idleHeartbeatTimeout{ 40'000 };
--- a/include/fuchsiagw/testing/fake_group.hpp
+++ b/include/fuchsiagw/testing/fake_group.hpp
@@ -103,8 +103,8 @@
     std::uint64_t acknowledged = 0;
     std::uint64_t lost = 0; ///< acknowledged writes that are missing in the log of the last primary
     std::uint64_t promotions = 0;
-    core::duration longestGap =
-            core::duration::zero(); ///< longest serviceable time without an acknowledged write
+    core::duration longestGap = core::duration::zero(); ///< longest time without an acknowledged
+                                                        ///< write, see fake_group::gap
     core::duration failoverGap =
             core::duration::zero(); ///< from markPrimaryLoss() to the next acknowledged write
 };
@@ -130,7 +130,8 @@
     [[nodiscard]] core::time_point now() const { return clock; }
     void markPrimaryLoss(); ///< starts fake_findings::failoverGap
 
-    void cut(std::size_t left, std::size_t right, bool isCut); ///< see ownerNode()
+    /// Cuts or restores the link between two nodes: member indexes or results of ownerNode().
+    void cut(std::size_t left, std::size_t right, bool isCut);
     [[nodiscard]] std::size_t ownerNode(std::size_t owner) const { return members.size() + owner; }
     void stop(std::size_t member, bool refuses);
     void start(std::size_t member);
@@ -205,6 +206,7 @@
                 core::term_number previousTerm, const std::vector<fake_entry> &entries);
     void catchUp(std::size_t member);
     void renewLease(std::size_t owner);
+    /// @return whether some running owner reaches a member that could lead a majority
     [[nodiscard]] bool isServiceable() const;
     void measureGap();
 
@@ -227,8 +229,8 @@
     std::vector<std::vector<pending_wait>> waits; ///< by member
     core::time_point leaseUntil = core::time_point::min(); ///< lease in the table of the platform
     std::optional<core::time_point> primaryLostAt;
-    core::duration gap =
-            core::duration::zero(); ///< serviceable time since the last acknowledgement
+    core::duration gap = core::duration::zero(); ///< since the last acknowledgement; only time
+                                                 ///< while isServiceable()
     fake_findings findings;
 };
 
--- a/include/fuchsiagw/testing/gateway_world.hpp
+++ b/include/fuchsiagw/testing/gateway_world.hpp
@@ -120,7 +120,8 @@
     std::size_t zones = 3;
     std::size_t groups = 1;
     std::size_t sessions = 20;
-    std::uint32_t connections = 16; ///< limit on the data connections to each group
+    /// Limit on the data connections to each group; see section 1.4 of the design.
+    std::uint32_t connections = 16;
     std::uint32_t slots = 2;
     core::duration crossZoneDelay = std::chrono::milliseconds(4);
     core::duration connectionCost = std::chrono::milliseconds(12);
--- a/include/fuchsiagw/testing/group_settings.hpp
+++ b/include/fuchsiagw/testing/group_settings.hpp
@@ -24,7 +24,7 @@
     std::uint32_t connections = 16; ///< limit on the data connections to all members together
     core::duration execute{ 0 }; ///< execution time of a statement
     core::duration lag{ 0 }; ///< mean replication lag; each copy takes 0.5 to 1.5 times as long
-    core::duration applyLag{ 0 }; ///< additional time until reads see copied entries
+    core::duration applyLag{ 0 }; ///< additional time until reads return copied entries
     core::duration connect{ 0 }; ///< delay of the first statement of a connection
     std::uint64_t seed = 1;
     std::size_t historyLimit = 100'000; ///< statements; the oldest are evicted first
--- a/include/fuchsiagw/testing/limits_world.hpp
+++ b/include/fuchsiagw/testing/limits_world.hpp
@@ -156,7 +156,7 @@
     std::deque<world_node> nodes; ///< deque: references stay valid when a node is added
     std::map<core::incarnation_id, std::size_t> nodeByIncarnation;
     std::vector<listed_peer> list;
-    std::vector<core::peer_ref> holdersComputedFor; ///< list from which holders was computed
+    std::vector<core::peer_ref> holdersComputedFor; ///< list from which `holders` was computed
     std::map<core::resource_id, std::vector<core::incarnation_id>> holders;
     core::incarnation_id nextIncarnation = 1;
     std::uint64_t nextTransaction = 1;
--- a/include/fuchsiagw/testing/loopback_proxy.hpp
+++ b/include/fuchsiagw/testing/loopback_proxy.hpp
@@ -38,7 +38,7 @@
     void setBlockedDirections(const blocked_directions &blocked);
     /// @brief Resets every open connection.
     void resetAllConnections();
-    /// @brief Stops forwarding on the open connections for good; new connections work.
+    /// @brief Permanently stops forwarding on the open connections; new connections work.
     void silenceOpenConnections();
 
 private:
--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -138,7 +138,8 @@
     std::map<std::string, int> effects; ///< number of commits of each write, by statement id
     std::set<std::uint64_t> notAppliedUnits;
     std::map<std::uint64_t, std::set<std::string>> writesByUnit; ///< statement ids
-    std::map<std::uint64_t, std::uint64_t> unitByTransaction; ///< key: the member's number
+    std::map<std::uint64_t, std::uint64_t>
+            unitByTransaction; ///< by the member's transaction number
     std::map<std::uint64_t, transaction_location> locationByUnit;
     std::map<std::string, std::vector<acknowledged_commit>> acknowledged; ///< by service
     std::map<std::pair<std::string, std::uint64_t>, std::string>
--- a/testing/config_world.cpp
+++ b/testing/config_world.cpp
@@ -437,8 +437,8 @@
 {
     const core::submit_result &result = run->state.result;
     const std::uint64_t incarnation = run->incarnation;
-    // While an outcome is unresolved, the instance must not prove its version by proof (c). It must
-    // read the platform first.
+    // While an outcome is unresolved, acknowledgements of all instances, proof (c), must not prove
+    // the version of this instance. It must read the platform first.
     if (instances_[run->index].incarnation == incarnation) {
         instance &own = instances_[run->index];
         --own.activeSubmits;
--- a/testing/limits_world.cpp
+++ b/testing/limits_world.cpp
@@ -184,7 +184,7 @@
     }
 }
 
-/// Recomputes the share books after an injected defect has changed them.
+/// Recomputes the share ledgers after an injected defect has changed them.
 static void recomputeBooks(loan_manager &desk, time_point now)
 {
     for (auto &[resource, entry] : desk.limits)
--- a/testing/soak_history.cpp
+++ b/testing/soak_history.cpp
@@ -19,7 +19,7 @@
 constexpr double rateLimitFactor = 1.1;
 constexpr double rateToleranceOperations = 20;
 
-/// @return the newest commit that a read must see
+/// @return the newest commit that a read must include
 core::log_index requiredIndex(const soak_history &history, const sent_statement &sent)
 {
     core::time_point acknowledgedBefore = sent.unitSentAt;
--- a/tests/proxy-fixture.hpp
+++ b/tests/proxy-fixture.hpp
@@ -186,7 +186,7 @@
         }
     }
 
-    /// @return the first busy link that is not a control link; 0: none
+    /// @return the first link in state Busy that is not a control link; 0: none
     link_id busyLink() const
     {
         for (const auto &[id, link] : state.links) {
--- a/tests/unit-failover-matrix.cpp
+++ b/tests/unit-failover-matrix.cpp
@@ -364,11 +364,11 @@
     CHECK_TRUE(gaps.back() < 5s);
 }
 
-// ---- each checker must catch a deliberate fault ----
+// ---- each checker must detect an injected defect ----
 
 namespace {
 
-/// Runs cells with one deliberately wrong decision until a checker reports @p text.
+/// Runs cells with one injected defect until a checker reports @p text.
 bool isCaught(sabotage deliberate, std::string_view text,
               const std::function<void(fake_group &)> &arrange)
 {
@@ -389,8 +389,8 @@
 
 } // namespace
 
-// Guards against a check for lost writes that never fires, here when writes are acknowledged
-// without a majority.
+// Guards against a check for lost writes that never reports a violation, here when writes are
+// acknowledged without a majority.
 TEST(failover_matrix, catchesAcknowledgementWithoutMajority)
 {
     CHECK_TRUE(isCaught(sabotage::AcknowledgeAtOnce, "acknowledged writes missing at promotion",
--- a/tests/unit-limit-manager.cpp
+++ b/tests/unit-limit-manager.cpp
@@ -356,7 +356,7 @@
         all.nodes[index]->isAlive = false;
         all.after(seconds(1), [this] { all.announce(); });
     }
-    /// Checks that each share book has the home shares that the table records.
+    /// Checks that each share ledger has the home shares that the table records.
     void checkBooks()
     {
         for (const auto &each : all.nodes) {
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::uint64_t firstSeed = 5'000;
 
-/// Action 5 s after the start without which the step would not be reached.
+/// Action 5 s after the start that a step needs so that a node reaches it.
 enum class setup_action { None, Kill, Replace };
 
 struct protocol_step
