--- a/include/fuchsiagw/net/tcp_link.hpp
+++ b/include/fuchsiagw/net/tcp_link.hpp
@@ -3,7 +3,7 @@
 ///
 /// An active link exchanges heartbeats several times a second, so that an unresponsive peer is
 /// detected within about a second. An idle link sends a heartbeat of a few bytes every 15 s. When a
-/// link closes, its owner is told which frames were certainly not sent.
+/// link closes, it reports to its owner which frames were certainly not sent.
 
 #pragma once
 
@@ -33,7 +33,7 @@
 {
     std::chrono::milliseconds connectTimeout{ 1'000 };
     std::chrono::milliseconds heartbeatInterval{ 250 }; ///< of an active link
-    std::chrono::milliseconds heartbeatTimeout{ 1'000 }; ///< an active link without input closes
+    std::chrono::milliseconds heartbeatTimeout{ 1'000 }; ///< closes an active link without input
     std::chrono::milliseconds activePeriod{ 5'000 }; ///< how long a frame keeps a link active
     std::chrono::milliseconds idleHeartbeatInterval{ 15'000 };
     std::chrono::milliseconds idleHeartbeatTimeout{ 40'000 };
--- a/include/fuchsiagw/testing/soak_history.hpp
+++ b/include/fuchsiagw/testing/soak_history.hpp
@@ -138,7 +138,8 @@
     std::map<std::string, int> effects; ///< number of commits of each write, by statement id
     std::set<std::uint64_t> notAppliedUnits;
     std::map<std::uint64_t, std::set<std::string>> writesByUnit; ///< statement ids
-    std::map<std::uint64_t, std::uint64_t> unitByTransaction; ///< key: the member's number
+    std::map<std::uint64_t, std::uint64_t>
+            unitByTransaction; ///< by the member's transaction number
     std::map<std::uint64_t, transaction_location> locationByUnit;
     std::map<std::string, std::vector<acknowledged_commit>> acknowledged; ///< by service
     std::map<std::pair<std::string, std::uint64_t>, std::string>
@@ -167,7 +168,8 @@
 void onSuccess(soak_history &history, const std::string &id, const std::string &digest,
                const std::string &row, std::optional<core::log_position> commit,
                core::time_point now);
-/// @brief Records that a unit is not applied: its caller was told so and does not retry it.
+/// @brief Records that the proxy reported a unit as not applied to its caller, which does not retry
+/// the unit.
 void onReportedNotApplied(soak_history &history, std::uint64_t unit);
 
 /// @brief Records a promotion that the platform carries out.
--- a/testing/limits_world.cpp
+++ b/testing/limits_world.cpp
@@ -184,7 +184,7 @@
     }
 }
 
-/// Recomputes the share books after an injected defect has changed them.
+/// Recomputes the share ledgers after an injected defect has changed them.
 static void recomputeBooks(loan_manager &loanManager, time_point now)
 {
     for (auto &[resource, entry] : loanManager.limits)
@@ -323,7 +323,8 @@
     }
     for (std::size_t i = 0; i < settings.instances; ++i) {
         startNode(*world, i);
-        // The initial instances are listed without the lag, so that they see each other.
+        // The initial instances are listed without the lag, so that each finds the others in the
+        // list.
         world->list.back().from = {};
     }
     for (std::size_t i = 0; i < settings.workspaces.size(); ++i)
--- a/tests/unit-limit-manager.cpp
+++ b/tests/unit-limit-manager.cpp
@@ -234,7 +234,7 @@
     }
 
     /// Opens connections up to the limit and keeps them open. Above the limit, idle connections are
-    /// closed at once and busy ones just before connectionDrainInterval has passed.
+    /// closed at once, and those with an exchange just before connectionDrainInterval has passed.
     void useConnections(node &each)
     {
         each.open = std::max(each.open, std::min(each.limit, each.demand));
@@ -357,7 +357,7 @@
         all.nodes[index]->isAlive = false;
         all.after(seconds(1), [this] { all.announce(); });
     }
-    /// Checks that each share book has the home shares that the table records.
+    /// Checks that each share ledger has the home shares that the table records.
     void checkBooks()
     {
         for (const auto &each : all.nodes) {
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::uint64_t firstSeed = 5'000;
 
-/// Action 5 s after the start without which the step would not be reached.
+/// Action 5 s after the start that a step needs so that a node reaches it.
 enum class setup_action { None, Kill, Replace };
 
 struct protocol_step
@@ -230,7 +230,8 @@
     limits_world_settings settings = settingsOf(seed);
     settings.fault = mutated;
     settings.doubled = 0.2;
-    // With short promises and long loans, the loans of a dead lender outlast its lease.
+    // Witnesses promiseDuration a lease for a short time and loans are long, so that the loans of a crashed
+    // lender outlast its lease.
     settings.leases.promiseDuration = seconds(2);
     settings.leases.promiseRenewInterval = milliseconds(500);
     settings.leases.voteGracePeriod = milliseconds(0);
