--- a/include/fuchsiagw/core/loan_policy.hpp
+++ b/include/fuchsiagw/core/loan_policy.hpp
@@ -46,7 +46,7 @@
 /// State of one limit at this instance.
 struct limit_entry
 {
-    share_ledger book;
+    share_ledger ledger;
     demand_estimate demand;
     std::uint32_t waiting = 0; ///< statements that wait for a token or a connection
     std::uint32_t inUse = 0; ///< open connections; 0 for a workspace
--- a/include/fuchsiagw/detail/limit_manager_steps.hpp
+++ b/include/fuchsiagw/detail/limit_manager_steps.hpp
@@ -14,12 +14,12 @@
 [[nodiscard]] loan_manager &loanManagerOf(limit_manager &manager, const resource_id &resource);
 
 /// @return the share ledger of an existing limit
-[[nodiscard]] share_ledger &bookOf(limit_manager &manager, const resource_id &resource);
+[[nodiscard]] share_ledger &ledgerOf(limit_manager &manager, const resource_id &resource);
 
 /// @brief Counts the shares that stay usable beyond @p at even if neither the lease nor a loan is
 /// renewed. Lent shares are not counted.
 /// @complexity linear in the loans
-[[nodiscard]] share_count sharesUntil(const share_ledger &book, time_point at);
+[[nodiscard]] share_count sharesUntil(const share_ledger &ledger, time_point at);
 
 /// @brief Counts the home shares that may be given away now: those that are neither lent nor needed
 /// by open connections during the next connectionDrainInterval.
--- a/src/core/failover.cpp
+++ b/src/core/failover.cpp
@@ -62,18 +62,19 @@
 bool isSilent(const failover_state &state, time_point now)
 {
     const std::int64_t factor = timeoutFactor(state);
-    const duration patience = suspectAfter * factor;
+    const duration silenceTimeout = suspectAfter * factor;
     // If a peer has received an answer from the primary recently, only the path between this owner
     // and the primary is cut. A refused connection is an answer of the primary's host, so it is
     // outweighed only by an answer that a peer received later.
     if (state.refusedSince != noDeadline && now >= state.refusedSince + suspectAfterRefused * factor
         && state.lastHeardByPeer < state.refusedSince)
         return true;
-    const bool isHeardByPeer = state.lastHeardByPeer != time_point::min()
-                               && state.lastHeardByPeer + patience + primaryProbeAfterSilence > now;
+    const bool isHeardByPeer =
+            state.lastHeardByPeer != time_point::min()
+            && state.lastHeardByPeer + silenceTimeout + primaryProbeAfterSilence > now;
     if (isHeardByPeer)
         return false;
-    return state.silentSince != noDeadline && now >= state.silentSince + patience;
+    return state.silentSince != noDeadline && now >= state.silentSince + silenceTimeout;
 }
 
 bool isUnconfirmed(const failover_state &state, const group_view &view, const failover_load &load,
@@ -81,16 +82,17 @@
 {
     if (load.oldestUnconfirmed == noDeadline)
         return false;
-    const duration patience =
+    const duration confirmationTimeout =
             std::max(unconfirmedTimeout, load.confirmDelay * 2) * timeoutFactor(state);
-    if (now < load.oldestUnconfirmed + patience || now < state.resumedAt + patience)
+    if (now < load.oldestUnconfirmed + confirmationTimeout
+        || now < state.resumedAt + confirmationTimeout)
         return false;
     // With slow replication the logs of the replicas still advance. Replicas that only lag are no
     // reason for a promotion.
     return std::none_of(view.members.begin(), view.members.end(), [&](const auto &each) {
         const member_view &member = each.second;
         return each.first != *view.primary && member.lastAdvancedAt != time_point::min()
-               && member.lastAdvancedAt + patience > now;
+               && member.lastAdvancedAt + confirmationTimeout > now;
     });
 }
 
--- a/src/core/limit_manager.cpp
+++ b/src/core/limit_manager.cpp
@@ -47,9 +47,9 @@
 /// @return connection shares that are usable now but not announced, because they expire soon
 share_count endingShares(limit_entry &entry, time_point now)
 {
-    advance(entry.book, now);
+    advance(entry.ledger, now);
     return std::max<share_count>(
-            entry.book.usable - sharesUntil(entry.book, now + announcementHorizon), 0);
+            entry.ledger.usable - sharesUntil(entry.ledger, now + announcementHorizon), 0);
 }
 
 /// Returns borrowed connections that are neither open nor expected to be needed.
@@ -59,15 +59,15 @@
 {
     limit_state &limit = manager.limits.at(resource);
     limit_entry &entry = manager.connections.limits.at(resource);
-    advance(entry.book, now);
+    advance(entry.ledger, now);
     std::vector<std::pair<share_count, loan_id>> loans;
-    for (const auto &[id, loan] : entry.book.in)
+    for (const auto &[id, loan] : entry.ledger.in)
         if (loan.shares > 0)
             loans.emplace_back(loan.shares, id);
     std::sort(loans.begin(), loans.end());
     const share_count expected = (limit.busyPeak * share_count{ 3 } + 1) / 2;
     const share_count needed = std::max<share_count>(entry.inUse, expected) + entry.waiting;
-    share_count held = sharesUntil(entry.book, now + announcementHorizon);
+    share_count held = sharesUntil(entry.ledger, now + announcementHorizon);
     if (loans.empty() || held - loans.front().first < needed) {
         limit.surplusSince = noDeadline;
         return;
@@ -78,7 +78,7 @@
     for (const auto &[shares, id] : loans) {
         if (held - shares < needed)
             break;
-        if (auto back = returnLoan(entry.book, resource, id,
+        if (auto back = returnLoan(entry.ledger, resource, id,
                                    manager.connections.settings.times.rateLoanDuration, now))
             send(actions, id.lender, loan_returns{ { std::move(*back) } });
         held -= shares;
@@ -105,8 +105,9 @@
     if (limit == manager.limits.end() || item.shares == 0 || !manager.connections.areLoansOn)
         return;
     const limit_entry &entry = manager.connections.limits.at(item.resource);
-    const share_count held = sharesUntil(entry.book, now + announcementHorizon);
-    const share_count unlent = now < entry.book.homeUntil ? entry.book.home - entry.book.lent : 0;
+    const share_count held = sharesUntil(entry.ledger, now + announcementHorizon);
+    const share_count unlent =
+            now < entry.ledger.homeUntil ? entry.ledger.home - entry.ledger.lent : 0;
     const share_count busy = entry.inUse - limit->second.idleConnections;
     const share_count spare = std::min(held - busy - entry.waiting, unlent);
     const share_count lent = std::min(item.shares, (spare + 1) / 2);
@@ -144,15 +145,15 @@
     std::vector<hidden_loans> hidden;
     for (auto &[resource, entry] : loanManager.limits) {
         const auto ending = static_cast<std::uint32_t>(endingShares(entry, now));
-        hidden.push_back({ &entry, entry.inUse, std::exchange(entry.book.in, {}) });
+        hidden.push_back({ &entry, entry.inUse, std::exchange(entry.ledger.in, {}) });
         entry.inUse += ending;
     }
     const std::size_t before = actions.size();
     sendLoanMessages(onLoanRequest(loanManager, request, now), actions);
     for (hidden_loans &each : hidden) {
         each.entry->inUse = each.inUse;
-        each.entry->book.in = std::move(each.loans);
-        setHomeUntil(each.entry->book, each.entry->book.homeUntil, now);
+        each.entry->ledger.in = std::move(each.loans);
+        setHomeUntil(each.entry->ledger, each.entry->ledger.homeUntil, now);
     }
     // The granted loans may be sufficient; otherwise the peer's next request asks for the
     // missing shares.
@@ -246,13 +247,13 @@
         loan_manager &loanManager = loanManagerOf(manager, resource);
         limit_entry &entry = loanManager.limits.at(resource);
         std::vector<loan_id> loans;
-        for (const auto &[id, loan] : entry.book.in)
+        for (const auto &[id, loan] : entry.ledger.in)
             if (loan.shares > 0)
                 loans.push_back(id);
         if (entry.waiting > 0 || entry.inUse > 0)
             continue;
         for (const loan_id &id : loans)
-            if (auto back = returnLoan(entry.book, resource, id,
+            if (auto back = returnLoan(entry.ledger, resource, id,
                                        loanManager.settings.times.rateLoanDuration, now))
                 returns[id.lender].loans.push_back(std::move(*back));
     }
@@ -268,9 +269,9 @@
     const limit_entry &entry = manager.connections.limits.at(resource);
     if (now >= limit.busyPeakUntil)
         limit.busyPeak = entry.inUse - std::min(entry.inUse, limit.idleConnections);
-    advance(bookOf(manager, resource), now);
+    advance(ledgerOf(manager, resource), now);
     share_count held =
-            std::min(sharesUntil(entry.book, now + announcementHorizon), entry.book.total);
+            std::min(sharesUntil(entry.ledger, now + announcementHorizon), entry.ledger.total);
     // An instance that is leaving or no longer owns the group keeps only the connections that its
     // queued statements need.
     if (!limit.isUsed || manager.isLeaving)
@@ -280,8 +281,9 @@
     if (now < limit.releasedIdleUntil)
         held = std::max<share_count>(held - limit.releasedIdle, 0);
     // Idle borrowed connections are closed, so that their loans can be returned.
-    const share_count unlent = now < entry.book.homeUntil ? entry.book.home - entry.book.lent : 0;
-    if (entry.book.usable > unlent && limit.idleConnections > 0 && entry.waiting == 0)
+    const share_count unlent =
+            now < entry.ledger.homeUntil ? entry.ledger.home - entry.ledger.lent : 0;
+    if (entry.ledger.usable > unlent && limit.idleConnections > 0 && entry.waiting == 0)
         held = std::min(held, std::max(unlent, (limit.busyPeak * share_count{ 3 } + 1) / 2));
     return static_cast<std::uint32_t>(held);
 }
@@ -315,15 +317,15 @@
     return resource.kind == resource_kind::Workspace ? manager.rates : manager.connections;
 }
 
-share_ledger &bookOf(limit_manager &manager, const resource_id &resource)
+share_ledger &ledgerOf(limit_manager &manager, const resource_id &resource)
 {
-    return loanManagerOf(manager, resource).limits.at(resource).book;
+    return loanManagerOf(manager, resource).limits.at(resource).ledger;
 }
 
-share_count sharesUntil(const share_ledger &book, time_point at)
+share_count sharesUntil(const share_ledger &ledger, time_point at)
 {
-    share_count shares = book.homeUntil > at ? book.home - book.lent : 0;
-    for (const auto &[id, loan] : book.in)
+    share_count shares = ledger.homeUntil > at ? ledger.home - ledger.lent : 0;
+    for (const auto &[id, loan] : ledger.in)
         if (loan.endsAt > at)
             shares += loan.shares;
     return shares;
@@ -332,8 +334,8 @@
 share_count removableShares(limit_manager &manager, const resource_id &resource, time_point now)
 {
     limit_entry &entry = loanManagerOf(manager, resource).limits.at(resource);
-    advance(entry.book, now);
-    const share_count unlent = entry.book.home - entry.book.lent;
+    advance(entry.ledger, now);
+    const share_count unlent = entry.ledger.home - entry.ledger.lent;
     if (resource.kind == resource_kind::Workspace)
         return manager.isLeaving && entry.waiting > 0 ? 0 : unlent;
     // An instance that is leaving or no longer owns the group serves its queued statements first.
@@ -341,7 +343,7 @@
     const share_count needed = entry.inUse + (isQueueServed ? entry.waiting : 0);
     if (needed == 0)
         return unlent;
-    const share_count spare = sharesUntil(entry.book, now + announcementHorizon) - needed;
+    const share_count spare = sharesUntil(entry.ledger, now + announcementHorizon) - needed;
     return std::clamp<share_count>(spare, 0, unlent);
 }
 
@@ -432,7 +434,7 @@
         limit->second.busyPeak = busy;
         limit->second.busyPeakUntil = now + busyPeakWindow;
     }
-    advance(bookOf(manager, resource), now);
+    advance(ledgerOf(manager, resource), now);
     setConnections(manager.connections, resource, inUse, waiting);
 }
 
--- a/src/core/limit_manager_limits.cpp
+++ b/src/core/limit_manager_limits.cpp
@@ -115,8 +115,8 @@
                       random_engine &random)
 {
     limit_state &limit = manager.limits.at(resource);
-    const share_ledger &book = bookOf(manager, resource);
-    const share_count difference = limit.fairShares - book.home;
+    const share_ledger &ledger = ledgerOf(manager, resource);
+    const share_count difference = limit.fairShares - ledger.home;
     const bool isNear = isSmall(difference, limit.fairShares);
     limit.pendingReturn = 0;
     limit.mayExceedFairPart = false;
@@ -182,7 +182,7 @@
         loan_manager &loanManager = loanManagerOf(manager, resource);
         limit_entry &entry =
                 addOrUpdateLimit(loanManager, resource, limit.rate, limit.burst, limit.total, now);
-        setHomeUntil(entry.book, manager.homeUntil, now);
+        setHomeUntil(entry.ledger, manager.homeUntil, now);
     }
 }
 
--- a/src/core/limit_manager_tasks.cpp
+++ b/src/core/limit_manager_tasks.cpp
@@ -163,7 +163,7 @@
         return false;
     if (limit.isUsed && limit.isPoolTotalUnverified)
         return true;
-    const share_count difference = limit.fairShares - bookOf(manager, resource).home;
+    const share_count difference = limit.fairShares - ledgerOf(manager, resource).home;
     if (difference >= 0)
         return difference > 0 || limit.mayExceedFairPart;
     if (limit.isUsed && !manager.isRebalancingOn && limit.pendingReturn == 0)
@@ -178,7 +178,7 @@
     bool hasMore = false;
     bool hasSome = false;
     for (const auto &[resource, limit] : manager.limits) {
-        const share_count home = bookOf(manager, resource).home;
+        const share_count home = ledgerOf(manager, resource).home;
         const share_count removable = removableShares(manager, resource, now);
         hasSome = hasSome || removable > 0;
         hasMore = hasMore || removable < home;
--- a/src/core/limit_manager_transactions.cpp
+++ b/src/core/limit_manager_transactions.cpp
@@ -112,7 +112,7 @@
                        time_point now, random_engine &random)
 {
     limit_state &limit = manager.limits.at(resource);
-    const share_count home = bookOf(manager, resource).home;
+    const share_count home = ledgerOf(manager, resource).home;
     share_count move = rebalanceDelta(home, limit.fairShares, pool);
     if (move == 0 && limit.mayExceedFairPart && pool.free > 0)
         move = std::clamp<share_count>(
@@ -164,7 +164,7 @@
         if (move > 0)
             wanted[resource] = move;
         else if (move < 0)
-            given[resource] = removeHome(bookOf(manager, resource), -move, now);
+            given[resource] = removeHome(ledgerOf(manager, resource), -move, now);
     }
     auto move = moveShares(nextTransactionId(manager), task.view, manager.self.incarnation, wanted,
                            given);
@@ -274,7 +274,7 @@
     for (const auto &[resource, limit] : manager.limits) {
         const share_count removable = removableShares(manager, resource, now);
         if (removable > 0 && findPool(task.view, resource) != nullptr)
-            given[resource] = removeHome(bookOf(manager, resource), removable, now);
+            given[resource] = removeHome(ledgerOf(manager, resource), removable, now);
     }
     auto move = leavePool(nextTransactionId(manager), task.view, manager.self.incarnation, given);
     if (!move || (given.empty() && move->transaction.deletes.empty())) {
@@ -289,13 +289,13 @@
                time_point now, random_engine &random, limit_manager_actions &actions)
 {
     for (const auto &[resource, part] : shares) {
-        addHome(bookOf(manager, resource), part.shares, part.tokens, now);
+        addHome(ledgerOf(manager, resource), part.shares, part.tokens, now);
         serveWaitingStatements(manager, resource, now, actions);
         const limit_state &limit = manager.limits.at(resource);
         const time_point known = limit.nextPoolReadAt;
         schedulePoolRead(manager, resource, now, random);
         // A pool with too few free shares is not read again before its backoff has passed.
-        if (known != noDeadline && limit.fairShares > bookOf(manager, resource).home)
+        if (known != noDeadline && limit.fairShares > ledgerOf(manager, resource).home)
             manager.limits.at(resource).nextPoolReadAt = known;
     }
 }
@@ -341,7 +341,7 @@
             schedulePoolRead(manager, resource, now, random);
             manager.isPredecessorSearchWanted =
                     manager.isPredecessorSearchWanted
-                    || 2 * bookOf(manager, resource).home < limit.fairShares;
+                    || 2 * ledgerOf(manager, resource).home < limit.fairShares;
         }
         manager.nextPredecessorSearchAt =
                 now + drawJitteredDelay(random, searchDelayPerInstance * std::ssize(manager.live));
--- a/src/core/loan_manager.cpp
+++ b/src/core/loan_manager.cpp
@@ -23,7 +23,7 @@
                               token_amount burst, share_count total, time_point now)
 {
     limit_entry &entry = manager.limits[resource];
-    core::setLimit(entry.book, rate, burst, total, now);
+    core::setLimit(entry.ledger, rate, burst, total, now);
     return entry;
 }
 
@@ -69,7 +69,7 @@
 void setHomeUntil(loan_manager &manager, time_point until, time_point now)
 {
     for (auto &[resource, entry] : manager.limits)
-        setHomeUntil(entry.book, until, now);
+        setHomeUntil(entry.ledger, until, now);
 }
 
 void setConnections(loan_manager &manager, const resource_id &group, std::uint32_t inUse,
--- a/src/core/loan_policy.cpp
+++ b/src/core/loan_policy.cpp
@@ -46,32 +46,34 @@
 /// Arrivals per second up to which a limit is treated as unused.
 constexpr double idleArrivalRate = 0.01;
 
-share_count sharesForRate(const share_ledger &book, double perSecond)
+share_count sharesForRate(const share_ledger &ledger, double perSecond)
 {
-    if (book.rate == 0)
+    if (ledger.rate == 0)
         return 0;
-    const double part = perSecond * static_cast<double>(oneToken) / static_cast<double>(book.rate);
-    return static_cast<share_count>(std::min(part, 1.0) * static_cast<double>(book.total));
+    const double part =
+            perSecond * static_cast<double>(oneToken) / static_cast<double>(ledger.rate);
+    return static_cast<share_count>(std::min(part, 1.0) * static_cast<double>(ledger.total));
 }
 
 /// @return the shares whose part of the burst holds @p tokens
-share_count sharesForTokens(const share_ledger &book, token_amount tokens)
+share_count sharesForTokens(const share_ledger &ledger, token_amount tokens)
 {
-    if (book.burst == 0)
+    if (ledger.burst == 0)
         return 0;
-    const double part = static_cast<double>(tokens) / static_cast<double>(book.burst);
-    return std::min(book.total,
-                    static_cast<share_count>(std::ceil(part * static_cast<double>(book.total))));
+    const double part = static_cast<double>(tokens) / static_cast<double>(ledger.burst);
+    return std::min(ledger.total,
+                    static_cast<share_count>(std::ceil(part * static_cast<double>(ledger.total))));
 }
 
 /// @return the shares needed according to the latest arrivals; they bound what may be lent
 share_count currentNeed(const limit_entry &entry, time_point now)
 {
-    if (entry.book.rate == 0)
+    if (entry.ledger.rate == 0)
         return static_cast<share_count>(entry.inUse) + entry.waiting;
     const double steady = demandHeadroom * decayed(entry.demand, now).longWindowRate;
-    return sharesForRate(entry.book, std::max(rateLowerBound(entry.demand, now),
-                                              std::min(steady, rateUpperBound(entry.demand, now))));
+    return sharesForRate(entry.ledger,
+                         std::max(rateLowerBound(entry.demand, now),
+                                  std::min(steady, rateUpperBound(entry.demand, now))));
 }
 
 /// @return the shares to be borrowed as a rate loan, which lasts for seconds; none if the bucket is
@@ -79,43 +81,43 @@
 /// borrowed with token loans instead.
 share_count missingRate(const limit_entry &entry, time_point now)
 {
-    const share_ledger &book = entry.book;
+    const share_ledger &ledger = entry.ledger;
     const double rate = std::max(demandHeadroom * steadyRateLowerBound(entry.demand, now),
                                  rateLowerBound(entry.demand, now));
-    share_count need = book.rate == 0 ? neededShares(entry, now) : sharesForRate(book, rate);
+    share_count need = ledger.rate == 0 ? neededShares(entry, now) : sharesForRate(ledger, rate);
     // A growing queue shows a lack of rate before the demand estimate does.
-    if (book.rate > 0 && entry.waiting > 1)
-        need = std::min(book.total, need + need / 2);
-    if (book.rate > 0 && entry.waiting > maxRandomQueueLength)
-        need = std::min(book.total, std::max(need, book.usable + book.usable / 2));
-    const bool isLow = book.rate == 0 || book.bucket.level < book.bucket.capacity / 2
-                       || book.bucket.level < oneToken;
+    if (ledger.rate > 0 && entry.waiting > 1)
+        need = std::min(ledger.total, need + need / 2);
+    if (ledger.rate > 0 && entry.waiting > maxRandomQueueLength)
+        need = std::min(ledger.total, std::max(need, ledger.usable + ledger.usable / 2));
+    const bool isLow = ledger.rate == 0 || ledger.bucket.level < ledger.bucket.capacity / 2
+                       || ledger.bucket.level < oneToken;
     const bool isDivisible =
-            book.burst >= (2 * need >= book.total ? minRateLoanBurst : 2 * minRateLoanBurst);
+            ledger.burst >= (2 * need >= ledger.total ? minRateLoanBurst : 2 * minRateLoanBurst);
     const bool isUsable =
-            book.rate == 0
-            || (isDivisible && partOf(book.burst, need, book.total) >= minRateLoanCapacity);
-    return isLow && isUsable ? std::max<share_count>(need - book.usable, 0) : 0;
+            ledger.rate == 0
+            || (isDivisible && partOf(ledger.burst, need, ledger.total) >= minRateLoanCapacity);
+    return isLow && isUsable ? std::max<share_count>(need - ledger.usable, 0) : 0;
 }
 
 /// @return the tokens to be borrowed at once: those for the waiting statements, and if the bucket
 /// is low, a reserve for the next peak within the capacity of the usable shares
 token_amount missingTokens(const limit_entry &entry, time_point now)
 {
-    const share_ledger &book = entry.book;
-    if (book.rate == 0)
+    const share_ledger &ledger = entry.ledger;
+    if (ledger.rate == 0)
         return 0;
     const token_amount waiting = static_cast<token_amount>(entry.waiting) * oneToken;
-    const token_amount lowLevel = std::min(2 * oneToken, book.bucket.capacity / 3);
-    const bool isLow = book.bucket.level < lowLevel
+    const token_amount lowLevel = std::min(2 * oneToken, ledger.bucket.capacity / 3);
+    const bool isLow = ledger.bucket.level < lowLevel
                        && decayed(entry.demand, now).longWindowRate > idleArrivalRate;
-    const token_amount reserve = isLow ? book.bucket.capacity / 3 : 0;
-    return std::max<token_amount>(waiting + reserve - book.bucket.level, 0);
+    const token_amount reserve = isLow ? ledger.bucket.capacity / 3 : 0;
+    return std::max<token_amount>(waiting + reserve - ledger.bucket.level, 0);
 }
 
 bool isActive(const limit_entry &entry, time_point now)
 {
-    return entry.waiting > 0 || !entry.book.in.empty()
+    return entry.waiting > 0 || !entry.ledger.in.empty()
            || decayed(entry.demand, now).longWindowRate > idleArrivalRate;
 }
 
@@ -170,7 +172,7 @@
         return;
     entry.nextTokenCandidate %= entry.candidates.size();
     requests[entry.candidates[entry.nextTokenCandidate++]][{ resource, loan_kind::Tokens }] =
-            sharesForTokens(entry.book, std::max(missing, oneToken));
+            sharesForTokens(entry.ledger, std::max(missing, oneToken));
     entry.tokenRetryBackoff =
             std::clamp(entry.tokenRetryBackoff + entry.tokenRetryBackoff / 4,
                        manager.settings.tokenRetryInterval, manager.settings.maxRetryInterval);
@@ -183,9 +185,10 @@
                      const loan_id &id, returns_by_lender &returns, time_point now)
 {
     const loan_times &times = manager.settings.times;
-    const duration longest = entry.book.in.at(id).kind == loan_kind::Rate ? times.rateLoanDuration
-                                                                          : times.tokenLoanDuration;
-    if (auto back = returnLoan(entry.book, resource, id, longest, now))
+    const duration longest = entry.ledger.in.at(id).kind == loan_kind::Rate
+                                     ? times.rateLoanDuration
+                                     : times.tokenLoanDuration;
+    if (auto back = returnLoan(entry.ledger, resource, id, longest, now))
         returns[id.lender].loans.push_back(std::move(*back));
 }
 
@@ -198,8 +201,8 @@
         return;
     const share_count need = neededShares(entry, now);
     std::vector<loan_id> unneeded;
-    share_count kept = entry.book.usable;
-    for (const auto &[id, loan] : entry.book.in) {
+    share_count kept = entry.ledger.usable;
+    for (const auto &[id, loan] : entry.ledger.in) {
         if (loan.kind == loan_kind::Tokens || loan.shares == 0
             || loan.endsAt - now > manager.settings.renewalLeadTime)
             continue;
@@ -224,15 +227,15 @@
     if (entry.waiting > 0)
         return;
     std::vector<loan_id> unused;
-    for (const auto &[id, loan] : entry.book.in)
+    for (const auto &[id, loan] : entry.ledger.in)
         if (loan.kind == loan_kind::Tokens && loan.shares > 0)
             unused.push_back(id);
     for (const loan_id &id : unused) {
-        const share_ledger &book = entry.book;
-        const share_count own = book.usable - book.in.at(id).shares;
-        const token_amount room = partOf(book.burst, std::min(own, book.total), book.total);
-        const bool isLarge = book.in.at(id).shares * largeLoanDivisor >= book.total;
-        if (isLarge || book.bucket.level >= room + minLoanTokens)
+        const share_ledger &ledger = entry.ledger;
+        const share_count own = ledger.usable - ledger.in.at(id).shares;
+        const token_amount room = partOf(ledger.burst, std::min(own, ledger.total), ledger.total);
+        const bool isLarge = ledger.in.at(id).shares * largeLoanDivisor >= ledger.total;
+        if (isLarge || ledger.bucket.level >= room + minLoanTokens)
             returnLoanEarly(manager, resource, entry, id, returns, now);
     }
 }
@@ -242,13 +245,13 @@
                    double minKeptShares, returns_by_lender &returns, time_point now)
 {
     std::vector<std::pair<share_count, loan_id>> loans;
-    for (const auto &[id, loan] : entry.book.in)
+    for (const auto &[id, loan] : entry.ledger.in)
         if (loan.kind == loan_kind::Rate && loan.shares > 0)
             loans.emplace_back(loan.shares, id);
     std::sort(loans.begin(), loans.end());
     for (const auto &[shares, id] : loans) {
         // Loans can't be split: one of which less than half is needed is returned as well.
-        if (static_cast<double>(entry.book.usable) - static_cast<double>(shares) / 2
+        if (static_cast<double>(entry.ledger.usable) - static_cast<double>(shares) / 2
             < minKeptShares)
             break;
         returnLoanEarly(manager, resource, entry, id, returns, now);
@@ -259,13 +262,13 @@
                           limit_entry &entry, returns_by_lender &returns, time_point now)
 {
     share_count smallest = 0;
-    for (const auto &[id, loan] : entry.book.in)
+    for (const auto &[id, loan] : entry.ledger.in)
         if (loan.kind == loan_kind::Rate && loan.shares > 0
             && (smallest == 0 || loan.shares < smallest))
             smallest = loan.shares;
     const double kept = surplusFactor * static_cast<double>(neededShares(entry, now));
     const bool hasSurplus = smallest > 0 && entry.waiting == 0
-                            && static_cast<double>(entry.book.usable - smallest) >= kept;
+                            && static_cast<double>(entry.ledger.usable - smallest) >= kept;
     if (!hasSurplus)
         entry.surplusSince = noDeadline;
     else if (entry.surplusSince == noDeadline)
@@ -286,14 +289,15 @@
 loan_offer offerRate(const limit_entry &entry, const loan_request_item &item, share_count need,
                      share_count lendable)
 {
-    const share_ledger &book = entry.book;
-    if (need > book.usable)
+    const share_ledger &ledger = entry.ledger;
+    if (need > ledger.usable)
         return {};
-    const share_count spare = std::min(book.usable - need, lendable);
+    const share_count spare = std::min(ledger.usable - need, lendable);
     // A single spare connection is lent as a whole.
-    const share_count least = book.rate == 0 ? std::min<share_count>(spare, 1) : 0;
+    const share_count least = ledger.rate == 0 ? std::min<share_count>(spare, 1) : 0;
     const share_count shares = std::min(item.shares, std::max(spare / 2, least));
-    return { true, shares, book.usable == 0 ? 0 : partOf(book.bucket.level, shares, book.usable) };
+    return { true, shares,
+             ledger.usable == 0 ? 0 : partOf(ledger.bucket.level, shares, ledger.usable) };
 }
 
 /// Offers at most half of the tokens, but a whole token if there is one, with the shares whose
@@ -301,16 +305,16 @@
 loan_offer offerTokens(const limit_entry &entry, const loan_request_item &item,
                        share_count lendable)
 {
-    const share_ledger &book = entry.book;
+    const share_ledger &ledger = entry.ledger;
     const token_amount half =
-            std::max(book.bucket.level / 2, std::min(book.bucket.level, oneToken));
+            std::max(ledger.bucket.level / 2, std::min(ledger.bucket.level, oneToken));
     const bool isTiny =
-            partOf(book.burst, std::min(book.home, book.total), book.total) < 2 * oneToken;
+            partOf(ledger.burst, std::min(ledger.home, ledger.total), ledger.total) < 2 * oneToken;
     const token_amount least = isTiny ? minLoanTokens : oneToken;
-    if (book.rate == 0 || half < least)
+    if (ledger.rate == 0 || half < least)
         return {};
-    const share_count shares = std::min({ item.shares, lendable, sharesForTokens(book, half) });
-    const token_amount tokens = partOf(book.burst, shares, book.total);
+    const share_count shares = std::min({ item.shares, lendable, sharesForTokens(ledger, half) });
+    const token_amount tokens = partOf(ledger.burst, shares, ledger.total);
     return { tokens >= least, shares, std::min(tokens, half) };
 }
 
@@ -365,13 +369,14 @@
         manager.active.insert(resource);
     recordArrival(entry.demand, now);
     // Statements that are already waiting take precedence.
-    if (entry.waiting == 0 && takeToken(entry.book, now))
+    if (entry.waiting == 0 && takeToken(entry.ledger, now))
         return admission::Granted;
     manager.urgent.insert(resource);
     const double waitSeconds =
             std::chrono::duration<double>(manager.settings.maxAdmissionWait).count();
     const double bound =
-            1 + waitSeconds * static_cast<double>(entry.book.rate) / static_cast<double>(oneToken);
+            1
+            + waitSeconds * static_cast<double>(entry.ledger.rate) / static_cast<double>(oneToken);
     if (entry.waiting + 1 > bound)
         return admission::Refused;
     if (entry.waiting++ == 0) {
@@ -386,7 +391,7 @@
 {
     const auto entry = manager.limits.find(resource);
     if (entry == manager.limits.end() || entry->second.waiting == 0
-        || !takeToken(entry->second.book, now))
+        || !takeToken(entry->second.ledger, now))
         return false;
     --entry->second.waiting;
     return true;
@@ -403,15 +408,15 @@
 {
     const auto entry = manager.limits.find(resource);
     return entry == manager.limits.end() ? noDeadline
-                                         : availableAt(entry->second.book.bucket, oneToken);
+                                         : availableAt(entry->second.ledger.bucket, oneToken);
 }
 
 share_count neededShares(const limit_entry &entry, time_point now)
 {
-    if (entry.book.rate == 0)
+    if (entry.ledger.rate == 0)
         return std::min<share_count>(static_cast<share_count>(entry.inUse) + entry.waiting,
-                                     entry.book.total);
-    return sharesForRate(entry.book,
+                                     entry.ledger.total);
+    return sharesForRate(entry.ledger,
                          std::max(demandHeadroom * decayed(entry.demand, now).longWindowRate,
                                   rateLowerBound(entry.demand, now)));
 }
@@ -422,7 +427,7 @@
     requests_by_peer requests;
     returns_by_lender returns;
     const auto visit = [&](const resource_id &resource, limit_entry &entry) {
-        advance(entry.book, now);
+        advance(entry.ledger, now);
         returnUnusedTokens(manager, resource, entry, returns, now);
         if (!manager.areLoansOn)
             return;
@@ -478,21 +483,21 @@
         if (found == manager.limits.end())
             continue;
         limit_entry &entry = found->second;
-        const share_count lendable = lendableShares(entry.book, now);
+        const share_count lendable = lendableShares(entry.ledger, now);
         const share_count need = currentNeed(entry, now);
         if (entry.waiting == 0)
             returnSurplus(manager, item.resource, entry, static_cast<double>(need), returns, now);
         const bool isAffordable = item.kind == loan_kind::Rate || canAffordTokenLoans(manager);
-        if (!canLend || !isAffordable || (entry.book.rate > 0 && entry.waiting > 0))
+        if (!canLend || !isAffordable || (entry.ledger.rate > 0 && entry.waiting > 0))
             continue;
         const loan_offer offer = item.kind == loan_kind::Rate
                                          ? offerRate(entry, item, need, lendable)
                                          : offerTokens(entry, item, lendable);
         if (!offer.isGranted)
             continue;
-        if (auto terms =
-                    grantLoan(entry.book, item.resource, manager.self.incarnation, request.borrower,
-                              item.kind, offer.shares, offer.tokens, manager.settings.times, now))
+        if (auto terms = grantLoan(entry.ledger, item.resource, manager.self.incarnation,
+                                   request.borrower, item.kind, offer.shares, offer.tokens,
+                                   manager.settings.times, now))
             grant.loans.push_back(std::move(*terms));
     }
     std::vector<loan_message> messages;
@@ -513,18 +518,18 @@
         const auto entry = manager.limits.find(terms.resource);
         if (entry == manager.limits.end())
             continue;
-        const share_count before = usableShares(entry->second.book, now);
-        if (!receiveLoan(entry->second.book, terms, time_point(duration(grant.sentAt)), now))
+        const share_count before = usableShares(entry->second.ledger, now);
+        if (!receiveLoan(entry->second.ledger, terms, time_point(duration(grant.sentAt)), now))
             continue;
         manager.active.insert(terms.resource);
         limit_entry &changedEntry = entry->second;
-        if (changedEntry.book.usable <= before)
+        if (changedEntry.ledger.usable <= before)
             continue;
         changed.push_back(terms.resource);
         if (terms.kind == loan_kind::Rate) {
             // A small gain shows that the peers have little left to lend, so the backoff continues
             // to limit the traffic.
-            if ((changedEntry.book.usable - before) * substantialGainDivisor
+            if ((changedEntry.ledger.usable - before) * substantialGainDivisor
                 >= missingRate(changedEntry, now))
                 changedEntry.rateRetryBackoff = duration::zero();
             continue;
@@ -546,7 +551,7 @@
     std::vector<resource_id> changed;
     for (const loan_return &each : returns.loans) {
         const auto entry = manager.limits.find(each.resource);
-        if (entry != manager.limits.end() && acceptReturn(entry->second.book, each, now))
+        if (entry != manager.limits.end() && acceptReturn(entry->second.ledger, each, now))
             changed.push_back(each.resource);
     }
     return changed;
--- a/src/daemon/gateway_driver.cpp
+++ b/src/daemon/gateway_driver.cpp
@@ -35,15 +35,16 @@
 {
     if (!limitManager.hasJoined)
         return false;
-    return std::all_of(
-            limitManager.limits.begin(), limitManager.limits.end(),
-            [&limitManager](const auto &each) {
-                const bool needsShares = each.second.isUsed && each.second.fairShares > 0
-                                         && each.first.kind == core::resource_kind::Workspace;
-                const auto entry = limitManager.rates.limits.find(each.first);
-                return !needsShares
-                       || (entry != limitManager.rates.limits.end() && entry->second.book.home > 0);
-            });
+    return std::all_of(limitManager.limits.begin(), limitManager.limits.end(),
+                       [&limitManager](const auto &each) {
+                           const bool needsShares =
+                                   each.second.isUsed && each.second.fairShares > 0
+                                   && each.first.kind == core::resource_kind::Workspace;
+                           const auto entry = limitManager.rates.limits.find(each.first);
+                           return !needsShares
+                                  || (entry != limitManager.rates.limits.end()
+                                      && entry->second.ledger.home > 0);
+                       });
 }
 
 } // namespace
--- a/src/daemon/peer_messenger.cpp
+++ b/src/daemon/peer_messenger.cpp
@@ -280,17 +280,17 @@
     if (isDamaged || handle == handlesByRequest_.end())
         return;
     link_state &state = linkStates_[link];
-    wire::part_assembler &joiner = state.answerParts[message.id];
-    if (joiner.add(message.part, message.parts, message.content)) {
+    wire::part_assembler &assembler = state.answerParts[message.id];
+    if (assembler.add(message.part, message.parts, message.content)) {
         links_.close(link);
         return;
     }
-    if (!joiner.isComplete())
+    if (!assembler.isComplete())
         return;
     forward_answer_received event;
     event.handle = handle->second;
     const bool isUnreadable =
-            static_cast<bool>(wire::readAnswer(message.id, joiner.content, event.answer));
+            static_cast<bool>(wire::readAnswer(message.id, assembler.content, event.answer));
     state.answerParts.erase(message.id);
     state.forwards.erase(event.handle);
     pendingForwards_.erase(event.handle);
--- a/testing/gateway_world.cpp
+++ b/testing/gateway_world.cpp
@@ -295,7 +295,7 @@
             owner.policy = acknowledgement_policy::KnownPosition;
     } else if (world.settings.defect == gateway_defect::TokensRefilled) {
         for (auto &[resource, entry] : node.state.limitManager.rates.limits)
-            entry.book.bucket.level = entry.book.bucket.capacity;
+            entry.ledger.bucket.level = entry.ledger.bucket.capacity;
     } else if (world.settings.defect == gateway_defect::ProofWithoutQuery) {
         addPlatformProof(node.state.proof, node.state.config.version, world.now);
     } else if (world.settings.defect == gateway_defect::VersionReverts
--- a/testing/limits_world.cpp
+++ b/testing/limits_world.cpp
@@ -87,13 +87,13 @@
         const time_point local = localTime(world, node);
         std::size_t position = 0;
         for (auto &[resource, entry] : node.loanManager.limits)
-            sums[position++] += usableShares(entry.book, local);
+            sums[position++] += usableShares(entry.ledger, local);
     }
     if (last == nullptr)
         return;
     std::size_t position = 0;
     for (const auto &[resource, entry] : last->loanManager.limits)
-        if (sums[position++] > entry.book.total)
+        if (sums[position++] > entry.ledger.total)
             ++world.shareViolations[resource];
 }
 
@@ -185,10 +185,10 @@
 }
 
 /// Recomputes the share ledgers after an injected defect has changed them.
-static void recomputeBooks(loan_manager &loanManager, time_point now)
+static void recomputeLedgers(loan_manager &loanManager, time_point now)
 {
     for (auto &[resource, entry] : loanManager.limits)
-        setHomeUntil(entry.book, entry.book.homeUntil, now);
+        setHomeUntil(entry.ledger, entry.ledger.homeUntil, now);
 }
 
 static void onLoanMessage(limits_world &world, std::size_t index, const loan_message &message)
@@ -199,25 +199,25 @@
         const auto answers = onLoanRequest(node.loanManager, *request, local);
         if (world.settings.fault == limits_defect::LenderKeepsShares)
             for (auto &[resource, entry] : node.loanManager.limits)
-                for (auto &[id, loan] : entry.book.out) {
-                    entry.book.home += loan.shares;
+                for (auto &[id, loan] : entry.ledger.out) {
+                    entry.ledger.home += loan.shares;
                     loan.shares = 0;
                 }
-        recomputeBooks(node.loanManager, local);
+        recomputeLedgers(node.loanManager, local);
         sendLoans(world, index, answers);
     } else if (const auto *grant = std::get_if<loan_grant>(&message.body)) {
         if (world.settings.fault == limits_defect::DuplicateIsCounted)
             for (const loan_terms &terms : grant->loans)
-                for (auto &[id, loan] : node.loanManager.limits[terms.resource].book.in)
+                for (auto &[id, loan] : node.loanManager.limits[terms.resource].ledger.in)
                     if (id == terms.id)
                         loan.shares += terms.shares;
-        recomputeBooks(node.loanManager, local);
+        recomputeLedgers(node.loanManager, local);
         onLoanGrant(node.loanManager, *grant, local);
         if (world.settings.fault == limits_defect::BorrowerIgnoresEnd)
             for (auto &[resource, entry] : node.loanManager.limits)
-                for (auto &[id, loan] : entry.book.in)
+                for (auto &[id, loan] : entry.ledger.in)
                     loan.endsAt += std::chrono::seconds(10);
-        recomputeBooks(node.loanManager, local);
+        recomputeLedgers(node.loanManager, local);
         for (const loan_terms &terms : grant->loans)
             admitWaitingStatements(world, index, terms.resource);
     } else if (const auto *returns = std::get_if<loan_returns>(&message.body)) {
--- a/testing/limits_world_node.cpp
+++ b/testing/limits_world_node.cpp
@@ -105,7 +105,7 @@
         world_node &node = world.nodes[to];
         const time_point local = localTime(world, node);
         for (const auto &[resource, part] : isCommitted ? move.gained : move.given)
-            addHome(node.loanManager.limits.at(resource).book, part.shares, part.tokens, local);
+            addHome(node.loanManager.limits.at(resource).ledger, part.shares, part.tokens, local);
     });
 }
 
@@ -133,8 +133,8 @@
 share_count fairShareOf(limits_world &world, const resource_id &resource, const world_node &node,
                         const std::vector<peer_ref> &live)
 {
-    const share_ledger &book = node.loanManager.limits.at(resource).book;
-    return fairShare(book.total, holdersOf(world, resource, book.burst, live),
+    const share_ledger &ledger = node.loanManager.limits.at(resource).ledger;
+    return fairShare(ledger.total, holdersOf(world, resource, ledger.burst, live),
                      node.self.incarnation);
 }
 
@@ -177,7 +177,7 @@
         joined.homeUntil = homeUntil(joined.lease);
         setHomeUntil(joined.loanManager, joined.homeUntil, local);
         for (const auto &[resource, part] : move.gained)
-            addHome(joined.loanManager.limits.at(resource).book, part.shares, part.tokens, local);
+            addHome(joined.loanManager.limits.at(resource).ledger, part.shares, part.tokens, local);
     });
 }
 
@@ -191,14 +191,14 @@
     bool hasLent = false;
     for (auto &[resource, entry] : node.loanManager.limits) {
         std::vector<loan_id> loans;
-        for (const auto &[id, loan] : entry.book.in)
+        for (const auto &[id, loan] : entry.ledger.in)
             loans.push_back(id);
         for (const loan_id &id : loans)
-            if (auto back = returnLoan(entry.book, resource, id,
+            if (auto back = returnLoan(entry.ledger, resource, id,
                                        world.settings.loans.times.rateLoanDuration, local))
                 returns[id.lender].loans.push_back(*back);
-        given[resource] = removeHome(entry.book, entry.book.home, local);
-        hasLent = hasLent || entry.book.lent > 0;
+        given[resource] = removeHome(entry.ledger, entry.ledger.home, local);
+        hasLent = hasLent || entry.ledger.lent > 0;
     }
     for (const auto &[lender, body] : returns)
         sendLoans(world, index, { { lender, body } });
@@ -218,7 +218,7 @@
             killNode(world, to);
         else if (!isCommitted)
             for (const auto &[resource, part] : copy.given)
-                addHome(world.nodes[to].loanManager.limits.at(resource).book, part.shares,
+                addHome(world.nodes[to].loanManager.limits.at(resource).ledger, part.shares,
                         part.tokens, localTime(world, world.nodes[to]));
     });
 }
@@ -275,10 +275,10 @@
         if (difference > 0)
             wanted[resource] = difference;
         else if (difference < 0)
-            given[resource] = removeHome(entry.book, -difference, local);
+            given[resource] = removeHome(entry.ledger, -difference, local);
         if (hasListChanged)
             setCandidates(node.loanManager, resource,
-                          holdersOf(world, resource, entry.book.burst, live), live, world.random);
+                          holdersOf(world, resource, entry.ledger.burst, live), live, world.random);
     }
     if (auto move = moveShares(nextTransactionId(world), world.table, node.self.incarnation, wanted,
                                given))
@@ -351,7 +351,7 @@
     if (world.settings.connections == 0)
         return;
     const resource_id group = groupOf();
-    const share_count usable = usableShares(node.loanManager.limits.at(group).book, local);
+    const share_count usable = usableShares(node.loanManager.limits.at(group).ledger, local);
     const auto demand = static_cast<share_count>(drawBelow(world.random, 5));
     const share_count inUse = std::min(demand, usable);
     setConnections(node.loanManager, group, static_cast<std::uint32_t>(inUse),
--- a/tests/unit-failover-matrix.cpp
+++ b/tests/unit-failover-matrix.cpp
@@ -410,7 +410,7 @@
     CHECK_FALSE(isCaught(failover_defect::None, "", arrange));
 }
 
-// Guards against a check of requirement M2 (no acknowledged write is lost) that misses two
+// Guards against a check of requirement M2 (an old primary acknowledges no write) that misses two
 // primaries which both acknowledge writes: the old primary is cut off together with one owner, and
 // the other owners promote a new one.
 TEST(failover_matrix, catchesDivergingHistories)
--- a/tests/unit-limit-manager.cpp
+++ b/tests/unit-limit-manager.cpp
@@ -287,12 +287,12 @@
         for (auto &each : nodes) {
             if (!each->isAlive || each->isExpired)
                 continue;
-            shares += usableShares(each->manager.rates.limits.at(workspaceLimit).book, now);
+            shares += usableShares(each->manager.rates.limits.at(workspaceLimit).ledger, now);
             // A paused process can't close its connections before it runs again.
             open += now < each->pausedUntil + connectionDrainInterval ? 0 : each->open;
             const auto entry = each->manager.connections.limits.find(groupLimit);
             if (entry != each->manager.connections.limits.end())
-                connectionShares += usableShares(entry->second.book, now);
+                connectionShares += usableShares(entry->second.ledger, now);
         }
         CHECK_TRUE(shares <= workspaceShares);
         CHECK_TRUE(connectionShares <= connections);
@@ -358,7 +358,7 @@
         all.after(seconds(1), [this] { all.announce(); });
     }
     /// Checks that each share ledger has the home shares that the table records.
-    void checkBooks()
+    void checkLedgers()
     {
         for (const auto &each : all.nodes) {
             const std::string key = leaseKey(each->manager.self.incarnation);
@@ -367,7 +367,7 @@
             CHECK_TRUE(each->manager.hasJoined && !each->isExpired);
             const auto row = parseShareRow(key, all.table.at(key).value);
             LONGS_EQUAL(std::get<lease_row>(*row).homes.at(workspaceLimit),
-                        each->manager.rates.limits.at(workspaceLimit).book.home);
+                        each->manager.rates.limits.at(workspaceLimit).ledger.home);
         }
     }
     void configure()
@@ -531,7 +531,7 @@
     all.announce();
     all.run(seconds(30));
     LONGS_EQUAL(0, all.answersToLose);
-    checkBooks();
+    checkLedgers();
     LONGS_EQUAL(workspaceShares, all.home(workspaceLimit) + all.pool(workspaceLimit).free);
 }
 
@@ -589,7 +589,7 @@
             }
         all.announce();
     }
-    checkBooks();
+    checkLedgers();
     LONGS_EQUAL(workspaceShares, all.home(workspaceLimit) + all.pool(workspaceLimit).free);
 }
 
--- a/tests/unit-limits-matrix.cpp
+++ b/tests/unit-limits-matrix.cpp
@@ -36,7 +36,7 @@
 bool anyGrantedLoan(const world_node &node, predicate isWanted)
 {
     for (const auto &[resource, entry] : node.loanManager.limits)
-        for (const auto &[id, loan] : entry.book.out)
+        for (const auto &[id, loan] : entry.ledger.out)
             if (isWanted(loan))
                 return true;
     return false;
@@ -46,7 +46,7 @@
 bool anyReceivedLoan(const world_node &node, predicate isWanted)
 {
     for (const auto &[resource, entry] : node.loanManager.limits)
-        for (const auto &[id, loan] : entry.book.in)
+        for (const auto &[id, loan] : entry.ledger.in)
             if (isWanted(loan))
                 return true;
     return false;
@@ -230,8 +230,8 @@
     limits_world_settings settings = settingsOf(seed);
     settings.fault = mutated;
     settings.doubled = 0.2;
-    // Witnesses promiseDuration a lease for a short time and loans are long, so that the loans of a crashed
-    // lender outlast its lease.
+    // Witnesses promiseDuration a lease for a short time and loans are long, so that the loans of a
+    // crashed lender outlast its lease.
     settings.leases.promiseDuration = seconds(2);
     settings.leases.promiseRenewInterval = milliseconds(500);
     settings.leases.voteGracePeriod = milliseconds(0);
--- a/tests/unit-loan-policy.cpp
+++ b/tests/unit-loan-policy.cpp
@@ -39,11 +39,11 @@
         all.clear();
         for (const peer_ref &each : live) {
             loan_manager &manager = all.emplace_back(makeLoanManager(each, {}, at(0)));
-            share_ledger &book =
+            share_ledger &ledger =
                     addOrUpdateLimit(manager, resource, std::int64_t(rate * oneToken),
                                      token_amount(burst * oneToken), workspaceShares, at(0))
-                            .book;
-            addHome(book, workspaceShares / managerCount, 0, at(0));
+                            .ledger;
+            addHome(ledger, workspaceShares / managerCount, 0, at(0));
             setCandidates(manager, resource, holders, live, random);
             setHomeUntil(manager, noDeadline, at(0));
         }
@@ -97,7 +97,7 @@
     open(100, 100);
     run(0, 0, 2'000, 10);
     CHECK_TRUE(run(0, 2'000, 6'000, 10) > 380); // 95 % of the rate
-    CHECK_TRUE(all[0].limits[resource].book.usable > 850'000);
+    CHECK_TRUE(all[0].limits[resource].ledger.usable > 850'000);
 }
 
 // Guards against shares that stay with a borrower after the demand has moved to another instance.
@@ -149,7 +149,7 @@
     const loan_request request{ 2, 1, 0, { { resource, loan_kind::Rate, 1'000 } } };
     LONGS_EQUAL(1, onLoanRequest(all[0], request, at(1)).size());
     LONGS_EQUAL(0, onLoanRequest(all[0], request, at(2)).size());
-    LONGS_EQUAL(1'000, all[0].limits[resource].book.lent);
+    LONGS_EQUAL(1'000, all[0].limits[resource].ledger.lent);
 }
 
 // Guards against a lender that lends the shares of its open connections, or more than half of its
@@ -159,7 +159,7 @@
     open(100, 100);
     const resource_id group{ resource_kind::Connections, "g1" };
     addOrUpdateLimit(all[0], group, 0, 0, 16, at(0));
-    addHome(all[0].limits[group].book, 10, 0, at(0));
+    addHome(all[0].limits[group].ledger, 10, 0, at(0));
     setHomeUntil(all[0], noDeadline, at(0));
     setConnections(all[0], group, 4, 0);
     const loan_request request{
@@ -167,6 +167,6 @@
     };
     const auto answers = onLoanRequest(all[0], request, at(1));
     LONGS_EQUAL(1, answers.size());
-    LONGS_EQUAL(3, all[0].limits[group].book.lent);
-    LONGS_EQUAL(workspaceShares / 9 / 2, all[0].limits[resource].book.lent);
+    LONGS_EQUAL(3, all[0].limits[group].ledger.lent);
+    LONGS_EQUAL(workspaceShares / 9 / 2, all[0].limits[resource].ledger.lent);
 }
